--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -35,23 +35,28 @@
             late_worth: 0.1,
             least_share: 1.0,
             whole_from: 1.0,
-            partial_earns: 0.9,
-            second_step: 0,
+            partial_worth: 0.9,
+            second_step_parts: 0,
         };
         let (cells, width) = if all { (1, 1) } else { (stores, 3.min(stores)) };
         let settings = Settings {
-            classes: vec![class(Repeat::Safe), class(Repeat::Unsafe)],
+            classes: vec![class(RepeatPolicy::Safe), class(RepeatPolicy::Unsafe)],
             over_share_worth: 0.05,
             routers: 3,
             cells,
-            width,
-            call_parts: 1,
+            cells_per_shard: width,
+            max_parts_per_call: 1,
             max_attempts: 3,
             may_cancel: true,
-            parallel_tries: true,
+            parallel_attempts: true,
             probes: true,
             max_retry_after: 2000.0,
-            cold: Some(ColdRule { from: 0.4, warm_within: 10_000.0, multiple: 2.0, window: 1000.0 }),
+            cold: Some(ColdStartRule {
+                initial_share: 0.4,
+                warm_within: 10_000.0,
+                overload_multiple: 2.0,
+                overload_window: 1000.0,
+            }),
             tick: TICK,
             ..Settings::default()
         };
@@ -90,7 +95,7 @@
 
     /// Takes in a whole list.
     pub fn list(&mut self, lines: Vec<Replica>) {
-        self.play(vec![Event::List(ListNews::Full(lines))]);
+        self.play(vec![Event::List(ListUpdate::Full(lines))]);
     }
 
     fn query(&mut self) -> [Event; 2] {
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-use ironpaddle::api::{Event, ListNews, ReplicaState};
+use ironpaddle::api::{Event, ListUpdate, ReplicaState};
 use load::{Load, TICK};
 
 /// Bytes that are allocated.
@@ -67,7 +67,7 @@
     load.next += 1;
     let state = if load.next.is_multiple_of(2) { ReplicaState::Active } else { ReplicaState::Draining };
     let no = (load.next / 2 * 7919) % u64::from(load.stores);
-    vec![Event::List(ListNews::Changes(vec![load.line(no as u32, state)]))]
+    vec![Event::List(ListUpdate::Changes(vec![load.line(no as u32, state)]))]
 }
 
 /// The figures of one cell, in the order of [`MEASURES`].
@@ -78,7 +78,7 @@
     let step = median(&mut load, SAMPLES, Load::turn);
     let tick = median(&mut load, QUIET, tick);
     let line = median(&mut load, SAMPLES, changed);
-    let list = median(&mut load, 9, |load| vec![Event::List(ListNews::Full(load.lines()))]);
+    let list = median(&mut load, 9, |load| vec![Event::List(ListUpdate::Full(load.lines()))]);
     Some([tick, step, line, list, held as f64])
 }
 
--- a/crates/lab/src/capacity/answers.rs
+++ b/crates/lab/src/capacity/answers.rs
@@ -1,6 +1,6 @@
 //! The tables that answer the page's questions, and the order in which mechanisms are missing.
 
-use ironpaddle::api::ColdRule;
+use ironpaddle::api::ColdStartRule;
 use ironpaddle::asking::TOLD_WITHIN;
 
 use super::fit::Figure;
@@ -304,11 +304,11 @@
 
 fn ramps(s: &Sizes) -> Vec<Started> {
     let a = s.a;
-    let rule = ColdRule {
-        from: a.cold_from,
+    let rule = ColdStartRule {
+        initial_share: a.cold_from,
         warm_within: a.warm_within_ms,
-        multiple: a.cold_multiple,
-        window: a.cold_window_ms,
+        overload_multiple: a.cold_multiple,
+        overload_window: a.cold_window_ms,
     };
     let (all, region) = ((a.run_stores, a.aggregators), (s.region_stores, s.region_aggregators));
     let one = s.region_aggregators / a.holders;
--- a/crates/lab/src/capacity/ramp.rs
+++ b/crates/lab/src/capacity/ramp.rs
@@ -1,7 +1,7 @@
 //! What a cold run store gets from all of its senders together, by the program's own rule (`src/cold.rs`).
 
-use ironpaddle::api::{ColdRule, LoadReport};
-use ironpaddle::cold::{room, Reports, Traffic};
+use ironpaddle::api::{ColdStartRule, LoadReport};
+use ironpaddle::cold::{room, FleetTraffic, LoadReports};
 use ironpaddle::hash::draw;
 
 /// A cold run store and one of its senders. Rates are in parts a second.
@@ -22,7 +22,7 @@
     /// See `queries`.
     pub query_parts: f64,
     /// What the settings say of cold run stores.
-    pub rule: ColdRule,
+    pub rule: ColdStartRule,
 }
 
 /// What came of it, of one sender in the mean over the time in which a run store gets warm; parts a second.
@@ -49,13 +49,13 @@
 pub fn play(sender: &Sender, seed: u64) -> Ramp {
     let rule = &sender.rule;
     let mut chance = seed;
-    let mut traffic = Traffic::default();
+    let mut traffic = FleetTraffic::default();
     let report = LoadReport {
         utilization: Some(sender.busy),
         throughput: Some(sender.parts),
         ..LoadReport::default()
     };
-    let mut reports = Reports::default();
+    let mut reports = LoadReports::default();
     (0..sender.stores).for_each(|_| reports.add(report, None));
     let (start, end) = (BEFORE as f64 * 1000.0, BEFORE as f64 * 1000.0 + rule.warm_within);
     let wanted = sender.parts / sender.senders;
@@ -94,12 +94,14 @@
         }
     }
     let capacity = sender.parts / sender.busy;
-    let warmth =
-        |second: usize| rule.from + (1.0 - rule.from) * (second as f64 + 0.5) * 1000.0 / rule.warm_within;
+    let warmth = |second: usize| {
+        rule.initial_share + (1.0 - rule.initial_share) * (second as f64 + 0.5) * 1000.0 / rule.warm_within
+    };
     let all: f64 = sent.iter().sum();
     let bears: f64 = (0..seconds).map(|second| capacity * warmth(second)).sum();
     let peak = |(second, sent): (usize, &f64)| {
-        sent * sender.senders / (capacity * rule.multiple * warmth(second) * rule.window / 1000.0)
+        sent * sender.senders
+            / (capacity * rule.overload_multiple * warmth(second) * rule.overload_window / 1000.0)
     };
     Ramp {
         wanted,
--- a/crates/lab/src/capacity/tests.rs
+++ b/crates/lab/src/capacity/tests.rs
@@ -120,7 +120,12 @@
 
 #[test]
 fn a_cold_run_store_gets_less_than_it_bears_and_less_the_fewer_may_send() {
-    let rule = ironpaddle::api::ColdRule { from: 0.3, warm_within: 8000.0, multiple: 2.0, window: 1000.0 };
+    let rule = ironpaddle::api::ColdStartRule {
+        initial_share: 0.3,
+        warm_within: 8000.0,
+        overload_multiple: 2.0,
+        overload_window: 1000.0,
+    };
     let played = |senders: f64| {
         let sender = Sender {
             stores: 100,
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -79,7 +79,7 @@
         0
     }
     fn room(&self, _: usize) {}
-    fn retune(&self, _: &Info) {}
+    fn apply_settings(&self, _: &Info) {}
 }
 
 /// An aggregator, driven until its process ends.
--- a/src/advice.rs
+++ b/src/advice.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
-use crate::faded::Faded;
+use crate::decaying_mean::DecayingMean;
 
 /// The wait while little is refused, of the aim.
 const OF_AIM: f64 = 0.25;
@@ -20,9 +20,9 @@
 
 /// The share of queries that were refused lately.
 #[derive(Debug, Default, Clone, Copy, Serialize, Deserialize)]
-pub struct Advice(Faded);
+pub struct RetryAdvice(DecayingMean);
 
-impl Advice {
+impl RetryAdvice {
     /// A query was taken up, or refused; half of what is known fades in some time.
     pub fn note(&mut self, refused: bool, now: Millis, half: Millis) {
         self.0.note(f64::from(u8::from(refused)), STEP, now, half);
--- a/src/advice/tests.rs
+++ b/src/advice/tests.rs
@@ -4,16 +4,16 @@
 #[test]
 fn those_refused_together_come_back_scattered_and_later_the_more_are_refused() {
     let mut chance = 7;
-    let mut waits = |advice: Advice| {
+    let mut waits = |advice: RetryAdvice| {
         let mut all: Vec<_> =
             (0..100).map(|_| advice.wait(400.0, 2000.0, (1000.0, 4000.0), draw(&mut chance))).collect();
         all.sort_by(f64::total_cmp);
         (all[5], all[50], all[95])
     };
-    let (first, calm, last) = waits(Advice::default());
+    let (first, calm, last) = waits(RetryAdvice::default());
     assert!(last > 2.0 * first, "{first} {last}");
     assert!((90.0..110.0).contains(&calm), "{calm}");
-    let mut advice = Advice::default();
+    let mut advice = RetryAdvice::default();
     (0..100).for_each(|no| advice.note(no % 4 > 0, 1000.0, 4000.0));
     let (_, pressed, _) = waits(advice);
     assert!((300.0..500.0).contains(&pressed), "three in four are refused: {pressed}");
@@ -23,7 +23,7 @@
 
 #[test]
 fn what_was_refused_long_ago_counts_for_nothing() {
-    let mut advice = Advice::default();
+    let mut advice = RetryAdvice::default();
     (0..200).for_each(|_| advice.note(true, 0.0, 4000.0));
     assert!(advice.wait(400.0, 9000.0, (0.0, 4000.0), 0.5) > 900.0);
     assert!(advice.wait(400.0, 9000.0, (60_000.0, 4000.0), 0.5) < 110.0);
--- a/src/api.rs
+++ b/src/api.rs
@@ -56,7 +56,7 @@
 
 /// May a part be sent again?
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// Running it twice does no harm.
     Safe,
     /// Replicas drop repeats for this long after the first send that may have run.
@@ -68,7 +68,7 @@
     Unsafe,
 }
 
-impl Repeat {
+impl RepeatPolicy {
     /// Whether a part may be sent now, the first send of which that may have run was at some time, if there was one.
     pub fn allows(self, may_have_run: Option<Millis>, now: Millis) -> bool {
         now <= self.allowed_until(may_have_run)
@@ -77,9 +77,9 @@
     /// Until when such a part may be sent.
     pub fn allowed_until(self, may_have_run: Option<Millis>) -> Millis {
         match (self, may_have_run) {
-            (Repeat::Safe, _) | (_, None) => Millis::INFINITY,
-            (Repeat::Keyed { window }, Some(first)) => first + window,
-            (Repeat::Unsafe, Some(_)) => Millis::NEG_INFINITY,
+            (RepeatPolicy::Safe, _) | (_, None) => Millis::INFINITY,
+            (RepeatPolicy::Keyed { window }, Some(first)) => first + window,
+            (RepeatPolicy::Unsafe, Some(_)) => Millis::NEG_INFINITY,
         }
     }
 }
@@ -90,7 +90,7 @@
     /// An answer within this time earns its full worth.
     pub aim: Millis,
     /// Whether its parts may be repeated.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// The worth of a whole answer in time.
     pub worth: f64,
     /// The share of the worth that an answer after the aim still earns.
@@ -100,9 +100,11 @@
     /// The share of the first step's weight that makes an answer whole.
     pub whole_from: f64,
     /// What an answer that is not whole earns, times its share.
-    pub partial_earns: f64,
+    #[serde(rename = "partial_earns")]
+    pub partial_worth: f64,
     /// The number of parts of a second step; 0 if the class has one step.
-    pub second_step: u32,
+    #[serde(rename = "second_step")]
+    pub second_step_parts: u32,
 }
 
 /// A tenant and what it may ask for.
@@ -124,22 +126,26 @@
 
 /// What a cold replica can bear.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct ColdRule {
+pub struct ColdStartRule {
     /// It starts at this share of its capacity or more.
-    pub from: f64,
+    #[serde(rename = "from")]
+    pub initial_share: f64,
     /// It has all of its capacity after this time at the latest.
     pub warm_within: Millis,
     /// Sent more than this many times its present capacity ...
-    pub multiple: f64,
+    #[serde(rename = "multiple")]
+    pub overload_multiple: f64,
     /// ... for this long, it fails.
-    pub window: Millis,
+    #[serde(rename = "window")]
+    pub overload_window: Millis,
 }
 
 /// A stated limit on attempts past the first of each part.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AttemptBudget {
     /// Attempts that are always allowed in a window.
-    pub free: f64,
+    #[serde(rename = "free")]
+    pub base_attempts: f64,
     /// Attempts allowed per query or part accepted in the window.
     pub ratio: f64,
     /// The length of the window.
@@ -160,9 +166,11 @@
     /// The number of cells that the shards are laid out over; at least one.
     pub cells: u32,
     /// How many cells in a row hold a shard; at least one.
-    pub width: u32,
+    #[serde(rename = "width")]
+    pub cells_per_shard: u32,
     /// The most parts that share one call.
-    pub call_parts: u32,
+    #[serde(rename = "call_parts")]
+    pub max_parts_per_call: u32,
     /// The work of a call beside that of its parts, as time on a replica.
     pub call_overhead: Millis,
     /// Whether replicas serve keys that they met lately with less work.
@@ -174,7 +182,8 @@
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
     /// Whether a part may have two attempts out at once.
-    pub parallel_tries: bool,
+    #[serde(rename = "parallel_tries")]
+    pub parallel_attempts: bool,
     /// How long an idle connection is kept open by itself; `None` if the router is not to close any earlier.
     pub keep_alive: Option<Millis>,
     /// Whether replicas may be probed.
@@ -184,9 +193,10 @@
     /// How the list of replicas is learned.
     pub discovery: Discovery,
     /// Where it must be asked for: it is asked for, or watched, at least once in so long.
-    pub ask_within: Millis,
+    #[serde(rename = "ask_within")]
+    pub list_refresh_within: Millis,
     /// What cold replicas can bear, if a rule protects them.
-    pub cold: Option<ColdRule>,
+    pub cold: Option<ColdStartRule>,
     /// The attempt budget, if one is stated.
     pub budget: Option<AttemptBudget>,
     /// Steps come at most this often.
@@ -204,9 +214,9 @@
         let positive = |x: Millis| x.is_finite() && x > 0.0;
         let problem = if self.classes.is_empty() {
             "there are no classes"
-        } else if self.cells == 0 || self.width == 0 || self.width > self.cells {
+        } else if self.cells == 0 || self.cells_per_shard == 0 || self.cells_per_shard > self.cells {
             "cells and width must be at least 1, and width at most cells"
-        } else if self.routers == 0 || self.max_attempts == 0 || self.call_parts == 0 {
+        } else if self.routers == 0 || self.max_attempts == 0 || self.max_parts_per_call == 0 {
             "routers, attempts and parts of a call must be at least 1"
         } else if !positive(self.tick) || self.classes.iter().any(|c| !positive(c.aim)) {
             "tick and every aim must be above 0"
@@ -248,7 +258,7 @@
 
 /// News of the list of replicas.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ListNews {
+pub enum ListUpdate {
     /// The list as the router last had it, maybe old; comes at the start.
     Cached(Vec<Replica>),
     /// The whole list: who is not in it is gone.
@@ -256,7 +266,7 @@
     /// The lines that changed.
     Changes(Vec<Replica>),
     /// A request or the subscription failed; the old list stands.
-    Broken,
+    Failed,
 }
 
 /// How busy a replica said it is; each value only where the site reports it.
@@ -361,7 +371,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The list of replicas, or that it could not be had.
-    List(ListNews),
+    List(ListUpdate),
     /// A query; its parts follow in the same step.
     Query(NewQuery),
     /// A part of a query held.
@@ -461,7 +471,7 @@
 
 /// Why an attempt is made, or was called back.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Why {
+pub enum AttemptReason {
     /// It is the first of its part.
     #[default]
     First,
@@ -479,12 +489,14 @@
 
 /// Why a part goes to a replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Choice {
+pub enum ReplicaChoice {
     /// It would finish first there.
     #[default]
-    Least,
+    #[serde(rename = "Least")]
+    LeastFinish,
     /// No other that holds its shard takes parts now.
-    Only,
+    #[serde(rename = "Only")]
+    OnlyCandidate,
     /// All that hold its shard are parked, and this one is rated best.
     BestParked,
 }
@@ -501,9 +513,9 @@
         /// How long to wait for it.
         timeout: Millis,
         /// Why it is made.
-        why: Why,
+        reason: AttemptReason,
         /// Why there.
-        choice: Choice,
+        choice: ReplicaChoice,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -512,7 +524,7 @@
         /// The attempt.
         attempt: Attempt,
         /// Why.
-        why: Why,
+        reason: AttemptReason,
     },
     /// Answer a query from the parts that are in.
     Answer {
--- a/src/asking.rs
+++ b/src/asking.rs
@@ -38,7 +38,7 @@
 
 /// The asking of one router. It is asked for whenever it is not on.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
-pub struct Asking {
+pub struct ListRequests {
     /// Whether news come by themselves.
     on: bool,
     /// When to ask next.
@@ -46,7 +46,7 @@
     failures: u32,
 }
 
-impl Asking {
+impl ListRequests {
     /// News came from the service, or (`false`) an old list from elsewhere.
     pub fn told(&mut self, by_service: bool) {
         self.on = by_service;
@@ -79,7 +79,7 @@
 /// anything. A watch on the service of all routers is opened anew by this only if it fell silent: a call that failed
 /// says that the service has too much to do, but silence says nothing, and all that it hides soon counts as told.
 #[derive(Debug, Clone)]
-pub struct Watching(State);
+pub struct WatchSchedule(State);
 
 #[derive(Debug, Clone, Copy)]
 enum State {
@@ -90,15 +90,15 @@
     On,
 }
 
-impl Watching {
+impl WatchSchedule {
     /// A watch on an agent, to begin at once.
     pub fn an_agent() -> Self {
-        Watching(State::Due(0.0))
+        WatchSchedule(State::Due(0.0))
     }
 
     /// A watch on the service, which the router begins.
     pub fn the_service() -> Self {
-        Watching(State::On)
+        WatchSchedule(State::On)
     }
 
     /// The watch on the agent has broken.
--- a/src/bin/ironpaddle-simhost/wire.rs
+++ b/src/bin/ironpaddle-simhost/wire.rs
@@ -245,13 +245,13 @@
     }
 }
 
-pub fn list_news(kind: ListKind, sheet: Option<&Vec<Member>>) -> Option<api::ListNews> {
+pub fn list_news(kind: ListKind, sheet: Option<&Vec<Member>>) -> Option<api::ListUpdate> {
     let lines = || Some(sheet?.iter().map(Member::to_replica).collect());
     Some(match kind {
-        ListKind::Patch => api::ListNews::Changes(lines()?),
-        ListKind::Whole => api::ListNews::Full(lines()?),
-        ListKind::StaleCopy => api::ListNews::Cached(lines()?),
-        ListKind::Broken => api::ListNews::Broken,
+        ListKind::Patch => api::ListUpdate::Changes(lines()?),
+        ListKind::Whole => api::ListUpdate::Full(lines()?),
+        ListKind::StaleCopy => api::ListUpdate::Cached(lines()?),
+        ListKind::Broken => api::ListUpdate::Failed,
     })
 }
 
--- a/src/budget.rs
+++ b/src/budget.rs
@@ -8,9 +8,9 @@
 
 /// What was taken (queries and parts), and sent again (true), within the window, in order of time.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
-pub struct Spent(VecDeque<(Millis, bool)>);
+pub struct BudgetUsage(VecDeque<(Millis, bool)>);
 
-impl Spent {
+impl BudgetUsage {
     /// Something was taken, or sent again.
     pub fn note(&mut self, rule: Option<AttemptBudget>, now: Millis, again: bool) {
         if let Some(rule) = rule {
@@ -27,7 +27,7 @@
             let since = now - rule.window;
             let made = self.0.iter().filter(|(at, again)| *again && *at >= since).count() as f64;
             let taken = self.0.iter().filter(|(at, again)| !again && *at > since).count() as f64;
-            made + 1.0 <= rule.free + rule.ratio * taken
+            made + 1.0 <= rule.base_attempts + rule.ratio * taken
         })
     }
 }
--- a/src/cold.rs
+++ b/src/cold.rs
@@ -7,8 +7,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::api::{ColdRule, LoadReport, Millis};
-use crate::exact::Exact;
+use crate::api::{ColdStartRule, LoadReport, Millis};
+use crate::exact::ExactSum;
 
 /// Utilization under which a report tells too little of what its replica could do.
 const TELLING: f64 = 0.2;
@@ -25,7 +25,7 @@
 /// A router's own part in what the fleet serves, counted over about the time in which a replica gets warm.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Traffic {
+pub struct FleetTraffic {
     /// Parts of this router and of the whole fleet that were worked on, both faded alike, and until when.
     own: f64,
     fleet: f64,
@@ -43,9 +43,9 @@
     seen: Millis,
 }
 
-impl Traffic {
+impl FleetTraffic {
     /// Takes in what replicas reported last. Counts fade over the time in which a replica gets warm at the latest.
-    pub fn told(&mut self, now: Millis, rule: Option<ColdRule>, reports: &Reports) {
+    pub fn told(&mut self, now: Millis, rule: Option<ColdStartRule>, reports: &LoadReports) {
         let Some(rule) = rule else { return };
         let span = rule.warm_within.max(1.0);
         let keep = (-(now - self.at) / span).exp();
@@ -56,11 +56,11 @@
             self.fleet = self.fleet * keep + self.rate * span * (1.0 - keep);
         }
         self.at = now;
-        let Reports { all, tell, served, warm, cold } = reports;
+        let LoadReports { all, tell, served, warm, cold } = reports;
         self.rate = if *tell > 0 { served.value() / 1000.0 * *all as f64 / *tell as f64 } else { 0.0 };
         let busy = warm.busy.value();
         self.capacity = if busy > 0.0 { Some(warm.served.value() / 1000.0 / busy) } else { self.capacity };
-        self.pace = self.capacity.map_or(1.0, |capacity| cold.pace(rule.from, capacity));
+        self.pace = self.capacity.map_or(1.0, |capacity| cold.pace(rule.initial_share, capacity));
     }
 
     /// A query of so many parts came in; each new one counts for one in so many of the mean.
@@ -96,11 +96,11 @@
 
 /// What all replicas reported last, in sums that are kept as it changes.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Reports {
+pub struct LoadReports {
     all: usize,
     /// Of those that tell what they serve: how many, and parts a second.
     tell: usize,
-    served: Exact,
+    served: ExactSum,
     /// Of these, those that are warm and busy enough to tell what they could do, and those that are cold.
     warm: Sums,
     cold: Sums,
@@ -110,30 +110,30 @@
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Sums {
     /// Parts a second, busy shares, and busy shares times the way to be warm that was behind.
-    served: Exact,
-    busy: Exact,
-    grown: Exact,
+    served: ExactSum,
+    busy: ExactSum,
+    grown: ExactSum,
 }
 
-impl Reports {
+impl LoadReports {
     /// A replica's report, with how much of the time in which it gets warm at the latest had passed then, if it ever
     /// started.
     pub fn add(&mut self, load: LoadReport, age: Option<f64>) {
         self.all += 1;
-        self.count(load, age, Exact::add, |tell| tell + 1);
+        self.count(load, age, ExactSum::add, |tell| tell + 1);
     }
 
     /// A report that was added holds no longer.
     pub fn take(&mut self, load: LoadReport, age: Option<f64>) {
         self.all -= 1;
-        self.count(load, age, Exact::take, |tell| tell - 1);
+        self.count(load, age, ExactSum::take, |tell| tell - 1);
     }
 
     fn count(
         &mut self,
         load: LoadReport,
         age: Option<f64>,
-        sum: fn(&mut Exact, f64),
+        sum: fn(&mut ExactSum, f64),
         tell: fn(usize) -> usize,
     ) {
         let Some(served) = load.throughput else { return };
@@ -176,21 +176,21 @@
 /// than the replica bears in its window, however suddenly all have work for it. Only where queries are so seldom that
 /// most would be lost is that time the one in which two come.
 pub fn room(
-    rule: &ColdRule,
+    rule: &ColdStartRule,
     (started, now): (Millis, Millis),
     left: (f64, Millis),
     best: f64,
-    (traffic, routers): (&Traffic, u32),
+    (traffic, routers): (&FleetTraffic, u32),
 ) -> Option<(f64, f64)> {
     let age = (now - started) / rule.warm_within.max(1.0);
     if age >= 1.0 {
         return None;
     }
     let pace = traffic.pace.max(1.0);
-    let warmth = rule.from + (1.0 - rule.from) * (age.max(0.0) * pace).min(1.0);
+    let warmth = rule.initial_share + (1.0 - rule.initial_share) * (age.max(0.0) * pace).min(1.0);
     // Where reports tell what a replica can do, more than that would only wait there. Else the best one-part rate
     // stands for it: it holds call overhead and one core only.
-    let multiple = rule.multiple;
+    let multiple = rule.overload_multiple;
     let (bears, falls) = traffic.capacity.map_or((multiple * best, multiple * best), |capacity| {
         (capacity * (multiple * AIMED).min(1.0), capacity * multiple)
     });
@@ -198,13 +198,14 @@
     let since = now - left.1;
     let saved = left.0 + share * bears * warmth * since;
     // All that came in since counts as much as it would have now, so that more comes in than a share while it warms.
-    let growth = if age * pace < 1.0 { (1.0 - rule.from) * pace / rule.warm_within.max(1.0) } else { 0.0 };
-    let coming = bears * (warmth + growth * since) * rule.window;
+    let growth =
+        if age * pace < 1.0 { (1.0 - rule.initial_share) * pace / rule.warm_within.max(1.0) } else { 0.0 };
+    let coming = bears * (warmth + growth * since) * rule.overload_window;
     // What all may have saved up: the budget of a window less what comes in during one, and two calls of what is put
     // down to chance. The rest of that, twice the budget's root, is left for chance itself, but for one root where a
     // guess at what one core does leaves nothing else. A router that has a query seldom keeps its call for as long as
     // it takes for two to come, or most would be lost: what such have out together is bounded by that.
-    let budget = falls * warmth * rule.window;
+    let budget = falls * warmth * rule.overload_window;
     let saved_by_all = (budget - coming).max(budget.sqrt()) + 2.0;
     let most = share * saved_by_all.max(bears * warmth * traffic.between() * KEPT_FOR);
     if most >= 1.0 || saved < 1.0 {
--- a/src/cold/tests.rs
+++ b/src/cold/tests.rs
@@ -1,15 +1,20 @@
 use super::*;
 use crate::hash::draw;
 
-const RULE: ColdRule = ColdRule { from: 0.4, warm_within: 10_000.0, multiple: 2.0, window: 1000.0 };
+const RULE: ColdStartRule = ColdStartRule {
+    initial_share: 0.4,
+    warm_within: 10_000.0,
+    overload_multiple: 2.0,
+    overload_window: 1000.0,
+};
 const ROUTERS: u32 = 100;
 /// Parts that all routers together would have for the cold replica, a millisecond.
 const MEETS: f64 = 0.15;
 /// What a warm replica does, in parts a millisecond.
 const CAPACITY: f64 = 0.1;
 
-fn reports(all: impl IntoIterator<Item = (LoadReport, Option<f64>)>) -> Reports {
-    let mut reports = Reports::default();
+fn reports(all: impl IntoIterator<Item = (LoadReport, Option<f64>)>) -> LoadReports {
+    let mut reports = LoadReports::default();
     all.into_iter().for_each(|(load, age)| reports.add(load, age));
     reports
 }
@@ -23,7 +28,7 @@
 fn sent(tell: bool) -> Vec<f64> {
     let traffic = |router: u32| if router.is_multiple_of(10) { 5.5 } else { 0.5 } / f64::from(ROUTERS);
     let mut chance = 7;
-    let mut routers = vec![(Traffic::default(), (0.0, 10_000.0)); ROUTERS as usize];
+    let mut routers = vec![(FleetTraffic::default(), (0.0, 10_000.0)); ROUTERS as usize];
     routers.iter_mut().for_each(|(_, left)| left.0 = draw(&mut chance));
     let mut sent = vec![0.0; 100];
     for now in 0..20_000 {
@@ -63,7 +68,10 @@
     assert!(all > 1.2 * sent(false).iter().sum::<f64>(), "even shares are used as well");
     for (at, second) in by_traffic.windows(10).enumerate() {
         let capacity = CAPACITY * 1000.0 * (0.4 + 0.6 * at as f64 / 100.0);
-        assert!(second.iter().sum::<f64>() < RULE.multiple * capacity, "second from {at}: {second:?}");
+        assert!(
+            second.iter().sum::<f64>() < RULE.overload_multiple * capacity,
+            "second from {at}: {second:?}"
+        );
     }
 }
 
@@ -71,7 +79,7 @@
 fn pace(replicas: usize, capacity: f64) -> f64 {
     let warm = (0..50).map(|_| (report(capacity * 0.8, 0.8), None));
     let cold = (0..replicas).map(|_| (report(capacity * 0.3, 0.3), Some(0.5)));
-    let mut known = Traffic::default();
+    let mut known = FleetTraffic::default();
     known.told(0.0, Some(RULE), &reports(warm.chain(cold)));
     known.pace
 }
@@ -88,10 +96,10 @@
 fn reports_of_replicas_that_have_just_started_leave_a_pace_that_can_be_written_down() {
     let warm = (0..50).map(|_| (report(80.0, 0.8), None));
     let cold = (0..40).map(|_| (report(80.0, 0.8), Some(0.0)));
-    let mut known = Traffic::default();
+    let mut known = FleetTraffic::default();
     known.told(0.0, Some(RULE), &reports(warm.chain(cold)));
     assert!(known.pace.is_finite(), "{}", known.pace);
-    let read: Traffic = serde_json::from_str(&serde_json::to_string(&known).unwrap()).unwrap();
+    let read: FleetTraffic = serde_json::from_str(&serde_json::to_string(&known).unwrap()).unwrap();
     assert_eq!(read.pace, known.pace);
 }
 
@@ -99,14 +107,14 @@
 fn reports_of_replicas_that_serve_nothing_tell_of_no_pace() {
     let warm = (0..50).map(|_| (report(0.0, 0.8), None));
     let cold = (0..40).map(|_| (report(0.0, 0.0), Some(0.5)));
-    let mut known = Traffic::default();
+    let mut known = FleetTraffic::default();
     known.told(0.0, Some(RULE), &reports(warm.chain(cold)));
     assert_eq!(known.pace, 1.0);
 }
 
 #[test]
 fn a_router_that_has_just_started_takes_an_even_share_and_the_last_one_left_takes_all() {
-    let mut known = Traffic::default();
+    let mut known = FleetTraffic::default();
     known.asked(20, 0.2);
     assert_eq!(known.share(100.0), 0.01);
     for now in 0..20 {
@@ -129,7 +137,8 @@
 /// the same traffic, of so many parts a millisecond together, and warm replicas do so many; reports tell of it or do not.
 fn at_once(routers: u32, idle: u32, tell: bool, (traffic, capacity): (f64, f64)) -> f64 {
     let mut chance = 7;
-    let mut all: Vec<_> = (0..routers).map(|_| (Traffic::default(), (draw(&mut chance), 10_000.0))).collect();
+    let mut all: Vec<_> =
+        (0..routers).map(|_| (FleetTraffic::default(), (draw(&mut chance), 10_000.0))).collect();
     let from = 10_000 + idle;
     let mut sent = vec![0.0; 3000];
     for now in 0..from + 3000 {
@@ -157,11 +166,12 @@
         }
     }
     let beyond = |(at, window): (usize, &[f64])| {
-        let warmth = RULE.from + (1.0 - RULE.from) * (f64::from(idle) + at as f64) / RULE.warm_within;
-        let bears = RULE.multiple * capacity * RULE.window * warmth;
+        let warmth = RULE.initial_share
+            + (1.0 - RULE.initial_share) * (f64::from(idle) + at as f64) / RULE.warm_within;
+        let bears = RULE.overload_multiple * capacity * RULE.overload_window * warmth;
         (window.iter().sum::<f64>() - bears) / (2.0 * bears.sqrt() + 2.0)
     };
-    sent.windows(RULE.window as usize).enumerate().map(beyond).fold(f64::MIN, f64::max)
+    sent.windows(RULE.overload_window as usize).enumerate().map(beyond).fold(f64::MIN, f64::max)
 }
 
 /// Beyond what the replica bears in a window only so much is put down to chance, however many routers there are.
@@ -199,7 +209,7 @@
 #[test]
 fn thirty_routers_use_a_cold_replica() {
     let mut chance = 7;
-    let mut all: Vec<_> = (0..30).map(|_| (Traffic::default(), (draw(&mut chance), 10_000.0))).collect();
+    let mut all: Vec<_> = (0..30).map(|_| (FleetTraffic::default(), (draw(&mut chance), 10_000.0))).collect();
     let mut sent = 0.0;
     for now in 0..20_000 {
         let at = f64::from(now);
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -2,7 +2,7 @@
 
 use super::ledger::{Ledger, Query};
 use super::{Core, Order, QueryNo, Verdict};
-use crate::api::{Cause, Event, Millis, QueryId, Repeat};
+use crate::api::{Cause, Event, Millis, QueryId, RepeatPolicy};
 use crate::hash::draw;
 use ironpaddle_trace::record::How;
 
@@ -50,7 +50,7 @@
 
     /// A failure; only clients of what is safe to repeat are asked back.
     fn failed(&mut self, now: Millis, class: usize, cause: Cause) -> Verdict {
-        let safe = self.classes.at(class).class.repeat == Repeat::Safe;
+        let safe = self.classes.at(class).class.repeat == RepeatPolicy::Safe;
         Verdict::Failed { retry_after: if safe { self.advice(now, class) } else { 0.0 }, cause }
     }
 
@@ -63,7 +63,7 @@
     fn close(&mut self, now: Millis, no: QueryNo, verdict: Verdict) {
         let Some(query) = self.ledger.queries.get(&no) else { return };
         let class = query.class;
-        let unsafe_class = self.classes.at(class).class.repeat == Repeat::Unsafe;
+        let unsafe_class = self.classes.at(class).class.repeat == RepeatPolicy::Unsafe;
         // A refusal says that trying again is harmless: never where an unsafe part may have run.
         let verdict = match verdict {
             Verdict::Refused { cause, .. } if unsafe_class && self.ledger.may_have_run(query) => {
@@ -126,7 +126,7 @@
             let kind = &self.classes.at(class).class;
             let (pieces, share) = self.ledger.pieces(query);
             let enough = !pieces.is_empty() && share + SHARE_SLACK >= kind.least_share;
-            let safe = kind.repeat == Repeat::Safe || !self.ledger.may_have_run(query);
+            let safe = kind.repeat == RepeatPolicy::Safe || !self.ledger.may_have_run(query);
             let verdict = if enough && query.partial {
                 Verdict::Served { whole: false, pieces, parts: query.parts.len() }
             } else if now >= self.ends && safe {
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -46,7 +46,7 @@
     /// There may be so many connections from now on.
     fn room(&self, connections: usize);
     /// Takes up other settings.
-    fn retune(&self, info: &Info);
+    fn apply_settings(&self, info: &Info);
 }
 
 /// A directory of run stores.
@@ -259,10 +259,10 @@
     ///
     /// # Errors
     /// Says which setting contradicts itself; then nothing is changed.
-    pub fn retune(&self, info: &Info) -> Result<(), String> {
-        self.core.borrow_mut().retune(info)?;
+    pub fn apply_settings(&self, info: &Info) -> Result<(), String> {
+        self.core.borrow_mut().apply_settings(info)?;
         if let Some(stores) = self.stores.get() {
-            stores.retune(info);
+            stores.apply_settings(info);
         }
         self.wake();
         Ok(())
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -6,7 +6,7 @@
 
 use super::{CallNo, Piece, QueryNo};
 use crate::api::{Attempt, Millis, Outcome, PartId, QueryId, Replica, ReplicaId};
-use crate::exact::Time;
+use crate::exact::OrderedTime;
 
 /// A query that is owed a final answer.
 #[derive(Debug)]
@@ -124,15 +124,15 @@
 
 /// Queries in the order of their deadlines.
 #[derive(Debug, Default)]
-pub(super) struct Deadlines(BTreeSet<(Time, QueryNo)>);
+pub(super) struct Deadlines(BTreeSet<(OrderedTime, QueryNo)>);
 
 impl Deadlines {
     pub(super) fn insert(&mut self, no: QueryNo, deadline: Millis) {
-        self.0.insert((Time(deadline), no));
+        self.0.insert((OrderedTime(deadline), no));
     }
 
     pub(super) fn remove(&mut self, no: QueryNo, deadline: Millis) {
-        self.0.remove(&(Time(deadline), no));
+        self.0.remove(&(OrderedTime(deadline), no));
     }
 
     /// The queries whose deadline has come, in the order in which they were taken.
@@ -159,7 +159,7 @@
     /// No query's deadline is later than this from now on.
     pub(super) fn end_by(&mut self, at: Millis) {
         self.queries.values_mut().for_each(|query| query.deadline = query.deadline.min(at));
-        let deadlines = self.queries.iter().map(|(no, query)| (Time(query.deadline), *no));
+        let deadlines = self.queries.iter().map(|(no, query)| (OrderedTime(query.deadline), *no));
         self.deadlines = Deadlines(deadlines.collect());
     }
 
--- a/src/core/legacy.rs
+++ b/src/core/legacy.rs
@@ -5,7 +5,7 @@
 use super::hand::Hand;
 use super::Core;
 use crate::settings::Info;
-use crate::starts::Starts;
+use crate::starts::StartTimes;
 
 /// What the rules see as one aggregator's, beside the list of run stores.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -14,7 +14,7 @@
     pub hand: Hand,
     /// When run stores started, by the clock that both share; a process of an older version does not say.
     #[serde(default)]
-    starts: Starts,
+    starts: StartTimes,
     /// What the router has learned, by the places of classes.
     learned: String,
     /// The classes by their places.
@@ -27,7 +27,7 @@
         Legacy {
             hand: self.hand.clone(),
             starts: self.starts.clone(),
-            learned: self.router.learned(),
+            learned: self.router.export_learned(),
             classes: self.classes.order(),
         }
     }
@@ -40,8 +40,8 @@
         self.hand = legacy.hand;
         self.starts = legacy.starts;
         self.classes.in_order(&legacy.classes, info);
-        self.retune(info)?;
-        Ok(self.router.recall(&legacy.learned))
+        self.apply_settings(info)?;
+        Ok(self.router.import_learned(&legacy.learned))
     }
 
     /// Queries and parts that are held.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -25,13 +25,13 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use crate::advice::Advice;
-use crate::api::{Cause, Discovery, Event, Millis, Outcome, Repeat, ReplicaId, ReplicaState, Settings};
-use crate::asking::Watching;
+use crate::advice::RetryAdvice;
+use crate::api::{Cause, Discovery, Event, Millis, Outcome, RepeatPolicy, ReplicaId, ReplicaState, Settings};
+use crate::asking::WatchSchedule;
 use crate::counters::{Counters, Gauges};
 use crate::hash::mix;
 use crate::settings::Info;
-use crate::starts::Starts;
+use crate::starts::StartTimes;
 use crate::trace::tape::{InForce, Tape};
 use crate::Router;
 use classes::Classes;
@@ -287,18 +287,18 @@
     ledger: Ledger,
     hand: Hand,
     /// When run stores started, and the time now by the clock that they are placed on, once it was told.
-    starts: Starts,
+    starts: StartTimes,
     clock: Option<Millis>,
     /// When it was told for the first time.
     began: Option<Millis>,
     /// Whether the directory has told a list.
     listed: bool,
     /// The watch on the agent, where lists are pushed, and on the service, should that fall silent.
-    agent: Watching,
-    service: Watching,
+    agent: WatchSchedule,
+    service: WatchSchedule,
     chance: u64,
     /// How much this core has refused by itself.
-    advice: Advice,
+    advice: RetryAdvice,
     /// Events that wait for the next step.
     inbox: Vec<Event>,
     orders: VecDeque<Order>,
@@ -328,20 +328,20 @@
             probe_timeout: 0.0,
             ledger: Ledger::default(),
             hand: Hand::default(),
-            starts: Starts::default(),
+            starts: StartTimes::default(),
             clock: None,
             began: None,
             listed: false,
-            agent: Watching::an_agent(),
-            service: Watching::the_service(),
+            agent: WatchSchedule::an_agent(),
+            service: WatchSchedule::the_service(),
             chance: mix(seed),
-            advice: Advice::default(),
+            advice: RetryAdvice::default(),
             inbox: Vec::new(),
             orders: VecDeque::new(),
             wake: None,
             counters: Counters::default(),
         };
-        core.retune(info)?;
+        core.apply_settings(info)?;
         Ok(core)
     }
 
@@ -349,17 +349,17 @@
     ///
     /// # Errors
     /// Says which setting contradicts itself; then nothing is changed.
-    pub fn retune(&mut self, info: &Info) -> Result<(), String> {
+    pub fn apply_settings(&mut self, info: &Info) -> Result<(), String> {
         let mut settings = info.settings();
         settings.check()?;
         let queries = &self.ledger.queries;
         self.classes.take(info, |place| queries.values().any(|query| query.class == place));
         settings.classes = self.classes.for_router();
-        self.router.retune(settings.clone())?;
+        self.router.apply_settings(settings.clone())?;
         for name in self.classes.names() {
             self.counters.classes.entry(name.clone()).or_default();
         }
-        if self.settings.parallel_tries && !settings.parallel_tries {
+        if self.settings.parallel_attempts && !settings.parallel_attempts {
             self.ledger.forbid_copies();
         }
         self.tenants = info.names().tenants.into_iter().map(|(name, at)| (name.into(), at)).collect();
@@ -404,7 +404,7 @@
     /// Whether queries of a class carry a key, without which no part of theirs may reach a run store.
     pub fn is_keyed(&self, class: &str) -> bool {
         let at = self.classes.named(class);
-        at.is_some_and(|at| matches!(self.classes.at(at).class.repeat, Repeat::Keyed { .. }))
+        at.is_some_and(|at| matches!(self.classes.at(at).class.repeat, RepeatPolicy::Keyed { .. }))
     }
 
     /// How many shards there are, if that is known.
@@ -432,7 +432,7 @@
         self.wake.into_iter().chain(self.watching().due()).reduce(f64::min)
     }
 
-    fn watching(&self) -> &Watching {
+    fn watching(&self) -> &WatchSchedule {
         if self.is_pushed() {
             &self.agent
         } else {
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -4,9 +4,9 @@
 
 use super::ledger::Place;
 use super::{CallNo, Core, Listed, News, Order, Verdict};
-use crate::api::{Action, Event, ListNews, Millis, Replica, ReplicaState};
+use crate::api::{Action, Event, ListUpdate, Millis, Replica, ReplicaState};
 use crate::hash::draw;
-use crate::starts::Told;
+use crate::starts::StartSource;
 
 /// An answer of the directory that comes sooner than this after the start tells what it had before.
 const PROMPT: Millis = 200.0;
@@ -105,10 +105,10 @@
         let hand = &self.hand;
         let replicas = |lines: Vec<Listed>| lines.iter().map(|line| hand.over(&line.replica)).collect();
         self.inbox.push(Event::List(match news {
-            News::Cached(lines) => ListNews::Cached(replicas(lines)),
-            News::Full(lines) => ListNews::Full(replicas(lines)),
-            News::Changes(lines) => ListNews::Changes(replicas(lines)),
-            News::Broken | News::Silent => ListNews::Broken,
+            News::Cached(lines) => ListUpdate::Cached(replicas(lines)),
+            News::Full(lines) => ListUpdate::Full(replicas(lines)),
+            News::Changes(lines) => ListUpdate::Changes(replicas(lines)),
+            News::Broken | News::Silent => ListUpdate::Failed,
         }));
     }
 
@@ -127,10 +127,14 @@
     fn place_starts(&mut self, news: &mut News) {
         let whole = matches!(news, News::Full(_));
         let (lines, told) = match news {
-            News::Cached(lines) => (lines, Told::AtFirst),
+            News::Cached(lines) => (lines, StartSource::AtFirst),
             News::Full(lines) | News::Changes(lines) => {
                 let first = !std::mem::replace(&mut self.listed, true);
-                let told = if first && (whole || self.is_prompt()) { Told::AtFirst } else { Told::Since };
+                let told = if first && (whole || self.is_prompt()) {
+                    StartSource::AtFirst
+                } else {
+                    StartSource::Since
+                };
                 (lines, told)
             }
             News::Broken | News::Silent => return,
--- a/src/core/send.rs
+++ b/src/core/send.rs
@@ -11,7 +11,7 @@
         let attempt = Attempt(record.attempts);
         record.attempts += 1;
         // Guards the rule on second copies, whatever was asked for.
-        let copy = (record.out > 0 || record.unproved) && !self.settings.parallel_tries;
+        let copy = (record.out > 0 || record.unproved) && !self.settings.parallel_attempts;
         record.out += 1;
         let (of, shard, ran) = (record.query, record.shard, record.may_have_run);
         let no = CallNo(self.ledger.number());
@@ -69,7 +69,7 @@
         let Some(query) = self.ledger.queries.get(&part.query) else { return false };
         let ran = part.may_have_run.map_or(out.sent, |at| at.min(out.sent));
         let repeat = self.classes.at(query.class).class.repeat;
-        !self.settings.parallel_tries && now < query.deadline && repeat.allows(Some(ran), now)
+        !self.settings.parallel_attempts && now < query.deadline && repeat.allows(Some(ran), now)
     }
 
     /// An attempt ends for the router at once, and the transport forgets it.
--- a/src/decide/state.rs
+++ b/src/decide/state.rs
@@ -3,23 +3,24 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::*;
-use crate::{advice::Advice, quota::Quotas, repeats::Repeats};
-use crate::{budget::Spent, cold, faded::Faded, idle::Idle, pace::Pace};
+use crate::{advice::RetryAdvice, quota::Quotas, repeats::RetryBudget};
+use crate::{budget::BudgetUsage, cold, decaying_mean::DecayingMean, idle::IdleDrops, pace::ServiceRate};
 
 /// A replica's name, hashed: unlike text it is compared in one go.
-pub(super) type ServerNo = u64;
+pub(super) type ReplicaNo = u64;
 
 /// A part sent and not yet ended, or ended after its query.
 #[derive(Default, Serialize, Deserialize)]
-pub(super) struct Flight {
-    pub(super) server: ServerNo,
+pub(super) struct InFlight {
+    #[serde(rename = "server")]
+    pub(super) replica: ReplicaNo,
     pub(super) class: usize,
     pub(super) sent: Millis,
     pub(super) cost: f64,
     pub(super) load_then: f64,
     pub(super) ahead: f64,
     pub(super) idle: Option<Millis>,
-    pub(super) cancelled: Option<Why>,
+    pub(super) cancelled: Option<AttemptReason>,
     /// Parts sent there after it that were answered before it.
     pub(super) overtaken: u32,
 }
@@ -33,11 +34,12 @@
     pub(super) key: u64,
     pub(super) done: bool,
     pub(super) left_out: bool,
-    pub(super) why: Why,
+    #[serde(rename = "why")]
+    pub(super) reason: AttemptReason,
     pub(super) attempts: u32,
     /// The attempt out, and where: never two at once, as a copy is load.
-    pub(super) out: Option<(Attempt, ServerNo)>,
-    pub(super) tried: Vec<ServerNo>,
+    pub(super) out: Option<(Attempt, ReplicaNo)>,
+    pub(super) tried: Vec<ReplicaNo>,
     /// The first send that may have run; `None` while all are proved not to have.
     pub(super) may_have_run: Option<Millis>,
     pub(super) last_sent: Millis,
@@ -55,33 +57,34 @@
     pub(super) worth: f64,
     pub(super) share: f64,
     /// Replicas at which parts were lost to resets, once each, and whether on connections surely open.
-    pub(super) resets: Vec<(ServerNo, bool)>,
+    pub(super) resets: Vec<(ReplicaNo, bool)>,
     /// When enough was in for an answer: waiting for the rest until the aim is no sign of pressure.
     pub(super) enough_at: Option<Millis>,
 }
 
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
-pub(super) struct Server {
-    pub(super) number: ServerNo,
+pub(super) struct ReplicaStats {
+    pub(super) number: ReplicaNo,
     pub(super) line: Replica,
     pub(super) dr: Option<f64>,
     pub(super) heard: Millis,
     /// Cost sent in the interval of that number, with what was still out at its turn.
     pub(super) sent: (i64, f64),
     pub(super) out: f64,
-    pub(super) flights: u32,
+    #[serde(rename = "flights")]
+    pub(super) in_flight: u32,
     /// Since when it has had parts of this router.
     pub(super) owes: Millis,
     pub(super) load: LoadReport,
     pub(super) loaded: Millis,
     pub(super) answered: Millis,
     /// Share of its last parts that failed, by class, and that it lost, of all classes.
-    pub(super) failed: Vec<Faded>,
-    pub(super) lost: Faded,
+    pub(super) failed: Vec<DecayingMean>,
+    pub(super) lost: DecayingMean,
     pub(super) parked: Option<Millis>,
     pub(super) probe_at: Millis,
-    pub(super) pace: Pace,
+    pub(super) pace: ServiceRate,
     /// Room for work while it is cold, and when that was reckoned.
     pub(super) cold: (f64, Millis),
     pub(super) call: (Millis, u32),
@@ -93,7 +96,7 @@
 
 #[derive(Default, Serialize, Deserialize)]
 #[serde(default)]
-pub(super) struct Measures {
+pub(super) struct FleetMeasures {
     pub(super) hint: Option<f64>,
     /// Usual latency of a part, and the work of this router that was out when such parts were sent.
     pub(super) usual: Option<f64>,
@@ -102,18 +105,18 @@
     /// What a sound replica does with little else to do: the guide to what a cold one can carry.
     pub(super) best: Option<f64>,
     /// By class: how long its queries take, in usual latencies of a part, and when one last told.
-    pub(super) spread: Vec<Faded>,
+    pub(super) spread: Vec<DecayingMean>,
     pub(super) density: Option<f64>,
     pub(super) quota: Quotas,
-    pub(super) idle: Idle,
-    pub(super) traffic: cold::Traffic,
-    pub(super) further: Repeats,
-    pub(super) advice: Advice,
-    pub(super) budget: Spent,
+    pub(super) idle: IdleDrops,
+    pub(super) traffic: cold::FleetTraffic,
+    pub(super) further: RetryBudget,
+    pub(super) advice: RetryAdvice,
+    pub(super) budget: BudgetUsage,
 }
 
 /// A part that is out: its place, its attempt and replica, when it was sent and how often.
-pub(super) type Out = (usize, PartId, (Attempt, ServerNo), Millis, u32);
+pub(super) type Out = (usize, PartId, (Attempt, ReplicaNo), Millis, u32);
 
 impl Query {
     /// Parts out since some time.
@@ -125,7 +128,7 @@
     }
 }
 
-impl Server {
+impl ReplicaStats {
     /// Cost sent in an interval. Work still out at its turn stays counted: it has yet to be done.
     pub(super) fn sent_in(&self, interval: i64) -> f64 {
         if self.sent.0 == interval {
--- a/src/exact.rs
+++ b/src/exact.rs
@@ -11,9 +11,9 @@
 
 /// A sum of figures, in whole units.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Exact(i128);
+pub struct ExactSum(i128);
 
-impl Exact {
+impl ExactSum {
     fn units(term: f64) -> i128 {
         (term.clamp(-MOST, MOST) * UNIT) as i128
     }
@@ -36,27 +36,27 @@
 
 /// A time in an order of times.
 #[derive(Debug, Clone, Copy)]
-pub struct Time(pub Millis);
+pub struct OrderedTime(pub Millis);
 
-impl Ord for Time {
+impl Ord for OrderedTime {
     fn cmp(&self, other: &Self) -> Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-impl PartialOrd for Time {
+impl PartialOrd for OrderedTime {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Time {
+impl PartialEq for OrderedTime {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Time {}
+impl Eq for OrderedTime {}
 
 #[cfg(test)]
 mod tests;
--- a/src/exact/tests.rs
+++ b/src/exact/tests.rs
@@ -6,9 +6,9 @@
     let mut chance = 3;
     let terms: Vec<f64> =
         (0..1000).map(|_| (draw(&mut chance) - 0.5) * 10f64.powf(draw(&mut chance) * 12.0)).collect();
-    let mut there = Exact::default();
+    let mut there = ExactSum::default();
     terms.iter().for_each(|term| there.add(*term));
-    let mut back = Exact::default();
+    let mut back = ExactSum::default();
     for term in terms.iter().rev() {
         [f64::INFINITY, f64::NAN, 1e300].iter().for_each(|odd| back.add(*odd));
         back.add(*term);
--- a/src/idle.rs
+++ b/src/idle.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
-use crate::faded::Faded;
+use crate::decaying_mean::DecayingMean;
 
 /// Share of sends on idle connections lost from which these are closed, at this share of a fatal idleness.
 const DROPS: f64 = 0.1;
@@ -13,13 +13,13 @@
 
 /// What is known of idle connections.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
-pub struct Idle {
-    drops: Faded,
+pub struct IdleDrops {
+    drops: DecayingMean,
     /// The idleness to allow, where such are dropped.
     pub limit: Millis,
 }
 
-impl Idle {
+impl IdleDrops {
     /// Whether idle connections are dropped. Half of what tells so fades in `half`.
     pub fn drops(&self, now: Millis, half: Millis) -> bool {
         self.drops.at(now, half) > DROPS
--- a/src/idle/tests.rs
+++ b/src/idle/tests.rs
@@ -1,8 +1,8 @@
-use super::Idle;
+use super::IdleDrops;
 
 #[test]
 fn two_losses_tell_of_drops_and_the_shortest_fatal_idleness_counts() {
-    let mut idle = Idle::default();
+    let mut idle = IdleDrops::default();
     idle.note(800.0, true, 0.0, 1e6);
     assert!(!idle.drops(0.0, 1e6), "one loss may have other causes");
     idle.note(600.0, true, 1.0, 1e6);
--- a/src/lag.rs
+++ b/src/lag.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
-use crate::faded::Faded;
+use crate::decaying_mean::DecayingMean;
 
 /// Lateness of a wake, of the shortest aim, from which this router itself has stood still: no usual lag.
 const STALL_OF_AIM: f64 = 0.1;
@@ -12,14 +12,14 @@
 
 /// The lag of one router.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
-pub struct Lag {
+pub struct StepLag {
     /// How late its wakes have lately been at most.
-    worst: Faded,
+    worst: DecayingMean,
     /// When it last came back from a stall of its own.
     pub back: Millis,
 }
 
-impl Lag {
+impl StepLag {
     /// A step is made, with a wake due at some time, if one is out. Half of a lag fades in `half`.
     pub fn note(&mut self, due: Option<Millis>, now: Millis, aim: Millis, half: Millis) {
         let late = due.map_or(0.0, |due| (now - due).max(0.0));
@@ -27,7 +27,7 @@
         if late > aim * STALL_OF_AIM {
             self.back = now;
         }
-        self.worst = Faded(late.max(self.worst.at(now, half)), now);
+        self.worst = DecayingMean(late.max(self.worst.at(now, half)), now);
     }
 
     /// How much earlier than its aim an answer is to be given.
--- a/src/lag/tests.rs
+++ b/src/lag/tests.rs
@@ -1,8 +1,8 @@
-use super::Lag;
+use super::StepLag;
 
 #[test]
 fn an_answer_leaves_earlier_by_the_lags_of_its_router_and_no_longer_than_they_last() {
-    let mut lag = Lag::default();
+    let mut lag = StepLag::default();
     lag.note(Some(100.0), 100.0, 500.0, 2000.0);
     assert_eq!(lag.of_an_answer(100.0, 500.0, 2000.0), 0.0);
     lag.note(Some(200.0), 206.0, 500.0, 2000.0);
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_stall_is_told_from_a_lag_and_costs_no_more_than_a_tenth_of_the_aim() {
-    let mut lag = Lag::default();
+    let mut lag = StepLag::default();
     lag.note(Some(100.0), 400.0, 500.0, 2000.0);
     assert_eq!(lag.back, 400.0);
     assert_eq!(lag.of_an_answer(400.0, 500.0, 2000.0), 50.0);
--- a/src/pace.rs
+++ b/src/pace.rs
@@ -14,9 +14,9 @@
 
 /// The pace of one replica, in cost units a millisecond; none before any sample.
 #[derive(Debug, Default, Clone, Copy, Serialize, Deserialize)]
-pub struct Pace(Option<f64>);
+pub struct ServiceRate(Option<f64>);
 
-impl Pace {
+impl ServiceRate {
     /// A part was completed after some time, or called back, with so much out at its start, itself included: by Little's
     /// law that was worked off at what was out over the time. A part called back can only tell that it was no faster.
     pub fn note(&mut self, ahead: f64, took: Millis, completed: bool) {
--- a/src/pace/tests.rs
+++ b/src/pace/tests.rs
@@ -5,7 +5,7 @@
 /// it is laden; what has not come after 250 ms is called back and worked on all the same. Says how many come in time
 /// within 20 s.
 fn in_time(each: u32, bounded: bool) -> u32 {
-    let mut paces = [Pace::default(); 2];
+    let mut paces = [ServiceRate::default(); 2];
     let mut out = [0.0; 2];
     let mut queue: VecDeque<(usize, u32, f64)> = VecDeque::new();
     let (mut done, mut free) = (0, 0);
@@ -50,12 +50,12 @@
 
 #[test]
 fn a_part_called_back_never_makes_a_replica_look_faster() {
-    let mut pace = Pace::default();
+    let mut pace = ServiceRate::default();
     pace.note(1.0, 10.0, true);
     pace.note(50.0, 100.0, false);
     assert!(pace.is_laden(10.0, 100.0) && !pace.is_laden(9.9, 100.0));
     pace.note(2.0, 100.0, false);
     assert!(pace.is_laden(9.9, 100.0));
     assert!(!pace.is_laden(0.5, 1.0), "one may always be out");
-    assert!(!Pace::default().is_laden(99.0, 1.0), "nothing is known");
+    assert!(!ServiceRate::default().is_laden(99.0, 1.0), "nothing is known");
 }
--- a/src/due.rs
+++ b/src/query_index.rs
@@ -6,12 +6,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{Attempt, Millis, PartId};
-use crate::exact::Time;
+use crate::exact::OrderedTime;
 
 /// A query's number, and the place of a part in it.
 pub type Place = (u64, usize);
 /// Attempts at one replica, in order of their sends.
-type Sends = BTreeSet<(Time, PartId, Attempt)>;
+type Sends = BTreeSet<(OrderedTime, PartId, Attempt)>;
 
 /// How much sooner than due a query may be looked at, for what sums of times lose.
 const SLACK: Millis = 1.0;
@@ -19,7 +19,7 @@
 /// When a query is due by time: at the end of its aim or of its client's patience, whichever comes first, and at the
 /// latter.
 #[derive(Debug, Clone, Copy)]
-pub struct Ends {
+pub struct QueryTimes {
     /// The query.
     pub number: u64,
     /// The first of both.
@@ -31,17 +31,17 @@
 /// The queries of one class.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Class {
-    aims: BTreeSet<(Time, u64)>,
-    deadlines: BTreeSet<(Time, u64)>,
+    aims: BTreeSet<(OrderedTime, u64)>,
+    deadlines: BTreeSet<(OrderedTime, u64)>,
     /// Those of `aims` that have enough for an answer.
-    enough: BTreeSet<(Time, u64)>,
+    enough: BTreeSet<(OrderedTime, u64)>,
     /// Parts out, by when they were sent, but for those whose replica is known to have answered since.
-    out: BTreeSet<(Time, Place)>,
+    out: BTreeSet<(OrderedTime, Place)>,
 }
 
 /// All queries.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Due {
+pub struct QueryIndex {
     classes: Vec<Class>,
     /// Those of which something has changed.
     touched: BTreeSet<u64>,
@@ -54,35 +54,35 @@
 }
 
 /// Numbers of queries up to some time.
-fn until(set: &BTreeSet<(Time, u64)>, at: Millis) -> impl Iterator<Item = u64> + '_ {
+fn until(set: &BTreeSet<(OrderedTime, u64)>, at: Millis) -> impl Iterator<Item = u64> + '_ {
     set.iter().take_while(move |(time, _)| time.0 <= at + SLACK).map(|(_, number)| *number)
 }
 
-impl Due {
+impl QueryIndex {
     /// None yet, of so many classes.
     pub fn new(classes: usize) -> Self {
-        Due { classes: vec![Class::default(); classes], ..Due::default() }
+        QueryIndex { classes: vec![Class::default(); classes], ..QueryIndex::default() }
     }
 
     /// A query has come.
-    pub fn comes(&mut self, class: usize, ends: Ends) {
-        self.classes[class].aims.insert((Time(ends.aim), ends.number));
-        self.classes[class].deadlines.insert((Time(ends.deadline), ends.number));
+    pub fn comes(&mut self, class: usize, ends: QueryTimes) {
+        self.classes[class].aims.insert((OrderedTime(ends.aim), ends.number));
+        self.classes[class].deadlines.insert((OrderedTime(ends.deadline), ends.number));
         self.touched.insert(ends.number);
     }
 
     /// A query is over.
-    pub fn goes(&mut self, class: usize, ends: Ends) {
-        self.classes[class].aims.remove(&(Time(ends.aim), ends.number));
-        self.classes[class].deadlines.remove(&(Time(ends.deadline), ends.number));
+    pub fn goes(&mut self, class: usize, ends: QueryTimes) {
+        self.classes[class].aims.remove(&(OrderedTime(ends.aim), ends.number));
+        self.classes[class].deadlines.remove(&(OrderedTime(ends.deadline), ends.number));
         self.enough(class, ends, false);
         self.resets.remove(&ends.number);
         self.touched.remove(&ends.number);
     }
 
     /// Whether it has enough for an answer.
-    pub fn enough(&mut self, class: usize, ends: Ends, enough: bool) {
-        let key = (Time(ends.aim), ends.number);
+    pub fn enough(&mut self, class: usize, ends: QueryTimes, enough: bool) {
+        let key = (OrderedTime(ends.aim), ends.number);
         if enough {
             self.classes[class].enough.insert(key);
         } else {
@@ -102,42 +102,42 @@
 
     /// A part is out.
     pub fn sent(&mut self, class: usize, sent: Millis, place: Place) {
-        self.classes[class].out.insert((Time(sent), place));
+        self.classes[class].out.insert((OrderedTime(sent), place));
     }
 
     /// A part is no longer out, or its replica has answered since it was sent.
     pub fn answered(&mut self, class: usize, sent: Millis, place: Place) {
-        self.classes[class].out.remove(&(Time(sent), place));
+        self.classes[class].out.remove(&(OrderedTime(sent), place));
     }
 
     /// Whether an attempt that is out counts as lost, or may be yet.
     pub fn follow(
         &mut self,
-        server: u64,
+        replica: u64,
         sent: Millis,
         (part, attempt): (PartId, Attempt),
         lost: Option<Place>,
     ) {
         match lost {
             Some(place) => self.lost.extend([place]),
-            None => self.sends.entry(server).or_default().extend([(Time(sent), part, attempt)]),
+            None => self.sends.entry(replica).or_default().extend([(OrderedTime(sent), part, attempt)]),
         }
     }
 
     /// An attempt has ended, or was called back.
-    pub fn unfollow(&mut self, server: u64, sent: Millis, (part, attempt): (PartId, Attempt), place: Place) {
+    pub fn unfollow(&mut self, replica: u64, sent: Millis, (part, attempt): (PartId, Attempt), place: Place) {
         self.lost.remove(&place);
-        if let Some(sends) = self.sends.get_mut(&server) {
-            sends.remove(&(Time(sent), part, attempt));
+        if let Some(sends) = self.sends.get_mut(&replica) {
+            sends.remove(&(OrderedTime(sent), part, attempt));
             if sends.is_empty() {
-                self.sends.remove(&server);
+                self.sends.remove(&replica);
             }
         }
     }
 
     /// Attempts at a replica that were sent before some time and are not yet lost.
-    pub fn before(&self, server: u64, sent: Millis) -> Vec<(PartId, Attempt)> {
-        let sends = self.sends.get(&server).into_iter().flatten();
+    pub fn before(&self, replica: u64, sent: Millis) -> Vec<(PartId, Attempt)> {
+        let sends = self.sends.get(&replica).into_iter().flatten();
         let older = sends.take_while(|(at, ..)| at.0 < sent);
         older.map(|(_, part, attempt)| (part.clone(), *attempt)).collect()
     }
@@ -180,13 +180,18 @@
 
     /// What differs from a recount, but for what was touched and parts out whose replica has answered since: these are
     /// there in `all`, and not in `silent`.
-    pub fn differs(&self, all: &Due, silent: &Due) -> Option<String> {
-        let bare = |due: &Due| {
+    pub fn differs(&self, all: &QueryIndex, silent: &QueryIndex) -> Option<String> {
+        let bare = |due: &QueryIndex| {
             let class = |class: &Class| Class { out: BTreeSet::new(), ..class.clone() };
-            Due { classes: due.classes.iter().map(class).collect(), touched: BTreeSet::new(), ..due.clone() }
+            QueryIndex {
+                classes: due.classes.iter().map(class).collect(),
+                touched: BTreeSet::new(),
+                ..due.clone()
+            }
+        };
+        let out = |due: &QueryIndex| -> BTreeSet<_> {
+            due.classes.iter().flat_map(|class| class.out.clone()).collect()
         };
-        let out =
-            |due: &Due| -> BTreeSet<_> { due.classes.iter().flat_map(|class| class.out.clone()).collect() };
         let (here, most, least) = (out(self), out(all), out(silent));
         if bare(self) != bare(all) {
             Some(format!("{:?} is not {:?}", bare(self), bare(all)))
--- a/src/repeats.rs
+++ b/src/repeats.rs
@@ -15,15 +15,15 @@
 
 /// What one router may still send again; less than none where it had to.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Repeats(f64);
+pub struct RetryBudget(f64);
 
-impl Default for Repeats {
+impl Default for RetryBudget {
     fn default() -> Self {
-        Repeats(SAVED)
+        RetryBudget(SAVED)
     }
 }
 
-impl Repeats {
+impl RetryBudget {
     /// A part was taken, by one of so many routers, of a query that has so many by now. What a query earns is not lost to
     /// the bound on what is saved up.
     pub fn earn(&mut self, routers: u32, parts: usize) {
--- a/src/repeats/tests.rs
+++ b/src/repeats/tests.rs
@@ -3,7 +3,7 @@
 /// Repeats that so many routers send in a second in which each would repeat all it may, after a long calm, with so
 /// many parts taken by each.
 fn at_once(routers: u32, parts: u32) -> u32 {
-    let mut all = vec![Repeats::default(); routers as usize];
+    let mut all = vec![RetryBudget::default(); routers as usize];
     let mut sent = 0;
     for router in &mut all {
         (0..100).for_each(|_| router.earn(routers, 1));
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_bad_moment_is_paid_for_by_as_much_as_may_be_saved_and_no_more() {
-    let mut router = Repeats::default();
+    let mut router = RetryBudget::default();
     (0..1000).for_each(|_| router.spend(1));
     assert!(!router.allows());
     (0..=((SAVED + 1.0) / RATIO) as u32).for_each(|_| router.earn(1, 1));
@@ -41,7 +41,7 @@
 
 #[test]
 fn what_a_query_of_many_parts_earns_is_there_for_it() {
-    let mut router = Repeats::default();
+    let mut router = RetryBudget::default();
     (0..20).for_each(|_| router.spend(300));
     (1..=60).for_each(|parts| router.earn(300, parts));
     let mut sent = 0;
--- a/src/pool.rs
+++ b/src/replica_index.rs
@@ -1,17 +1,17 @@
 //! What is known of all replicas together, kept as it changes: who holds a shard, sums, and who is due for something.
 //!
 //! It decides nothing, and nothing of it is written down: all of it can be reckoned anew from the replicas
-//! ([`Pool::of`]), and equals that at any time.
+//! ([`ReplicaIndex::of`]), and equals that at any time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{LoadReport, Millis, ReplicaState, Shard};
-use crate::cold::Reports;
-use crate::exact::{Exact, Time};
+use crate::cold::LoadReports;
+use crate::exact::{ExactSum, OrderedTime};
 
 /// What is to be known of one replica.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Facts {
+pub struct ReplicaFacts {
     /// Its number.
     pub number: u64,
     /// Its cell.
@@ -34,18 +34,18 @@
     pub idle_since: Option<Millis>,
 }
 
-impl Facts {
+impl ReplicaFacts {
     fn is_listed(&self) -> bool {
         self.state != ReplicaState::Gone
     }
 }
 
 /// Replicas in order of some time of theirs.
-type ByTime = BTreeSet<(Time, u64)>;
+type ByTime = BTreeSet<(OrderedTime, u64)>;
 
 /// What is known of them together.
 #[derive(Debug, Default, Clone, PartialEq)]
-pub struct Pool {
+pub struct ReplicaIndex {
     cells: u32,
     width: u32,
     warm_within: Option<Millis>,
@@ -55,12 +55,12 @@
     active: usize,
     /// Of those that are listed: how many were heard, and their rates.
     heard: usize,
-    rates: Exact,
-    reports: Reports,
+    rates: ExactSum,
+    reports: LoadReports,
     /// Utilizations reported since some time.
     since: Millis,
-    told: BTreeMap<(Time, u64), f64>,
-    busy: Exact,
+    told: BTreeMap<(OrderedTime, u64), f64>,
+    busy: ExactSum,
     died: ByTime,
     parked: ByTime,
     idle: ByTime,
@@ -82,32 +82,32 @@
     due
 }
 
-impl Pool {
+impl ReplicaIndex {
     /// All replicas at once, in a layout of shards over so many cells, of which so many in a row hold one; utilizations
     /// count that were reported after some time.
     pub fn of(
         (cells, width): (u32, u32),
         warm_within: Option<Millis>,
         since: Millis,
-        all: impl Iterator<Item = Facts>,
+        all: impl Iterator<Item = ReplicaFacts>,
     ) -> Self {
-        let mut pool = Pool { cells, width, warm_within, since, ..Pool::default() };
+        let mut pool = ReplicaIndex { cells, width, warm_within, since, ..ReplicaIndex::default() };
         all.for_each(|facts| pool.change(None, Some(&facts)));
         pool
     }
 
     /// One replica has changed, or is new or gone for good.
-    pub fn change(&mut self, before: Option<&Facts>, after: Option<&Facts>) {
+    pub fn change(&mut self, before: Option<&ReplicaFacts>, after: Option<&ReplicaFacts>) {
         let cells = self.cells;
-        let holder = |facts: &Facts| facts.is_listed().then_some((facts.cell % cells, facts.number));
+        let holder = |facts: &ReplicaFacts| facts.is_listed().then_some((facts.cell % cells, facts.number));
         shift(&mut self.holders, before.and_then(holder), after.and_then(holder));
-        let gone = |facts: &Facts| (!facts.is_listed()).then_some(facts.number);
+        let gone = |facts: &ReplicaFacts| (!facts.is_listed()).then_some(facts.number);
         shift(&mut self.gone, before.and_then(gone), after.and_then(gone));
-        let active = |facts: Option<&Facts>| {
+        let active = |facts: Option<&ReplicaFacts>| {
             usize::from(facts.is_some_and(|facts| facts.state == ReplicaState::Active))
         };
         self.active = self.active + active(after) - active(before);
-        let rate = |facts: &Facts| facts.rate.filter(|_| facts.is_listed());
+        let rate = |facts: &ReplicaFacts| facts.rate.filter(|_| facts.is_listed());
         if let Some(rate) = before.and_then(rate) {
             self.heard -= 1;
             self.rates.take(rate);
@@ -117,38 +117,41 @@
             self.rates.add(rate);
         }
         self.change_reports(before, after);
-        let by = |time: Option<Millis>, facts: &Facts| time.map(|time| (Time(time), facts.number));
+        let by =
+            |time: Option<Millis>, facts: &ReplicaFacts| time.map(|time| (OrderedTime(time), facts.number));
         for (set, time) in [
-            (&mut self.died, (|facts| facts.died) as fn(&Facts) -> Option<Millis>),
+            (&mut self.died, (|facts| facts.died) as fn(&ReplicaFacts) -> Option<Millis>),
             (&mut self.parked, |facts| facts.probe_at),
             (&mut self.idle, |facts| facts.idle_since),
         ] {
-            let key = |facts: &Facts| by(time(facts), facts);
+            let key = |facts: &ReplicaFacts| by(time(facts), facts);
             shift(set, before.and_then(key), after.and_then(key));
         }
     }
 
-    fn change_reports(&mut self, before: Option<&Facts>, after: Option<&Facts>) {
-        let told = |facts: &Facts| (facts.load, facts.loaded, facts.started, facts.state);
+    fn change_reports(&mut self, before: Option<&ReplicaFacts>, after: Option<&ReplicaFacts>) {
+        let told = |facts: &ReplicaFacts| (facts.load, facts.loaded, facts.started, facts.state);
         if before.map(told) == after.map(told) {
             return;
         }
         let warm_within = self.warm_within;
-        let way = |facts: &Facts| Some((facts.loaded - facts.started?) / warm_within?);
-        let report = |facts: &&Facts| facts.is_listed();
+        let way = |facts: &ReplicaFacts| Some((facts.loaded - facts.started?) / warm_within?);
+        let report = |facts: &&ReplicaFacts| facts.is_listed();
         if let Some(facts) = before.filter(report) {
             self.reports.take(facts.load, way(facts));
         }
         if let Some(facts) = after.filter(report) {
             self.reports.add(facts.load, way(facts));
         }
-        if let Some(busy) = before.and_then(|facts| self.told.remove(&(Time(facts.loaded), facts.number))) {
+        if let Some(busy) =
+            before.and_then(|facts| self.told.remove(&(OrderedTime(facts.loaded), facts.number)))
+        {
             self.busy.take(busy);
         }
-        let told = |facts: &Facts| facts.load.utilization.filter(|_| facts.loaded > self.since);
+        let told = |facts: &ReplicaFacts| facts.load.utilization.filter(|_| facts.loaded > self.since);
         if let Some((busy, facts)) = after.and_then(told).zip(after) {
             self.busy.add(busy);
-            self.told.insert((Time(facts.loaded), facts.number), busy);
+            self.told.insert((OrderedTime(facts.loaded), facts.number), busy);
         }
     }
 
@@ -190,7 +193,7 @@
     }
 
     /// What those listed reported last.
-    pub fn reports(&self) -> &Reports {
+    pub fn reports(&self) -> &LoadReports {
         &self.reports
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -187,31 +187,31 @@
             api::Class {
                 aim: class.aim_ms,
                 repeat: match class.repeat {
-                    InfoRepeat::ReadLike => api::Repeat::Safe,
+                    InfoRepeat::ReadLike => api::RepeatPolicy::Safe,
                     InfoRepeat::IdempotencyKey => {
-                        api::Repeat::Keyed { window: class.window_ms.unwrap_or(0.0) }
+                        api::RepeatPolicy::Keyed { window: class.window_ms.unwrap_or(0.0) }
                     }
-                    InfoRepeat::NonIdempotent => api::Repeat::Unsafe,
+                    InfoRepeat::NonIdempotent => api::RepeatPolicy::Unsafe,
                 },
                 worth: class.value.unwrap_or(1.0),
                 late_worth: class.late_worth.unwrap_or(0.0),
                 least_share: self.domain.least_share.get(at).copied().unwrap_or(whole_from),
                 whole_from,
-                partial_earns: self.domain.partial_earns.get(at).copied().unwrap_or(1.0),
-                second_step: self.domain.class_fetch.get(at).copied().unwrap_or(0),
+                partial_worth: self.domain.partial_earns.get(at).copied().unwrap_or(1.0),
+                second_step_parts: self.domain.class_fetch.get(at).copied().unwrap_or(0),
             }
         });
         let cold = || {
-            Some(api::ColdRule {
-                from: rules.cold_from?,
+            Some(api::ColdStartRule {
+                initial_share: rules.cold_from?,
                 warm_within: rules.warm_within_ms?,
-                multiple: rules.fall_multiple?,
-                window: rules.overload_for_ms?,
+                overload_multiple: rules.fall_multiple?,
+                overload_window: rules.overload_for_ms?,
             })
         };
         let budget = || {
             Some(api::AttemptBudget {
-                free: rules.min_extra.unwrap_or(0.0),
+                base_attempts: rules.min_extra.unwrap_or(0.0),
                 ratio: rules.further_ratio.unwrap_or(0.0),
                 window: rules.resend_span_ms?,
             })
@@ -222,14 +222,14 @@
             over_share_worth: self.over_share_worth.unwrap_or(1.0),
             routers: self.balancers.unwrap_or(1),
             cells: self.domain.cells,
-            width: self.domain.width,
-            call_parts: self.domain.bundle_max(),
+            cells_per_shard: self.domain.width,
+            max_parts_per_call: self.domain.bundle_max(),
             call_overhead: self.domain.overhead_ms,
             warm_keys: self.domain.warm_keys,
             worth_by_work: self.worth_by.as_deref() == Some("work"),
             max_attempts: self.caps.max_attempts(),
             may_cancel: self.caps.may_cancel,
-            parallel_tries: self.caps.parallel_tries,
+            parallel_attempts: self.caps.parallel_tries,
             keep_alive: self.caps.keepalive_ms,
             probes: self.caps.probes,
             // Advice is given even where a site's clients are not known to heed it: it harms nobody.
@@ -238,7 +238,7 @@
                 Some("subscribe") => api::Discovery::Asked,
                 _ => api::Discovery::Pushed,
             },
-            ask_within: rules.ask_every_ms.filter(|within| *within > 0.0).unwrap_or(10_000.0),
+            list_refresh_within: rules.ask_every_ms.filter(|within| *within > 0.0).unwrap_or(10_000.0),
             cold: cold(),
             budget: budget(),
             tick: self.tick_ms.unwrap_or(1.0),
--- a/src/starts.rs
+++ b/src/starts.rs
@@ -27,7 +27,7 @@
 
 /// How a start came to be known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum StartSource {
     /// It stands in the list that the process begins with: it may lie long ago.
     AtFirst,
     /// It is news.
@@ -36,7 +36,7 @@
 
 /// The starts of the run stores that are listed.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Starts {
+pub struct StartTimes {
     known: BTreeMap<ReplicaId, Start>,
     /// How far the wall clock was ahead of the process's, at each step the last time, oldest first.
     ahead: Vec<Millis>,
@@ -45,7 +45,7 @@
     is_known: bool,
 }
 
-impl Starts {
+impl StartTimes {
     /// The wall clock is so far ahead of the process's clock now.
     pub fn note_wall_clock(&mut self, ahead: Millis) {
         if self.ahead.iter().any(|known| (known - ahead).abs() <= STEP) {
@@ -65,7 +65,7 @@
         id: &ReplicaId,
         stated: Option<Millis>,
         now: Millis,
-        told: Told,
+        told: StartSource,
         warm_within: Millis,
     ) -> Option<Millis> {
         let Some(stated) = stated else {
@@ -77,7 +77,7 @@
         }
         let at = self.latest_before(stated, now).unwrap_or(now);
         self.is_known |= now - at < warm_within;
-        let unsure = told == Told::Since && !self.is_known;
+        let unsure = told == StartSource::Since && !self.is_known;
         let start = match unsure {
             true => Start { stated, placed: now, unsure_until: now + warm_within },
             false => Start { stated, placed: at, unsure_until: now },
--- a/src/starts/tests.rs
+++ b/src/starts/tests.rs
@@ -8,14 +8,14 @@
     ReplicaId::from(name)
 }
 
-fn news(starts: &mut Starts, name: &str, stated: Millis, now: Millis) -> Millis {
-    starts.place(&id(name), Some(stated), now, Told::Since, WARM_WITHIN).unwrap()
+fn news(starts: &mut StartTimes, name: &str, stated: Millis, now: Millis) -> Millis {
+    starts.place(&id(name), Some(stated), now, StartSource::Since, WARM_WITHIN).unwrap()
 }
 
 #[test]
 fn a_clock_that_is_wrong_by_an_hour_makes_no_start_older_and_none_lies_ahead() {
     for clock_is_ahead in [-HOUR, 0.0, HOUR] {
-        let mut starts = Starts::default();
+        let mut starts = StartTimes::default();
         for (n, lag) in [3000.0, 1000.0, 9000.0].into_iter().enumerate() {
             let now = NOW + n as Millis * 20_000.0;
             let placed = news(&mut starts, &format!("s{n}"), now - lag - clock_is_ahead, now);
@@ -32,7 +32,7 @@
 #[test]
 fn a_clock_that_is_wrong_by_seconds_is_off_by_no_more() {
     for clock_is_ahead in [-5000.0, 5000.0] {
-        let placed = news(&mut Starts::default(), "a", NOW - 4000.0 - clock_is_ahead, NOW);
+        let placed = news(&mut StartTimes::default(), "a", NOW - 4000.0 - clock_is_ahead, NOW);
         assert!(
             placed <= NOW && (placed - (NOW - 4000.0)).abs() <= 5000.0,
             "{clock_is_ahead}: {}",
@@ -44,7 +44,7 @@
 #[test]
 fn a_step_of_the_wall_clock_that_was_seen_moves_no_start() {
     for step in [-HOUR, -5000.0, HOUR] {
-        let mut starts = Starts::default();
+        let mut starts = StartTimes::default();
         starts.note_wall_clock(0.0);
         let before = news(&mut starts, "before", NOW - 2000.0, NOW);
         starts.note_wall_clock(step);
@@ -58,7 +58,7 @@
 
 #[test]
 fn news_that_come_long_after_a_start_are_placed_once_the_clock_is_known() {
-    let mut starts = Starts::default();
+    let mut starts = StartTimes::default();
     assert_eq!(news(&mut starts, "unknown", NOW - 60_000.0, NOW), NOW, "the clock may be ahead by a minute");
     assert!(!starts.is_sure(&id("unknown"), NOW + WARM_WITHIN - 1.0), "it may be warm");
     assert!(starts.is_sure(&id("unknown"), NOW + WARM_WITHIN) && starts.is_sure(&id("not listed"), NOW));
@@ -72,8 +72,10 @@
 
 #[test]
 fn what_a_process_begins_with_is_as_old_as_stated() {
-    let mut starts = Starts::default();
-    let at = |starts: &mut Starts, stated| starts.place(&id("a"), stated, NOW, Told::AtFirst, WARM_WITHIN);
+    let mut starts = StartTimes::default();
+    let at = |starts: &mut StartTimes, stated| {
+        starts.place(&id("a"), stated, NOW, StartSource::AtFirst, WARM_WITHIN)
+    };
     assert_eq!(at(&mut starts, Some(NOW - HOUR)), Some(NOW - HOUR));
     assert_eq!(at(&mut starts, Some(NOW + HOUR)), Some(NOW), "its own clock is wrong");
     assert_eq!(at(&mut starts, None), None);
--- a/src/trace/convert.rs
+++ b/src/trace/convert.rs
@@ -9,8 +9,9 @@
 use ironpaddle_trace::record::{self, Kind, Line, ListKind, Load, Standing};
 
 use crate::api::{
-    self, Action, Attempt, AttemptEnded, Cause, Choice, ClassIndex, Event, ListNews, LoadReport, Millis,
-    NewPart, NewQuery, Outcome, PartId, QueryId, Replica, ReplicaId, ReplicaState, Shard, TenantIndex, Why,
+    self, Action, Attempt, AttemptEnded, AttemptReason, Cause, ClassIndex, Event, ListUpdate, LoadReport,
+    Millis, NewPart, NewQuery, Outcome, PartId, QueryId, Replica, ReplicaChoice, ReplicaId, ReplicaState,
+    Shard, TenantIndex,
 };
 
 /// The module's name of a query.
@@ -60,14 +61,14 @@
     }
 }
 
-fn why_out(why: Why) -> record::Why {
-    match why {
-        Why::First => record::Why::First,
-        Why::After(outcome) => record::Why::After(outcome_out(outcome)),
-        Why::Silent => record::Why::Silent,
-        Why::Overtaken => record::Why::Overtaken,
-        Why::Dropped => record::Why::Dropped,
-        Why::Over => record::Why::Over,
+fn reason_out(reason: AttemptReason) -> record::Why {
+    match reason {
+        AttemptReason::First => record::Why::First,
+        AttemptReason::After(outcome) => record::Why::After(outcome_out(outcome)),
+        AttemptReason::Silent => record::Why::Silent,
+        AttemptReason::Overtaken => record::Why::Overtaken,
+        AttemptReason::Dropped => record::Why::Dropped,
+        AttemptReason::Over => record::Why::Over,
     }
 }
 
@@ -146,10 +147,10 @@
     match event {
         Event::List(news) => {
             let (kind, lines) = match news {
-                ListNews::Cached(lines) => (ListKind::Cached, lines.as_slice()),
-                ListNews::Full(lines) => (ListKind::Full, lines.as_slice()),
-                ListNews::Changes(lines) => (ListKind::Changes, lines.as_slice()),
-                ListNews::Broken => (ListKind::Broken, &[][..]),
+                ListUpdate::Cached(lines) => (ListKind::Cached, lines.as_slice()),
+                ListUpdate::Full(lines) => (ListKind::Full, lines.as_slice()),
+                ListUpdate::Changes(lines) => (ListKind::Changes, lines.as_slice()),
+                ListUpdate::Failed => (ListKind::Broken, &[][..]),
             };
             record::Event::List(kind, lines.iter().map(|line| line_out(batch, line)).collect())
         }
@@ -199,10 +200,10 @@
         record::Event::List(kind, lines) => {
             let lines = lines.iter().map(|line| line_in(block, line)).collect();
             Event::List(match kind {
-                ListKind::Cached => ListNews::Cached(lines),
-                ListKind::Full => ListNews::Full(lines),
-                ListKind::Changes => ListNews::Changes(lines),
-                ListKind::Broken => ListNews::Broken,
+                ListKind::Cached => ListUpdate::Cached(lines),
+                ListKind::Full => ListUpdate::Full(lines),
+                ListKind::Changes => ListUpdate::Changes(lines),
+                ListKind::Broken => ListUpdate::Failed,
             })
         }
         record::Event::Query { query, class, group, key, arrived, deadline, parts, retry } => {
@@ -249,20 +250,20 @@
 /// An action as a record.
 pub fn action_out(batch: &mut Batch, now: Millis, action: &Action) -> record::Action {
     match action {
-        Action::Send { part, replica, timeout, why, choice } => {
+        Action::Send { part, replica, timeout, reason, choice } => {
             let (query, shard) = place(part);
             let run_store = batch.name(Kind::RunStore, &replica.0);
             let choice = match choice {
-                Choice::Least => record::Choice::Least,
-                Choice::Only => record::Choice::Only,
-                Choice::BestParked => record::Choice::BestParked,
+                ReplicaChoice::LeastFinish => record::Choice::Least,
+                ReplicaChoice::OnlyCandidate => record::Choice::Only,
+                ReplicaChoice::BestParked => record::Choice::BestParked,
             };
-            let (timeout, why) = (Num::of(*timeout), why_out(*why));
+            let (timeout, why) = (Num::of(*timeout), reason_out(*reason));
             record::Action::Send { query, shard, run_store, timeout, why, choice }
         }
-        Action::Cancel { part, attempt, why } => {
+        Action::Cancel { part, attempt, reason } => {
             let (query, shard) = place(part);
-            record::Action::Cancel { query, shard, attempt: attempt.0, why: why_out(*why) }
+            record::Action::Cancel { query, shard, attempt: attempt.0, why: reason_out(*reason) }
         }
         Action::Answer { query, whole } => record::Action::Answer { query: number(query), whole: *whole },
         Action::Refuse { query, retry_after, cause } => {
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -82,7 +82,7 @@
                         self.report.checkpoints += 1;
                         // The state holds its settings, and what they have been used up by.
                         if self.other.is_some() {
-                            self.retune(block, &checkpoint.told);
+                            self.apply_settings(block, &checkpoint.told);
                         }
                     }
                     Err(why) => {
@@ -93,7 +93,7 @@
                     }
                 }
             }
-            Record::Settings(told) => self.retune(block, told),
+            Record::Settings(told) => self.apply_settings(block, told),
             Record::Step(step) => self.step(block, entry.at, step),
             _ => {}
         }
@@ -106,14 +106,14 @@
         }
     }
 
-    fn retune(&mut self, block: &Block, told: &Told) {
+    fn apply_settings(&mut self, block: &Block, told: &Told) {
         let Some(router) = &mut self.router else { return };
         let Ok(mut settings) = postcard::from_bytes::<Settings>(&told.module) else { return };
         if let Some(other) = &self.other {
             settings = in_places(block, told, &settings, other);
         }
         // What was in force when it was recorded had been checked; what is not is told by the differences.
-        let _ = router.retune(settings);
+        let _ = router.apply_settings(settings);
     }
 
     fn step(&mut self, block: &Block, at: f64, step: &Step) {
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -478,7 +478,7 @@
         self.put_waiting();
     }
 
-    fn retune(&self, info: &Info) {
+    fn apply_settings(&self, info: &Info) {
         self.limits.set(Limits::of(info, self.limits.get().connections));
         let places = self.places.borrow();
         let open = places.values().flat_map(|place| &place.connections).filter(|c| c.closing.get().is_none());
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -488,7 +488,7 @@
         self.pump_lacking();
     }
 
-    fn retune(&self, info: &Info) {
+    fn apply_settings(&self, info: &Info) {
         self.limits.set(Limits::of(info, self.limits.get().connections));
     }
 
--- a/src/trim.rs
+++ b/src/trim.rs
@@ -18,7 +18,7 @@
         share += weights[order[kept]];
         kept += 1;
     }
-    if goal < class.whole_from && class.partial_earns * share * all > GAIN * kept as f64 {
+    if goal < class.whole_from && class.partial_worth * share * all > GAIN * kept as f64 {
         order.split_off(kept)
     } else {
         Vec::new()
--- a/tests/alone.rs
+++ b/tests/alone.rs
@@ -8,12 +8,12 @@
 /// Shard 0 is held by a sound replica and shard 1 by a slow one, which has been seen to take 300 ms for a part. Classes
 /// are worth what is given. The time after that.
 fn known(worths: &[f64]) -> (Router, Millis) {
-    let mut s = settings(Repeat::Safe);
-    (s.cells, s.width, s.worth_by_work) = (2, 1, true);
-    s.classes = worths.iter().map(|worth| Class { worth: *worth, ..class(Repeat::Safe) }).collect();
+    let mut s = settings(RepeatPolicy::Safe);
+    (s.cells, s.cells_per_shard, s.worth_by_work) = (2, 1, true);
+    s.classes = worths.iter().map(|worth| Class { worth: *worth, ..class(RepeatPolicy::Safe) }).collect();
     let mut router = Router::new(s, 7).expect("settings are sound");
     let at = |name: &str, cell| Replica { cell, ..replica(name) };
-    router.step(0.0, vec![Event::List(ListNews::Full(vec![at("sound", 0), at("slow", 1)]))]);
+    router.step(0.0, vec![Event::List(ListUpdate::Full(vec![at("sound", 0), at("slow", 1)]))]);
     let mut now = 0.0;
     for number in 1..=40 {
         let (shard, took) = if number <= 38 { (0, 10.0) } else { (1, 300.0) };
@@ -106,7 +106,7 @@
 /// Parking is bounded to a quarter of the fleet, and where more fall silent at once the rest of them would be sent on.
 #[test]
 fn parts_avoid_replicas_that_owe_answers_while_one_answers() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b", "c", "d"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     let mut asked = std::collections::BTreeMap::new();
     for number in 1..=80 {
         let now = number as f64 * 50.0;
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -2,13 +2,13 @@
 
 use std::collections::VecDeque;
 
-use ironpaddle::asking::{Asking, Watching, CALL, LONGEST_PAUSE, SILENT_AFTER, TOLD_WITHIN, WAIT};
+use ironpaddle::asking::{ListRequests, WatchSchedule, CALL, LONGEST_PAUSE, SILENT_AFTER, TOLD_WITHIN, WAIT};
 use ironpaddle::hash::draw;
 
 /// A service that answers in turn, each call in so many milliseconds, and fails what has waited for 2 s: calls
 /// that wait in vain take up none of its time. Returns when each of `routers` was told, if it was within a minute.
 fn told(routers: u32, aim: f64, each: u32) -> Vec<Option<u32>> {
-    let mut asking = vec![Asking::default(); routers as usize];
+    let mut asking = vec![ListRequests::default(); routers as usize];
     let mut told = vec![None; routers as usize];
     let (mut queue, mut chance, mut free) = (VecDeque::new(), 7, 0);
     for now in 0..60_000 {
@@ -44,7 +44,7 @@
 #[test]
 fn few_routers_ask_again_as_soon_as_a_lone_one() {
     let wait = |routers| {
-        let mut asking = Asking::default();
+        let mut asking = ListRequests::default();
         asking.failed(0.0, 400.0, (10_000.0, routers), 0.5);
         (0..10_000).map(f64::from).find(|now| asking.is_due(*now, 400.0))
     };
@@ -56,7 +56,7 @@
 
 #[test]
 fn an_agent_is_watched_at_once_and_again_soon_after_each_break() {
-    let mut agent = Watching::an_agent();
+    let mut agent = WatchSchedule::an_agent();
     assert_eq!(agent.due(), Some(0.0));
     assert!(agent.begins(5.0) && !agent.begins(6.0));
     assert_eq!(agent.due(), None);
@@ -70,7 +70,7 @@
 #[test]
 fn silent_watches_are_opened_anew_before_what_they_missed_counts_as_told_and_not_all_at_once() {
     let mut chance = 7;
-    let mut watches = vec![Watching::the_service(); 300];
+    let mut watches = vec![WatchSchedule::the_service(); 300];
     assert!(watches.iter_mut().all(|watch| !watch.begins(0.0) && watch.due().is_none()));
     watches.iter_mut().for_each(|watch| watch.silent(draw(&mut chance)));
     // Each is silent so long after its wait, and the call that opens it anew takes its own time before all is told.
@@ -89,7 +89,7 @@
 fn no_pause_after_a_failure_is_too_long_for_a_change_to_be_told_in_time() {
     for routers in [1, 30, 300] {
         for chance in [0.0, 0.5, 1.0] {
-            let mut asking = Asking::default();
+            let mut asking = ListRequests::default();
             for failure in 1..12 {
                 let now = f64::from(failure) * 1e6;
                 assert!(asking.is_due(now, 5000.0));
--- a/tests/causes.rs
+++ b/tests/causes.rs
@@ -14,15 +14,15 @@
     actions.iter().filter_map(cause).collect()
 }
 
-fn whys(actions: &[Action]) -> Vec<Why> {
-    let why = |action: &Action| match action {
-        Action::Send { why, .. } => Some(*why),
+fn reasons(actions: &[Action]) -> Vec<AttemptReason> {
+    let reason = |action: &Action| match action {
+        Action::Send { reason, .. } => Some(*reason),
         _ => None,
     };
-    actions.iter().filter_map(why).collect()
+    actions.iter().filter_map(reason).collect()
 }
 
-fn choices(actions: &[Action]) -> Vec<Choice> {
+fn choices(actions: &[Action]) -> Vec<ReplicaChoice> {
     let choice = |action: &Action| match action {
         Action::Send { choice, .. } => Some(*choice),
         _ => None,
@@ -39,20 +39,20 @@
         weight: 1.0,
         ..Replica::default()
     };
-    Event::List(ListNews::Full(names.iter().enumerate().map(line).collect()))
+    Event::List(ListUpdate::Full(names.iter().enumerate().map(line).collect()))
 }
 
 #[test]
 fn without_a_list_no_list_is_the_cause_and_not_overload() {
-    let mut router = Router::new(settings(Repeat::Safe), 7).unwrap();
+    let mut router = Router::new(settings(RepeatPolicy::Safe), 7).unwrap();
     router.step(0.0, query(1, 1, 900.0));
     assert_eq!(causes(&run(&mut router, 5.0, 1000.0)), [Cause::NoList]);
 }
 
 #[test]
 fn the_shard_that_nobody_holds_is_named() {
-    let mut s = settings(Repeat::Safe);
-    (s.cells, s.width) = (4, 1);
+    let mut s = settings(RepeatPolicy::Safe);
+    (s.cells, s.cells_per_shard) = (4, 1);
     let mut router = Router::new(s, 7).unwrap();
     // Shards 0 and 1 are held; the query's third part is of shard 2.
     router.step(0.0, vec![in_state(&["a", "b"], ReplicaState::Active)]);
@@ -64,14 +64,14 @@
 
 #[test]
 fn holders_that_drain_are_told_from_none() {
-    let mut router = Router::new(settings(Repeat::Safe), 7).unwrap();
+    let mut router = Router::new(settings(RepeatPolicy::Safe), 7).unwrap();
     router.step(0.0, vec![in_state(&["a"], ReplicaState::Draining)]);
     assert_eq!(causes(&router.step(5.0, query(1, 1, 900.0))), [Cause::Drained(Shard(0))]);
 }
 
 #[test]
 fn an_unsafe_part_that_may_have_run_ends_its_query_for_that_cause() {
-    let mut router = start(settings(Repeat::Unsafe), &["a", "b"]);
+    let mut router = start(settings(RepeatPolicy::Unsafe), &["a", "b"]);
     let sent = sends(&router.step(5.0, query(1, 1, 3000.0)));
     let (part, replica) = &sent[0];
     let actions = router.step(20.0, vec![ended(part, 0, replica, Outcome::Errored, 15.0)]);
@@ -81,9 +81,12 @@
 
 #[test]
 fn repeats_say_how_the_last_attempt_ended_and_then_that_all_are_spent() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b", "c"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c"]);
     let mut actions = router.step(5.0, query(1, 1, 3000.0));
-    assert_eq!((whys(&actions), choices(&actions)), (vec![Why::First], vec![Choice::Least]));
+    assert_eq!(
+        (reasons(&actions), choices(&actions)),
+        (vec![AttemptReason::First], vec![ReplicaChoice::LeastFinish])
+    );
     let (mut now, mut attempt, mut all) = (5.0, 0, Vec::new());
     while let Some((part, replica)) = sends(&actions).first().cloned() {
         now += 10.0;
@@ -91,21 +94,24 @@
         actions.extend(run(&mut router, now + 5.0, now + 15.0));
         now += 20.0;
         attempt += 1;
-        all.extend(whys(&actions));
+        all.extend(reasons(&actions));
     }
-    assert!(!all.is_empty() && all.iter().all(|why| *why == Why::After(Outcome::Errored)), "{all:?}");
+    assert!(
+        !all.is_empty() && all.iter().all(|reason| *reason == AttemptReason::After(Outcome::Errored)),
+        "{all:?}"
+    );
     assert_eq!(causes(&actions), [Cause::AttemptsSpent(Shard(0))]);
 }
 
 #[test]
 fn a_single_holder_is_named_as_the_only_one() {
-    let mut router = start(settings(Repeat::Safe), &["a"]);
-    assert_eq!(choices(&router.step(5.0, query(1, 1, 3000.0))), [Choice::Only]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a"]);
+    assert_eq!(choices(&router.step(5.0, query(1, 1, 3000.0))), [ReplicaChoice::OnlyCandidate]);
 }
 
 #[test]
 fn parts_that_drag_on_end_at_the_deadline_for_want_of_time() {
-    let mut router = start(settings(Repeat::Unsafe), &["a", "b"]);
+    let mut router = start(settings(RepeatPolicy::Unsafe), &["a", "b"]);
     router.step(5.0, query(1, 1, 600.0));
     let found = causes(&run(&mut router, 10.0, 700.0));
     assert!(found == [Cause::TimeUp] || found == [Cause::AllParked(Shard(0))], "{found:?}");
--- a/tests/common/histories.rs
+++ b/tests/common/histories.rs
@@ -65,9 +65,9 @@
 
 fn class(chance: &mut Chance) -> Class {
     let repeat = match chance.below(4) {
-        0 => Repeat::Unsafe,
-        1 => Repeat::Keyed { window: chance.between(100.0, 1500.0) },
-        _ => Repeat::Safe,
+        0 => RepeatPolicy::Unsafe,
+        1 => RepeatPolicy::Keyed { window: chance.between(100.0, 1500.0) },
+        _ => RepeatPolicy::Safe,
     };
     let whole_from = chance.pick(&[1.0, 1.0, 0.8]);
     Class {
@@ -77,34 +77,39 @@
         late_worth: chance.pick(&[0.1, 0.1, 0.7]),
         least_share: chance.pick(&[whole_from, 0.5, 0.3]),
         whole_from,
-        partial_earns: 0.9,
-        second_step: chance.pick(&[0, 0, 2]),
+        partial_worth: 0.9,
+        second_step_parts: chance.pick(&[0, 0, 2]),
     }
 }
 
 fn settings(chance: &mut Chance) -> Settings {
     let cells = 1 + chance.below(6) as u32;
-    let cold = ColdRule { from: 0.3, warm_within: 4000.0, multiple: 2.0, window: 500.0 };
-    let budget = AttemptBudget { free: 3.0, ratio: 0.2, window: 1000.0 };
+    let cold = ColdStartRule {
+        initial_share: 0.3,
+        warm_within: 4000.0,
+        overload_multiple: 2.0,
+        overload_window: 500.0,
+    };
+    let budget = AttemptBudget { base_attempts: 3.0, ratio: 0.2, window: 1000.0 };
     Settings {
         classes: (0..1 + chance.below(3)).map(|_| class(chance)).collect(),
         tenants: (0..chance.below(3)).map(|_| Tenant { quota_per_s: chance.between(1.0, 60.0) }).collect(),
         over_share_worth: 0.1,
         routers: chance.pick(&[1, 3, 30, 300]),
         cells,
-        width: 1 + chance.below(cells.min(3) as usize) as u32,
-        call_parts: 1 + chance.below(4) as u32,
+        cells_per_shard: 1 + chance.below(cells.min(3) as usize) as u32,
+        max_parts_per_call: 1 + chance.below(4) as u32,
         call_overhead: chance.pick(&[0.0, 4.0]),
         warm_keys: chance.of(0.5),
         worth_by_work: chance.of(0.3),
         max_attempts: 1 + chance.below(4) as u32,
         may_cancel: chance.of(0.8),
-        parallel_tries: chance.of(0.5),
+        parallel_attempts: chance.of(0.5),
         keep_alive: chance.of(0.7).then_some(3000.0),
         probes: chance.of(0.8),
         max_retry_after: 1000.0,
         discovery: chance.pick(&[Discovery::Asked, Discovery::Pushed]),
-        ask_within: 10_000.0,
+        list_refresh_within: 10_000.0,
         cold: chance.of(0.6).then_some(cold),
         budget: chance.of(0.3).then_some(budget),
         tick: 5.0,
@@ -171,10 +176,10 @@
         }
         let there = |line: &&Replica| line.state != ReplicaState::Gone;
         Event::List(match chance.below(8) {
-            0 => ListNews::Broken,
-            1 => ListNews::Cached(self.lines.iter().filter(there).cloned().collect()),
-            2 | 3 => ListNews::Full(self.lines.iter().filter(there).cloned().collect()),
-            _ => ListNews::Changes(self.lines.iter().filter(|_| chance.of(0.4)).cloned().collect()),
+            0 => ListUpdate::Failed,
+            1 => ListUpdate::Cached(self.lines.iter().filter(there).cloned().collect()),
+            2 | 3 => ListUpdate::Full(self.lines.iter().filter(there).cloned().collect()),
+            _ => ListUpdate::Changes(self.lines.iter().filter(|_| chance.of(0.4)).cloned().collect()),
         })
     }
 
@@ -256,7 +261,7 @@
         let waits = |(number, query): (&u64, &Query)| query.second.then_some(*number);
         for number in self.open.iter().filter_map(waits).collect::<Vec<_>>() {
             let class = self.open.get(&number).map_or(0, |query| query.class);
-            let parts = self.settings.classes[class].second_step;
+            let parts = self.settings.classes[class].second_step_parts;
             if !self.attempts.contains_key(&PartId::from(format!("q{number}.f").as_str())) {
                 self.attempts.insert(format!("q{number}.f").as_str().into(), 0);
                 for no in 0..parts {
@@ -300,7 +305,7 @@
             Action::Answer { query, .. } | Action::Refuse { query, .. } | Action::Fail { query, .. } => {
                 let number = self.open.iter().find(|(_, open)| open.id == query).map(|(number, _)| *number);
                 let Some(open) = number.and_then(|number| self.open.get_mut(&number)) else { return };
-                let first = !open.second && self.settings.classes[open.class].second_step > 0;
+                let first = !open.second && self.settings.classes[open.class].second_step_parts > 0;
                 open.second = true;
                 if !first {
                     self.open.remove(&number.unwrap_or_default());
@@ -322,13 +327,13 @@
             }
             classes.extend(other.classes.get(1).cloned().filter(|_| classes.len() < 5));
             self.settings = Settings { classes, ..other };
-            self.router.retune(self.settings.clone()).expect("settings are sound");
+            self.router.apply_settings(self.settings.clone()).expect("settings are sound");
         }
         if self.chance.of(0.005) {
             let seed = self.next ^ self.digest;
             let mut after = Router::new(self.settings.clone(), seed).expect("settings are sound");
             // Where a figure has grown beyond all bounds it can't be told, and the new process begins anew.
-            let understood = after.recall(&self.router.learned());
+            let understood = after.import_learned(&self.router.export_learned());
             self.digest = hash(&format!("{} {understood}", self.digest));
             self.router = after;
             self.out.clear();
@@ -381,7 +386,7 @@
 pub fn play(seed: u64, steps: usize, mut look: impl FnMut(&Router)) -> u64 {
     let mut history = History::new(seed);
     let lines = history.lines.clone();
-    let news = if seed.is_multiple_of(2) { ListNews::Full(lines) } else { ListNews::Cached(lines) };
+    let news = if seed.is_multiple_of(2) { ListUpdate::Full(lines) } else { ListUpdate::Cached(lines) };
     history.router.step(0.0, vec![Event::List(news)]);
     for _ in 0..steps {
         history.step();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use ironpaddle::api::*;
 use ironpaddle::Router;
 
-pub fn class(repeat: Repeat) -> Class {
+pub fn class(repeat: RepeatPolicy) -> Class {
     Class {
         aim: 1000.0,
         repeat,
@@ -12,32 +12,32 @@
         late_worth: 0.1,
         least_share: 1.0,
         whole_from: 1.0,
-        partial_earns: 0.9,
-        second_step: 0,
+        partial_worth: 0.9,
+        second_step_parts: 0,
     }
 }
 
 /// One cell of shards held by every replica, so that all choices are open.
-pub fn settings(repeat: Repeat) -> Settings {
+pub fn settings(repeat: RepeatPolicy) -> Settings {
     Settings {
         classes: vec![class(repeat)],
         tenants: Vec::new(),
         over_share_worth: 0.1,
         routers: 1,
         cells: 1,
-        width: 1,
-        call_parts: 4,
+        cells_per_shard: 1,
+        max_parts_per_call: 4,
         call_overhead: 0.0,
         warm_keys: false,
         worth_by_work: false,
         max_attempts: 3,
         may_cancel: true,
-        parallel_tries: true,
+        parallel_attempts: true,
         keep_alive: None,
         probes: true,
         max_retry_after: 500.0,
         discovery: Discovery::Pushed,
-        ask_within: 10_000.0,
+        list_refresh_within: 10_000.0,
         cold: None,
         budget: None,
         tick: 5.0,
@@ -57,7 +57,7 @@
 }
 
 pub fn fleet(names: &[&str]) -> Event {
-    Event::List(ListNews::Cached(names.iter().map(|name| replica(name)).collect()))
+    Event::List(ListUpdate::Cached(names.iter().map(|name| replica(name)).collect()))
 }
 
 /// A query `q<number>` with parts `q<number>.<n>` of equal weight.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -39,7 +39,7 @@
 
 impl Fleet {
     fn new(routers: u32, does: &[(&'static str, Does)]) -> Self {
-        let settings = Settings { routers, call_parts: 1, ..settings(Repeat::Safe) };
+        let settings = Settings { routers, max_parts_per_call: 1, ..settings(RepeatPolicy::Safe) };
         let names: Vec<&str> = does.iter().map(|(name, _)| *name).collect();
         let router = |seed| {
             let mut router = Router::new(settings.clone(), seed).expect("settings are sound");
@@ -153,7 +153,7 @@
     fleet.run(2, 8);
     let rated = |fleet: &Fleet| {
         let (_, servers): (serde_json::Value, Vec<serde_json::Value>) =
-            serde_json::from_str(&fleet.routers[0].learned()).expect("it can be read");
+            serde_json::from_str(&fleet.routers[0].export_learned()).expect("it can be read");
         servers.iter().map(|s| s["dr"].as_f64().unwrap_or(f64::INFINITY)).fold(f64::INFINITY, f64::min)
     };
     // Sound ones do a part in 10 ms; one that was silent for the patience of 400 ms does it in no less.
@@ -165,7 +165,7 @@
 #[test]
 fn what_is_in_is_given_before_the_aim_by_as_much_as_the_router_runs_late() {
     let given = |late: Millis| {
-        let mut s = settings(Repeat::Safe);
+        let mut s = settings(RepeatPolicy::Safe);
         s.classes[0].least_share = 0.4;
         let mut router = start(s, &["a", "b", "c", "d"]);
         let sent = sends(&router.step(10.0, query(1, 4, 3000.0)));
@@ -193,7 +193,7 @@
 /// Clients that give up early, each at one of many routers, would have all of them send what nobody waits for.
 #[test]
 fn what_its_client_will_not_wait_for_is_refused_unsent() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b"]);
     // Ten queries tell that one takes 300 ms.
     for number in 1..=10 {
         let now = number as f64 * 1000.0;
@@ -211,7 +211,7 @@
 /// What such clients did not wait for must not look like a slow fleet to those who do.
 #[test]
 fn a_query_cut_short_by_its_client_tells_nothing_of_the_fleet() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b"]);
     let mut busy = |number: u64, wait: Millis| {
         let now = number as f64 * 1000.0;
         let actions = router.step(now, query(number, 2, now + wait));
@@ -239,7 +239,7 @@
 /// The one replica that is left has just turned a part away: to ask it again at once spends the attempts in vain.
 #[test]
 fn a_part_turned_away_by_the_last_replica_left_waits_before_it_asks_there_again() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b", "c"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c"]);
     let sent = sends(&router.step(10.0, query(1, 1, 5000.0)));
     let first = sent[0].1.clone();
     // The two others fall silent, as their connections do not come up.
@@ -268,7 +268,7 @@
 #[test]
 fn a_busy_fleet_is_spared_the_lightest_parts_of_what_may_be_partial() {
     let sent = |routers: u32, utilization: Option<f64>| {
-        let mut s = settings(Repeat::Safe);
+        let mut s = settings(RepeatPolicy::Safe);
         (s.routers, s.classes[0].least_share) = (routers, 0.4);
         let mut router = start(s, &["a", "b"]);
         let first = sends(&router.step(10.0, query(1, 2, 3000.0)));
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -178,7 +178,7 @@
 #[test]
 fn second_copies_that_are_switched_off_stay_off_for_what_was_given_up_before() {
     let mut day = Day::in_silence(true);
-    day.core.retune(&info(false)).unwrap();
+    day.core.apply_settings(&info(false)).unwrap();
     day.end(day.sent[1], Outcome::Errored);
     let again = day.pass(800.0);
     assert!(again.is_empty(), "the first attempt may be out: {again:?}");
--- a/tests/hand.rs
+++ b/tests/hand.rs
@@ -91,7 +91,7 @@
             Step::Change(state, since) => core.take_news(News::Changes(vec![told(*state, *since)])),
             Step::Unlisted => core.take_news(News::Full(vec![line("b", ReplicaState::Active, 0.0)])),
             Step::Broken => core.take_news(News::Broken),
-            Step::Retune => core.retune(&info()).unwrap(),
+            Step::Retune => core.apply_settings(&info()).unwrap(),
             Step::Ask => {
                 core.take_in(now, ask(at)).unwrap();
             }
--- a/tests/histories.rs
+++ b/tests/histories.rs
@@ -45,7 +45,7 @@
     let differs = of_all(400, |seed| {
         let mut differs = None;
         play(seed + 1_000_000, STEPS, |router| {
-            differs = differs.take().or_else(|| router.recount().err());
+            differs = differs.take().or_else(|| router.verify_indexes().err());
         });
         differs.map(|differs| format!("{seed}: {differs}"))
     });
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -144,7 +144,7 @@
         0
     }
     fn room(&self, _: usize) {}
-    fn retune(&self, _: &Info) {}
+    fn apply_settings(&self, _: &Info) {}
 }
 
 struct NoDirectory;
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -6,7 +6,7 @@
 
 /// Two replicas, each heard once: `a` did one cost unit in 50 ms, `b` in 200 ms. The time is 230 ms.
 fn heard() -> ironpaddle::Router {
-    let mut router = start(Settings { call_parts: 1, ..settings(Repeat::Safe) }, &["a", "b"]);
+    let mut router = start(Settings { max_parts_per_call: 1, ..settings(RepeatPolicy::Safe) }, &["a", "b"]);
     // Unheard, both do a unit in a tenth of the aim: 100 ms, so the second part finishes first on the other.
     let sent = sends(&router.step(10.0, query(1, 2, 3000.0)));
     assert_ne!(sent[0].1, sent[1].1);
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_partial_answer_leaves_at_its_moment_counted_from_when_the_query_came_in() {
-    let mut s = settings(Repeat::Safe);
+    let mut s = settings(RepeatPolicy::Safe);
     s.classes[0].least_share = 0.4;
     let mut router = start(s, &["a"]);
     let mut events = query(1, 2, 4000.0);
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone)]
 struct Day {
     seed: u64,
-    repeat: Repeat,
+    repeat: RepeatPolicy,
     settings: (u32, u32, bool, bool),
     /// By query: when it comes after the one before, its parts, and how long its client waits.
     queries: Vec<(u32, u32, u32)>,
@@ -34,9 +34,9 @@
 
 fn days() -> impl Strategy<Value = Day> {
     let repeat = prop_oneof![
-        Just(Repeat::Safe),
-        Just(Repeat::Unsafe),
-        (50.0..1500.0).prop_map(|window| Repeat::Keyed { window })
+        Just(RepeatPolicy::Safe),
+        Just(RepeatPolicy::Unsafe),
+        (50.0..1500.0).prop_map(|window| RepeatPolicy::Keyed { window })
     ];
     let settings = (1u32..80, 1u32..5, any::<bool>(), any::<bool>());
     let queries = prop::collection::vec((0u32..400, 1u32..9, 300u32..4000), 1..25);
@@ -63,7 +63,12 @@
 
 fn play(day: &Day) -> Result<(), TestCaseError> {
     let (routers, max_attempts, may_cancel, probes) = day.settings;
-    let cold = ColdRule { from: 0.2, warm_within: 10_000.0, multiple: 2.0, window: 1000.0 };
+    let cold = ColdStartRule {
+        initial_share: 0.2,
+        warm_within: 10_000.0,
+        overload_multiple: 2.0,
+        overload_window: 1000.0,
+    };
     let base = settings(day.repeat);
     let keep_alive = Some(15_000.0);
     let s = Settings { routers, max_attempts, may_cancel, probes, cold: Some(cold), keep_alive, ..base };
@@ -86,7 +91,7 @@
         let mut events = vec![Event::Wake];
         if now - 5.0 < f64::from(day.drain) && now >= f64::from(day.drain) {
             let line = Replica { state: ReplicaState::Draining, ..replica("b") };
-            events.push(Event::List(ListNews::Changes(vec![line])));
+            events.push(Event::List(ListUpdate::Changes(vec![line])));
         }
         for (_, n, count, deadline) in due.iter().filter(|(at, ..)| *at <= now && *at > now - 5.0) {
             events.extend(query(*n, *count, *deadline));
@@ -114,9 +119,9 @@
                     let known = parts.entry(name.clone()).or_default();
                     prop_assert!(!known.out, "two attempts of {name} at once");
                     let allowed = match (day.repeat, known.first_risk) {
-                        (Repeat::Safe, _) | (_, None) => true,
-                        (Repeat::Keyed { window }, Some(first)) => now <= first + window,
-                        (Repeat::Unsafe, Some(_)) => false,
+                        (RepeatPolicy::Safe, _) | (_, None) => true,
+                        (RepeatPolicy::Keyed { window }, Some(first)) => now <= first + window,
+                        (RepeatPolicy::Unsafe, Some(_)) => false,
                     };
                     prop_assert!(
                         allowed && known.attempts < max_attempts,
@@ -149,7 +154,7 @@
                         id.starts_with(&format!("{}.", query.0)) && (part.out || part.first_risk.is_some())
                     };
                     prop_assert!(
-                        day.repeat == Repeat::Safe || !parts.iter().any(risky),
+                        day.repeat == RepeatPolicy::Safe || !parts.iter().any(risky),
                         "refused what may have run"
                     );
                 }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -231,7 +231,7 @@
     let (jobs, _) = day(6, LONG, |core, _| {
         steps += 1;
         if steps % 700 == 0 {
-            core.retune(&info(600.0 + f64::from(steps))).unwrap();
+            core.apply_settings(&info(600.0 + f64::from(steps))).unwrap();
         }
     });
     let report = replay(&segments(jobs), None);
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -14,12 +14,16 @@
 
 #[test]
 fn a_silent_replica_is_parked_probed_and_restored_and_its_part_goes_elsewhere() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b", "c"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c"]);
     let sent = sends(&router.step(10.0, query(1, 1, 3000.0)));
     let after = run(&mut router, 15.0, 600.0);
     assert_eq!(parked(&after), [sent[0].1.clone()]);
     assert!(sends(&after).is_empty());
-    assert!(after.contains(&Action::Cancel { part: "q1.0".into(), attempt: Attempt(0), why: Why::Silent }));
+    assert!(after.contains(&Action::Cancel {
+        part: "q1.0".into(),
+        attempt: Attempt(0),
+        reason: AttemptReason::Silent
+    }));
     let again = sends(&router.step(605.0, vec![ended("q1.0", 0, &sent[0].1, Outcome::Cancelled, 595.0)]));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, sent[0].1);
@@ -33,7 +37,7 @@
 
 #[test]
 fn a_shared_cause_does_not_park_the_fleet() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b", "c", "d"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     let events = (1..=8).flat_map(|n| query(n, 1, 3000.0)).collect();
     assert_eq!(sends(&router.step(10.0, events)).len(), 8);
     assert!(parked(&run(&mut router, 15.0, 900.0)).len() <= 2);
@@ -41,7 +45,7 @@
 
 #[test]
 fn quick_errors_draw_no_parts() {
-    let mut router = start(settings(Repeat::Safe), &["bad", "good"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["bad", "good"]);
     let mut to_bad = 0;
     for n in 0..60u32 {
         let now = 10.0 + 100.0 * f64::from(n);
@@ -61,7 +65,7 @@
 
 #[test]
 fn a_repeat_does_not_go_to_a_replica_that_fails_most_parts() {
-    let mut router = start(settings(Repeat::Safe), &["bad", "g1", "g2"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["bad", "g1", "g2"]);
     let mut now = 10.0;
     // Each of them has some parts at once, and the bad one fails its own, one after the other.
     let sent = sends(&router.step(now, query(1, 12, now + 3000.0)));
@@ -86,7 +90,7 @@
 
 #[test]
 fn where_aims_are_short_a_parked_replica_is_probed_sooner() {
-    let mut s = settings(Repeat::Safe);
+    let mut s = settings(RepeatPolicy::Safe);
     s.classes[0].aim = 300.0;
     let mut router = start(s, &["a", "b", "c"]);
     let sent = sends(&router.step(10.0, query(1, 1, 900.0)));
@@ -98,7 +102,7 @@
 
 #[test]
 fn parts_of_one_step_prefer_to_share_a_call() {
-    let s = Settings { call_overhead: 500.0, ..settings(Repeat::Safe) };
+    let s = Settings { call_overhead: 500.0, ..settings(RepeatPolicy::Safe) };
     let mut router = start(s, &["a", "b"]);
     let sent = sends(&router.step(10.0, query(1, 2, 3000.0)));
     assert_eq!(sent[0].1, sent[1].1);
@@ -106,7 +110,7 @@
 
 #[test]
 fn reported_queues_are_avoided() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b"]);
     let sent = sends(&router.step(10.0, query(1, 2, 3000.0)));
     let busy = sent[0].1.clone();
     let events = sent.iter().map(|(part, to)| {
@@ -126,7 +130,7 @@
 
 #[test]
 fn an_old_report_of_a_long_queue_does_not_keep_parts_away_for_good() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b"]);
     let sent = sends(&router.step(10.0, query(1, 2, 3000.0)));
     let busy = sent[0].1.clone();
     let events = sent.iter().map(|(part, to)| {
@@ -149,7 +153,7 @@
 
 #[test]
 fn under_pressure_light_parts_are_left_out_where_that_pays() {
-    let mut s = settings(Repeat::Safe);
+    let mut s = settings(RepeatPolicy::Safe);
     s.classes[0].least_share = 0.5;
     s.worth_by_work = true;
     let parts = |pressed: bool| {
@@ -178,12 +182,12 @@
 
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_again_with_growing_waits() {
-    let mut router = start(Settings { discovery: Discovery::Asked, ..settings(Repeat::Safe) }, &["a"]);
+    let mut router = start(Settings { discovery: Discovery::Asked, ..settings(RepeatPolicy::Safe) }, &["a"]);
     let mut asked = Vec::new();
     let mut now = 5.0;
     while now < 20_000.0 {
         let broken = asked.last().is_some_and(|at| now - at < 5.5);
-        let event = if broken { Event::List(ListNews::Broken) } else { Event::Wake };
+        let event = if broken { Event::List(ListUpdate::Failed) } else { Event::Wake };
         if router.step(now, vec![event]).contains(&Action::Subscribe) {
             asked.push(now);
         }
@@ -197,8 +201,8 @@
 
 #[test]
 fn a_second_step_is_answered_from_its_own_parts() {
-    let mut s = settings(Repeat::Safe);
-    s.classes[0].second_step = 1;
+    let mut s = settings(RepeatPolicy::Safe);
+    s.classes[0].second_step_parts = 1;
     let mut router = start(s, &["a", "b"]);
     let sent = sends(&router.step(10.0, query(1, 1, 3000.0)));
     let first = router.step(60.0, vec![ended("q1.0", 0, &sent[0].1, Outcome::Completed, 50.0)]);
@@ -220,7 +224,7 @@
 #[test]
 fn identical_events_give_identical_actions() {
     let play = || {
-        let mut router = start(settings(Repeat::Safe), &["a", "b", "c"]);
+        let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c"]);
         let mut all = router.step(10.0, (1..9).flat_map(|n| query(n, 3, 3000.0)).collect());
         all.extend(run(&mut router, 15.0, 3000.0));
         all
@@ -231,9 +235,9 @@
 #[test]
 fn contradicting_settings_are_told() {
     let broken = [
-        Settings { classes: Vec::new(), ..settings(Repeat::Safe) },
-        Settings { cells: 0, ..settings(Repeat::Safe) },
-        Settings { tick: 0.0, ..settings(Repeat::Safe) },
+        Settings { classes: Vec::new(), ..settings(RepeatPolicy::Safe) },
+        Settings { cells: 0, ..settings(RepeatPolicy::Safe) },
+        Settings { tick: 0.0, ..settings(RepeatPolicy::Safe) },
     ];
     for settings in broken {
         assert!(ironpaddle::Router::new(settings, 1).is_err());
@@ -242,7 +246,7 @@
 
 /// A settled router: each of `names` has served some queries.
 fn settled(s: Settings, names: &[&str]) -> (ironpaddle::Router, f64) {
-    let mut router = start(Settings { call_parts: 1, ..s }, names);
+    let mut router = start(Settings { max_parts_per_call: 1, ..s }, names);
     let mut now = 10.0;
     for n in 1000..1010 {
         let sent = sends(&router.step(now, query(n, names.len() as u32, now + 3000.0)));
@@ -263,7 +267,7 @@
 fn connections_are_closed_early_where_sends_on_idle_ones_are_lost_and_their_parts_go_again() {
     let names = ["a", "b", "c", "d"];
     let (mut router, now) =
-        settled(Settings { keep_alive: Some(15_000.0), ..settings(Repeat::Safe) }, &names);
+        settled(Settings { keep_alive: Some(15_000.0), ..settings(RepeatPolicy::Safe) }, &names);
     assert_eq!(closed(&run(&mut router, now, now + 1500.0)), 0);
     let now = now + 1500.0;
     let sent = sends(&router.step(now, query(1, 4, now + 3000.0)));
@@ -283,7 +287,7 @@
 fn silence_on_idle_connections_closes_none() {
     let names = ["a", "b", "c", "d"];
     let (mut router, mut now) =
-        settled(Settings { keep_alive: Some(15_000.0), ..settings(Repeat::Safe) }, &names);
+        settled(Settings { keep_alive: Some(15_000.0), ..settings(RepeatPolicy::Safe) }, &names);
     let mut actions = Vec::new();
     for n in 1..=4 {
         // Idle for longer than the aim, then silent for longer than patience, then all is answered.
@@ -300,7 +304,7 @@
 
 #[test]
 fn without_a_told_keep_alive_no_connection_is_closed() {
-    let (mut router, now) = settled(settings(Repeat::Safe), &["a", "b", "c", "d"]);
+    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     let sent = sends(&router.step(now, query(1, 4, now + 3000.0)));
     let events = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::Reset, 1.0)).collect();
     let mut after = router.step(now + 5.0, events);
@@ -311,7 +315,7 @@
 #[test]
 fn a_query_whose_parts_only_kill_is_ended_and_its_kind_is_served_again_later() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    let (mut router, now) = settled(settings(Repeat::Safe), &names);
+    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &names);
     let sent = sends(&router.step(now, query(1, 8, now + 3000.0)));
     let events = sent.iter().take(4).map(|(part, to)| ended(part, 0, to, Outcome::Reset, 5.0)).collect();
     let after = router.step(now + 5.0, events);
@@ -331,7 +335,7 @@
 
 #[test]
 fn a_failed_connection_parks_past_the_quarter_that_bounds_silence() {
-    let (mut router, now) = settled(settings(Repeat::Safe), &["a", "b", "c", "d"]);
+    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     let sent = sends(&router.step(now, query(1, 4, now + 3000.0)));
     let events = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::ConnectFailed, 1.0)).collect();
     let after = router.step(now + 5.0, events);
@@ -343,7 +347,7 @@
 
 #[test]
 fn an_own_stall_parks_nobody_and_calls_nothing_back() {
-    let (mut router, now) = settled(settings(Repeat::Safe), &["a", "b", "c", "d"]);
+    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     assert_eq!(sends(&router.step(now, query(1, 1, now + 3000.0))).len(), 1);
     // The wake asked for within some ticks comes after 900 ms: the silence was this router's.
     let after = router.step(now + 900.0, vec![Event::Wake]);
@@ -355,7 +359,7 @@
 
 #[test]
 fn a_part_turned_away_as_full_keeps_its_last_try_for_a_patience() {
-    let mut router = start(settings(Repeat::Safe), &["a", "b", "c"]);
+    let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c"]);
     let mut to = sends(&router.step(10.0, query(1, 1, 3000.0)))[0].1.clone();
     let second = sends(&router.step(15.0, vec![ended("q1.0", 0, &to, Outcome::Rejected, 1.0)]));
     to.clone_from(&second[0].1);
@@ -367,7 +371,7 @@
 
 #[test]
 fn a_class_turned_away_after_a_bad_moment_is_let_in_again() {
-    let (mut router, mut now) = settled(settings(Repeat::Safe), &["a", "b", "c", "d"]);
+    let (mut router, mut now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     // Queries whose replicas stay silent, until the class is refused at once.
     let refused = (1..200u64).any(|n| {
         now += 250.0;
@@ -408,12 +412,12 @@
 #[test]
 fn a_part_that_its_replica_passed_over_goes_elsewhere_at_once() {
     // The aim is long: patience alone would wait for 20 s.
-    let mut s = settings(Repeat::Safe);
+    let mut s = settings(RepeatPolicy::Safe);
     s.classes[0].aim = 50_000.0;
     let (mut router, now) = settled(s, &["a", "b"]);
     let (lost, actions, now) = lose_one(&mut router, now, "a");
-    let (part, attempt, why) = (lost.as_str().into(), Attempt(0), Why::Overtaken);
-    assert!(actions.contains(&Action::Cancel { part, attempt, why }), "{actions:?}");
+    let (part, attempt, reason) = (lost.as_str().into(), Attempt(0), AttemptReason::Overtaken);
+    assert!(actions.contains(&Action::Cancel { part, attempt, reason }), "{actions:?}");
     assert!(parked(&actions).is_empty(), "it answers others");
     let again = sends(&router.step(now + 5.0, vec![ended(&lost, 0, "a", Outcome::Cancelled, 1.0)]));
     assert_eq!(again, [(lost, "b".to_string())]);
@@ -421,7 +425,7 @@
 
 #[test]
 fn an_unsafe_part_that_was_passed_over_stays_out_and_others_avoid_its_replica() {
-    let mut s = settings(Repeat::Unsafe);
+    let mut s = settings(RepeatPolicy::Unsafe);
     s.classes[0].aim = 50_000.0;
     let (mut router, now) = settled(s, &["a", "b"]);
     let (_, actions, now) = lose_one(&mut router, now, "a");
@@ -432,7 +436,7 @@
 
 #[test]
 fn a_connection_that_breaks_is_one_failure_and_no_kill() {
-    let (mut router, now) = settled(settings(Repeat::Safe), &["a", "b", "c", "d"]);
+    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     let reset = |sent: &[(String, String)], at: &[&str]| -> Vec<Event> {
         let lost = sent.iter().filter(|(_, to)| at.contains(&to.as_str()));
         lost.map(|(part, to)| ended(part, 0, to, Outcome::Reset, 30.0)).collect()
@@ -466,7 +470,7 @@
 fn nothing_is_refused_while_replicas_report_that_they_have_room() {
     let refused = |utilization: Option<f64>| {
         let names = ["a", "b", "c", "d"];
-        let (mut router, mut now) = settled(settings(Repeat::Safe), &names);
+        let (mut router, mut now) = settled(settings(RepeatPolicy::Safe), &names);
         // Three of four queries are slow to the end of their time.
         (1..60u64).any(|n| {
             now += 250.0;
@@ -490,8 +494,8 @@
 
 #[test]
 fn unsafe_parts_avoid_a_replica_that_loses_one_part_in_ten() {
-    let mut s = settings(Repeat::Unsafe);
-    s.classes.push(class(Repeat::Safe));
+    let mut s = settings(RepeatPolicy::Unsafe);
+    s.classes.push(class(RepeatPolicy::Safe));
     let (mut router, mut now) = settled(s, &["a", "b"]);
     // Safe parts go on, and every tenth at `a` is lost; the last eight of those there were all answered.
     let mut at_a = 0;
@@ -523,7 +527,7 @@
 #[test]
 fn resets_at_replicas_that_go_on_answering_hold_nothing_back() {
     let names = ["a", "b", "c", "d"];
-    let (mut router, now) = settled(settings(Repeat::Safe), &names);
+    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &names);
     let sent = sends(&router.step(now, query(1, 16, now + 3000.0)));
     // Half of the fleet breaks a connection; other parts that were there are answered soon after.
     let broken: Vec<_> = sent.iter().filter(|(_, to)| to == "a" || to == "b").collect();
@@ -540,17 +544,17 @@
 #[test]
 fn a_part_given_up_in_silence_goes_again_once_its_attempt_has_ended_and_not_before() {
     let all = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
-    for (queries, parallel_tries) in [(1, false), (1, true), (3, false), (3, true)] {
-        let s = Settings { parallel_tries, ..settings(Repeat::Safe) };
+    for (queries, parallel_attempts) in [(1, false), (1, true), (3, false), (3, true)] {
+        let s = Settings { parallel_attempts, ..settings(RepeatPolicy::Safe) };
         let mut router = start(s, &all);
         let sent = sends(&router.step(10.0, (1..=queries).flat_map(|n| query(n, 1, 3000.0)).collect()));
         let given_up = parked(&run(&mut router, 15.0, 600.0));
         assert!(sent.iter().all(|(_, to)| given_up.contains(to)) && (given_up.len() > 1) == (queries > 1));
-        assert!(sends(&run(&mut router, 605.0, 900.0)).is_empty(), "{queries} {parallel_tries}");
+        assert!(sends(&run(&mut router, 605.0, 900.0)).is_empty(), "{queries} {parallel_attempts}");
         let cancelled = |(part, to): &(String, String)| ended(part, 0, to, Outcome::Cancelled, 895.0);
         let again = sends(&router.step(905.0, sent.iter().map(cancelled).collect()));
         let parts = |sent: &[(String, String)]| sent.iter().map(|(part, _)| part.clone()).collect::<Vec<_>>();
-        assert_eq!(parts(&again), parts(&sent), "{queries} {parallel_tries}");
+        assert_eq!(parts(&again), parts(&sent), "{queries} {parallel_attempts}");
         assert!(again.iter().all(|(_, to)| !given_up.contains(to)), "{again:?}");
     }
 }
