--- a/benches/list.rs
+++ b/benches/list.rs
@@ -4,7 +4,7 @@
 //! `cargo bench --bench list`; the column "max alloc" has the most that was held at once, beside the answer's bytes.
 
 use divan::{AllocProfiler, Bencher};
-use ironpaddle::core::{Core, News};
+use ironpaddle::core::{Core, DirectoryUpdate};
 use ironpaddle::directory::list::List;
 use ironpaddle::http::parse::{Kind, Message, Parser};
 use ironpaddle::settings::Info;
@@ -50,7 +50,7 @@
     panic!("the answer is whole")
 }
 
-fn news(message: Message) -> News {
+fn news(message: Message) -> DirectoryUpdate {
     let list: List = serde_json::from_slice(&message.body).expect("a list");
     list.news()
 }
@@ -80,7 +80,7 @@
 fn take_a_first_list(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
     bencher.with_inputs(|| (core(), news(read(&answer)))).bench_local_values(|(mut core, news)| {
-        core.take_news(news);
+        core.apply_directory_update(news);
         core
     });
 }
@@ -91,12 +91,12 @@
     let answer = answer(lines);
     let known = || {
         let mut core = core();
-        core.take_news(news(read(&answer)));
-        while core.next_order().is_some() {}
+        core.apply_directory_update(news(read(&answer)));
+        while core.next_command().is_some() {}
         (core, news(read(&answer)))
     };
     bencher.with_inputs(known).bench_local_values(|(mut core, news)| {
-        core.take_news(news);
+        core.apply_directory_update(news);
         core
     });
 }
@@ -106,7 +106,7 @@
 fn bytes_to_events(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
     bencher.with_inputs(core).bench_local_values(|mut core| {
-        core.take_news(news(read(&answer)));
+        core.apply_directory_update(news(read(&answer)));
         core
     });
 }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -16,7 +16,7 @@
 use async_io::Timer;
 use ironpaddle::api::{Millis, ReplicaId, ReplicaState};
 use ironpaddle::core::drive::{Directory, Driver, RunStores};
-use ironpaddle::core::{Call, CallNo, Core, News};
+use ironpaddle::core::{Call, CallNo, Core, DirectoryUpdate};
 use ironpaddle::directory::watch::Watch;
 use ironpaddle::settings::Info;
 use serde::{Deserialize, Serialize};
@@ -89,7 +89,7 @@
     poll_fn(|context| {
         let polled = running.as_mut().poll(context);
         // What was told is in force once the step after it is done.
-        let version = Directory::version(&watch).filter(|_| !driver.has_news());
+        let version = Directory::version(&watch).filter(|_| !driver.has_pending_events());
         if let Some(version) = version.filter(|version| known.get().is_none_or(|known| known < *version)) {
             let mut standing = lock(&standing);
             let from = known.replace(Some(version)).map_or(FIRST_INDEX, |known| known + 1);
@@ -104,7 +104,7 @@
 /// The list that an aggregator holds, in a number.
 fn list(driver: &Driver) -> u64 {
     let lines = driver.directory();
-    let line = |line: &ironpaddle::core::Listed| {
+    let line = |line: &ironpaddle::core::ListedRunStore| {
         let drains = line.replica.state != ReplicaState::Active;
         (line.replica.id.0.to_string(), line.replica.cell, drains, line.replica.started)
     };
@@ -135,7 +135,7 @@
                     let driver = Driver::new(core, executor.clone());
                     let watch = Watch::new(driver.clone(), discovery[no % discovery.len()], None);
                     driver.connect(Rc::new(NoStores), Rc::new(watch.clone()));
-                    driver.take_news(News::Cached(Vec::new()));
+                    driver.apply_directory_update(DirectoryUpdate::Cached(Vec::new()));
                     executor.spawn(drive(driver.clone(), watch, clock, held.clone())).detach();
                     drivers.push(driver);
                     while lock(&held).listed + STARTING < drivers.len() {
--- a/src/config.rs
+++ b/src/config.rs
@@ -14,7 +14,7 @@
 use crate::directory::list::List;
 use crate::settings::Info;
 use crate::trace::recorder::Keep;
-use crate::trace::tape;
+use crate::trace::writer;
 
 /// Descriptors kept for everything else: standard streams, the reactor, listeners, discovery, operators' calls.
 const SPARE_DESCRIPTORS: usize = 64;
@@ -134,7 +134,7 @@
     /// The same, for a recorder.
     pub fn keep(&self) -> Keep {
         let bytes = |mb: f64| (mb * 1_048_576.0) as u64;
-        let limits = tape::Limits { bytes: bytes(self.segment_mb), age: self.segment_s * 1000.0 };
+        let limits = writer::Limits { bytes: bytes(self.segment_mb), age: self.segment_s * 1000.0 };
         Keep { dir: self.dir.clone(), limits, most: bytes(self.keep_mb) }
     }
 }
--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -1,29 +1,36 @@
 //! Stage 2, admit: what the limit on held queries and parts has room for goes to the router.
 
 use super::ledger::{Ledger, Part, Query};
-use super::{Ask, Core, Order, QueryNo, Verdict};
+use super::{Command, Core, FinalAnswer, QueryNo, QueryRequest};
 use crate::api::{Cause, ClassIndex, Event, Millis, NewPart, NewQuery, PartId, Shard, TenantIndex};
 
 impl Core {
-    pub(super) fn admit(&mut self, now: Millis, no: QueryNo, class: usize, deadline: Millis, ask: Ask) {
+    pub(super) fn admit(
+        &mut self,
+        now: Millis,
+        no: QueryNo,
+        class: usize,
+        deadline: Millis,
+        ask: QueryRequest,
+    ) {
         // At the limit a query is turned away before the router hears of it, so that what is held
         // stays bounded whatever comes in. Nothing of it has run: a refusal is safe.
         let late = deadline <= now;
         if self.ledger.open() + self.held_elsewhere >= self.max_open || late {
             self.counters.turned_away += 1;
             let cause = if late { Cause::Overdue } else { Cause::MaxOpen };
-            let verdict = Verdict::Refused { retry_after: self.advice(now, class), cause };
+            let verdict = FinalAnswer::Refused { retry_after: self.advice(now, class), cause };
             self.counters.answered(&self.classes.at(class).name, &verdict);
-            self.tape_turned_away(now, no, class, &ask, (deadline, cause));
+            self.trace_turned_away(now, no, class, &ask, (deadline, cause));
             self.say_cause(now, class, cause);
-            self.orders.push_back(Order::Final { query: no, verdict });
+            self.commands.push_back(Command::Answer { query: no, answer: verdict });
             return;
         }
         self.taken_up(now, class);
         let id = Ledger::query_id(no);
         let tenant = ask.tenant.as_ref().and_then(|name| self.tenants.get_key_value(name.as_str()));
         let (group, tenant) = tenant.map(|(name, at)| (name.clone(), *at)).unzip();
-        self.tape_taken(now, no, class, &ask, deadline);
+        self.trace_taken(now, no, class, &ask, deadline);
         self.inbox.push(Event::Query(NewQuery {
             id: id.clone(),
             number: no.0,
@@ -62,7 +69,7 @@
             parts.push(part_id);
         }
         self.ledger.numbers.insert(id, no);
-        let Ask { id: client_id, partial, key, text, .. } = ask;
+        let QueryRequest { id: client_id, partial, key, text, .. } = ask;
         let query = Query { client_id, class, group, taken: now, deadline, partial, key, text, parts };
         self.ledger.queries.insert(no, query);
         self.ledger.deadlines.insert(no, deadline);
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -1,7 +1,7 @@
 //! Stage 6, book: a query gets its one final answer, under the guards that the rules need, and is closed.
 
 use super::ledger::{Ledger, Query};
-use super::{Core, Order, QueryNo, Verdict};
+use super::{Command, Core, FinalAnswer, QueryNo};
 use crate::api::{Cause, Event, Millis, QueryId, RepeatPolicy};
 use crate::hash::draw;
 use ironpaddle_trace::record::How;
@@ -19,14 +19,14 @@
         let Some(no) = self.ledger.numbers.get(id).copied() else { return };
         let Some(query) = self.ledger.queries.get(&no) else { return };
         let class = &self.classes.at(query.class).class;
-        let (pieces, share) = self.ledger.pieces(query);
+        let (answers, share) = self.ledger.answers(query);
         // Guards the rule on honest answers, whatever was asked for: never under the least share, never
         // marked whole unless it is.
         let whole = whole && share + SHARE_SLACK >= class.whole_from;
-        let enough = !pieces.is_empty() && share + SHARE_SLACK >= class.least_share;
+        let enough = !answers.is_empty() && share + SHARE_SLACK >= class.least_share;
         let parts = query.parts.len();
         if enough && (whole || query.partial) {
-            self.close(now, no, Verdict::Served { whole, pieces, parts });
+            self.close(now, no, FinalAnswer::Served { whole, answers, parts });
         } else {
             let class = query.class;
             let verdict = self.failed(now, class, Cause::TooLittle);
@@ -49,35 +49,35 @@
     }
 
     /// A failure; only clients of what is safe to repeat are asked back.
-    fn failed(&mut self, now: Millis, class: usize, cause: Cause) -> Verdict {
+    fn failed(&mut self, now: Millis, class: usize, cause: Cause) -> FinalAnswer {
         let safe = self.classes.at(class).class.repeat == RepeatPolicy::Safe;
-        Verdict::Failed { retry_after: if safe { self.advice(now, class) } else { 0.0 }, cause }
+        FinalAnswer::Failed { retry_after: if safe { self.advice(now, class) } else { 0.0 }, cause }
     }
 
-    pub(super) fn end(&mut self, now: Millis, id: &QueryId, verdict: Verdict) {
+    pub(super) fn end(&mut self, now: Millis, id: &QueryId, verdict: FinalAnswer) {
         if let Some(no) = self.ledger.numbers.get(id).copied() {
             self.close(now, no, verdict);
         }
     }
 
-    fn close(&mut self, now: Millis, no: QueryNo, verdict: Verdict) {
+    fn close(&mut self, now: Millis, no: QueryNo, verdict: FinalAnswer) {
         let Some(query) = self.ledger.queries.get(&no) else { return };
         let class = query.class;
         let unsafe_class = self.classes.at(class).class.repeat == RepeatPolicy::Unsafe;
         // A refusal says that trying again is harmless: never where an unsafe part may have run.
         let verdict = match verdict {
-            Verdict::Refused { cause, .. } if unsafe_class && self.ledger.may_have_run(query) => {
+            FinalAnswer::Refused { cause, .. } if unsafe_class && self.ledger.may_have_run(query) => {
                 self.failed(now, class, cause)
             }
             verdict => verdict,
         };
         self.counters.answered(&self.classes.at(class).name, &verdict);
-        self.tape_verdict(now, no, super::taped::how(&verdict), verdict.cause());
+        self.trace_verdict(now, no, super::trace_events::how(&verdict), verdict.cause());
         if let Some(cause) = verdict.cause() {
             self.say_cause(now, class, cause);
         }
         self.forget(now, no);
-        self.orders.push_back(Order::Final { query: no, verdict });
+        self.commands.push_back(Command::Answer { query: no, answer: verdict });
     }
 
     /// Tells people of a cause, once in a while for each.
@@ -87,7 +87,7 @@
             self.said.insert(cause.code(), now);
             let class = &self.classes.at(class).name;
             let text = format!("not answered: class={class} cause={} ({cause})", cause.code());
-            self.orders.push_back(Order::Log(text));
+            self.commands.push_back(Command::Log(text));
         }
     }
 
@@ -107,7 +107,7 @@
 
     /// The client has left: the router is told, and nothing is owed any more.
     pub fn client_gone(&mut self, now: Millis, no: QueryNo) {
-        self.tape_verdict(now, no, How::Left, None);
+        self.trace_verdict(now, no, How::Left, None);
         if self.forget(now, no).is_some() {
             self.counters.clients_gone += 1;
             self.inbox.push(Event::ClientGone(Ledger::query_id(no)));
@@ -119,20 +119,20 @@
     pub(super) fn end_overdue(&mut self, now: Millis) {
         let overdue = self.ledger.deadlines.overdue(now);
         // The router is late itself, and cannot say why any more.
-        let cause = if self.ledger.places.is_empty() { Cause::NoList } else { Cause::Overdue };
+        let cause = if self.ledger.run_stores.is_empty() { Cause::NoList } else { Cause::Overdue };
         for no in overdue {
             let query = &self.ledger.queries[&no];
             let class = query.class;
             let kind = &self.classes.at(class).class;
-            let (pieces, share) = self.ledger.pieces(query);
-            let enough = !pieces.is_empty() && share + SHARE_SLACK >= kind.least_share;
+            let (answers, share) = self.ledger.answers(query);
+            let enough = !answers.is_empty() && share + SHARE_SLACK >= kind.least_share;
             let safe = kind.repeat == RepeatPolicy::Safe || !self.ledger.may_have_run(query);
             let verdict = if enough && query.partial {
-                Verdict::Served { whole: false, pieces, parts: query.parts.len() }
+                FinalAnswer::Served { whole: false, answers, parts: query.parts.len() }
             } else if now >= self.ends && safe {
-                Verdict::Refused { retry_after: self.advice(now, class), cause }
+                FinalAnswer::Refused { retry_after: self.advice(now, class), cause }
             } else {
-                Verdict::Failed { retry_after: 0.0, cause }
+                FinalAnswer::Failed { retry_after: 0.0, cause }
             };
             self.close(now, no, verdict);
             self.inbox.push(Event::ClientGone(Ledger::query_id(no)));
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -13,8 +13,10 @@
 use ironpaddle_trace::num::Num;
 use ironpaddle_trace::record::Progress;
 
-use super::legacy::Legacy;
-use super::{Ask, Call, CallEnd, CallNo, Core, News, NotTaken, Order, QueryNo, Verdict};
+use super::takeover::TakeoverState;
+use super::{
+    Call, CallEnd, CallNo, Command, Core, DirectoryUpdate, FinalAnswer, InvalidQuery, QueryNo, QueryRequest,
+};
 use crate::api::{Cause, LoadReport, Millis, ReplicaId};
 use crate::counters::{Counters, Gauges};
 use crate::settings::Info;
@@ -28,7 +30,7 @@
     /// attempt is over: it then ends by one [`Driver::call_ended`] once its run store has read that it was given up, has
     /// answered it, has ended its connection, or can never have had it whole. That may never be; the core then gives it
     /// up once more, with its end booked.
-    fn give_up(&self, replica: &ReplicaId, no: CallNo, prove: bool);
+    fn give_up(&self, replica: &ReplicaId, no: CallNo, await_proof: bool);
     /// Starts a probe. It ends by one [`Driver::probe_ended`] or by its time.
     fn probe(&self, replica: &ReplicaId, no: CallNo);
     /// The time of a probe is over.
@@ -51,7 +53,7 @@
 
 /// A directory of run stores.
 pub trait Directory {
-    /// Starts the watch unless it is on. News go to [`Driver::take_news`].
+    /// Starts the watch unless it is on. News go to [`Driver::apply_directory_update`].
     fn watch(&self);
     /// The version of the list that was told last, if lists have versions here.
     fn version(&self) -> Option<u64> {
@@ -77,13 +79,13 @@
 const MOST_WAIT_S: f64 = 1e9;
 
 /// Where a query's verdict goes, and the timer of its deadline.
-type Waiting = (Sender<Verdict>, Task<()>);
+type Waiting = (Sender<FinalAnswer>, Task<()>);
 
 /// A query that was taken. Dropped before its verdict, it counts as left by its client.
 pub struct Pending {
     driver: Rc<Driver>,
     no: QueryNo,
-    verdict: Receiver<Verdict>,
+    verdict: Receiver<FinalAnswer>,
 }
 
 impl Driver {
@@ -185,8 +187,8 @@
     /// An operator has called.
     pub fn note_call(&self, call: &str) {
         let now = self.now();
-        if let Some(tape) = self.core.borrow_mut().tape() {
-            tape.call(now, call);
+        if let Some(trace_writer) = self.core.borrow_mut().trace_writer() {
+            trace_writer.call(now, call);
         }
     }
 
@@ -209,21 +211,21 @@
 
     /// Takes a run store out by hand, or brings it back; `false` if no such was ever listed. From the return on
     /// nothing more is begun there.
-    pub fn by_hand(self: &Rc<Self>, now: Millis, id: &ReplicaId, out: bool) -> bool {
-        let known = self.core.borrow_mut().by_hand(now, id, out);
-        self.carry_out();
+    pub fn set_manual_drain(self: &Rc<Self>, now: Millis, id: &ReplicaId, out: bool) -> bool {
+        let known = self.core.borrow_mut().set_manual_drain(now, id, out);
+        self.run_commands();
         known
     }
 
     /// The same, as another process of this aggregator was told at some time.
-    pub fn told_by_hand(self: &Rc<Self>, at: Millis, id: &ReplicaId, out: bool) {
-        self.core.borrow_mut().told_by_hand(at, id, out);
-        self.carry_out();
+    pub fn apply_manual_drain(self: &Rc<Self>, at: Millis, id: &ReplicaId, out: bool) {
+        self.core.borrow_mut().apply_manual_drain(at, id, out);
+        self.run_commands();
     }
 
     /// What a process that takes over is to know.
-    pub fn legacy(&self) -> Legacy {
-        self.core.borrow().legacy()
+    pub fn takeover_state(&self) -> TakeoverState {
+        self.core.borrow().takeover_state()
     }
 
     /// Queries and parts that are held.
@@ -321,7 +323,7 @@
     }
 
     /// The list of run stores as last told.
-    pub fn directory(&self) -> Vec<super::Listed> {
+    pub fn directory(&self) -> Vec<super::ListedRunStore> {
         self.core.borrow().directory()
     }
 
@@ -329,7 +331,7 @@
     ///
     /// # Errors
     /// Says why it was not taken.
-    pub fn ask(self: &Rc<Self>, ask: Ask) -> Result<Pending, NotTaken> {
+    pub fn ask(self: &Rc<Self>, ask: QueryRequest) -> Result<Pending, InvalidQuery> {
         let now = self.now();
         let wait = self.core.borrow().wait_of(&ask.class, ask.timeout).unwrap_or(0.0) - ask.waited;
         let no = self.core.borrow_mut().take_in(now, ask)?;
@@ -337,7 +339,7 @@
         // The query's own timer: the step after it fails whatever is still held.
         let timer = self.wake_at(self.instant(now + wait));
         self.waiting.borrow_mut().insert(no, (sender, timer));
-        self.carry_out();
+        self.run_commands();
         Ok(Pending { driver: self.clone(), no, verdict })
     }
 
@@ -357,10 +359,10 @@
     }
 
     /// News of the list of run stores.
-    pub fn take_news(self: &Rc<Self>, news: News) {
+    pub fn apply_directory_update(self: &Rc<Self>, news: DirectoryUpdate) {
         self.note_clock();
-        self.core.borrow_mut().take_news(news);
-        self.carry_out();
+        self.core.borrow_mut().apply_directory_update(news);
+        self.run_commands();
     }
 
     /// Steps the core whenever something happened or is due, at most once a tick.
@@ -387,7 +389,7 @@
             self.note_clock();
             let now = self.now();
             self.core.borrow_mut().step(now);
-            self.carry_out();
+            self.run_commands();
             if let Some(control) = self.recording.get() {
                 control.pump(&mut self.core.borrow_mut(), now);
             }
@@ -400,46 +402,46 @@
     }
 
     /// Whether something that was told waits for the next step.
-    pub fn has_news(&self) -> bool {
-        self.core.borrow().has_news()
+    pub fn has_pending_events(&self) -> bool {
+        self.core.borrow().has_pending_events()
     }
 
     fn wake(&self) {
         let _ = self.signal.0.try_send(());
     }
 
-    fn carry_out(self: &Rc<Self>) {
+    fn run_commands(self: &Rc<Self>) {
         loop {
             // The borrow ends before the order is carried out, as that may report back at once.
-            let order = self.core.borrow_mut().next_order();
-            let Some(order) = order else { break };
-            self.carry(order);
+            let command = self.core.borrow_mut().next_command();
+            let Some(command) = command else { break };
+            self.run_command(command);
         }
-        if self.has_news() {
+        if self.has_pending_events() {
             self.wake();
         }
     }
 
-    fn carry(self: &Rc<Self>, order: Order) {
+    fn run_command(self: &Rc<Self>, command: Command) {
         let Some(stores) = self.stores.get() else { return };
-        match order {
-            Order::Send(call) => {
+        match command {
+            Command::Send(call) => {
                 let (driver, no, until) = (self.clone(), call.no, self.instant(call.until));
                 let timer = self.executor.spawn(async move {
                     Timer::at(until).await;
                     let now = driver.now();
                     driver.core.borrow_mut().call_timed_out(now, no);
-                    driver.carry_out();
+                    driver.run_commands();
                 });
                 self.timers.borrow_mut().insert(no, timer);
                 stores.send(call);
             }
-            Order::GiveUp { replica, no, prove } => {
-                stores.give_up(&replica, no, prove);
+            Command::Abandon { replica, no, await_proof } => {
+                stores.give_up(&replica, no, await_proof);
                 let timer = self.timers.borrow_mut().remove(&no);
                 drop(timer);
             }
-            Order::Probe { replica, no } => {
+            Command::Probe { replica, no } => {
                 let (driver, id) = (self.clone(), replica.clone());
                 let limit = Duration::from_secs_f64(self.core.borrow().probe_timeout() / 1000.0);
                 let timer = self.executor.spawn(async move {
@@ -452,20 +454,20 @@
                 self.timers.borrow_mut().insert(no, timer);
                 stores.probe(&replica, no);
             }
-            Order::CloseIdle(replica) => stores.close_idle(&replica),
-            Order::Retire(replica) => stores.retire(&replica),
-            Order::Locate { replica, address, started } => stores.locate(&replica, address, started),
-            Order::Watch => {
+            Command::CloseIdle(replica) => stores.close_idle(&replica),
+            Command::Retire(replica) => stores.retire(&replica),
+            Command::Locate { replica, address, started } => stores.locate(&replica, address, started),
+            Command::Watch => {
                 if let Some(directory) = self.directory.get() {
                     directory.watch();
                 }
             }
-            Order::Final { query, verdict } => {
+            Command::Answer { query, answer } => {
                 if let Some((sender, _timer)) = self.waiting.borrow_mut().remove(&query) {
-                    let _ = sender.try_send(verdict);
+                    let _ = sender.try_send(answer);
                 }
             }
-            Order::Log(text) => crate::log::line(&text),
+            Command::Log(text) => crate::log::line(&text),
         }
     }
 }
@@ -487,14 +489,14 @@
 
 impl Pending {
     /// Waits for the final answer.
-    pub async fn verdict(&self) -> Verdict {
-        self.verdict.recv().await.unwrap_or(Verdict::Failed { retry_after: 0.0, cause: Cause::Overdue })
+    pub async fn verdict(&self) -> FinalAnswer {
+        self.verdict.recv().await.unwrap_or(FinalAnswer::Failed { retry_after: 0.0, cause: Cause::Overdue })
     }
 }
 
 impl Pending {
     /// The same, by an earlier time if one is told meanwhile.
-    pub async fn verdict_before(&self, sooner: Receiver<Instant>) -> Verdict {
+    pub async fn verdict_before(&self, sooner: Receiver<Instant>) -> FinalAnswer {
         let end_sooner = async {
             while let Ok(at) = sooner.recv().await {
                 self.driver.end_query_by(self.no, at);
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use super::{CallNo, Piece, QueryNo};
+use super::{CallNo, PartAnswer, QueryNo};
 use crate::api::{Attempt, Millis, Outcome, PartId, QueryId, Replica, ReplicaId};
 use crate::exact::OrderedTime;
 
@@ -69,9 +69,9 @@
 
 /// What is known of a run store's place.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
+pub struct RunStoreEntry {
     /// Its line in the list as last told.
-    pub told: Replica,
+    pub listed: Replica,
     /// The line as it holds here, under what operators say.
     pub replica: Replica,
     /// Where it listens, and since when its process runs.
@@ -87,7 +87,7 @@
     pub(super) out: HashMap<CallNo, Out>,
     pub(super) calls: HashMap<(PartId, Attempt), CallNo>,
     pub(super) probes: Probes,
-    pub(super) places: BTreeMap<ReplicaId, Place>,
+    pub(super) run_stores: BTreeMap<ReplicaId, RunStoreEntry>,
     /// The deadline of each query, so that a step looks only at those that are over.
     pub(super) deadlines: Deadlines,
     /// Parts that are not in.
@@ -178,16 +178,16 @@
     }
 
     /// The answers that are in, and their weight.
-    pub(super) fn pieces(&self, query: &Query) -> (Vec<Piece>, f64) {
+    pub(super) fn answers(&self, query: &Query) -> (Vec<PartAnswer>, f64) {
         let mut weight = 0.0;
-        let mut pieces = Vec::with_capacity(query.parts.len());
+        let mut answers = Vec::with_capacity(query.parts.len());
         for part in query.parts.iter().filter_map(|id| self.parts.get(id)) {
             if let Some(value) = &part.value {
                 weight += part.weight;
-                pieces.push(Piece { shard: part.shard, value: value.clone() });
+                answers.push(PartAnswer { shard: part.shard, value: value.clone() });
             }
         }
-        (pieces, weight)
+        (answers, weight)
     }
 
     /// Whether any part of a query may have run or is out.
--- a/src/core/ledger/tests.rs
+++ b/src/core/ledger/tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::api::{Outcome, ReplicaState};
-use crate::core::{Ask, AskPart, CallEnd, Core, Listed, News, Order};
+use crate::core::{CallEnd, Command, Core, DirectoryUpdate, ListedRunStore, PartRequest, QueryRequest};
 use crate::settings::Info;
 
 /// Something that may happen to a core; numbers stand for any of what is there.
@@ -53,18 +53,18 @@
     Core::new(&info, 7).unwrap()
 }
 
-fn list(states: &[ReplicaState]) -> News {
+fn list(states: &[ReplicaState]) -> DirectoryUpdate {
     let line = |(no, state): (usize, &ReplicaState)| {
         let id = format!("s-{no}").as_str().into();
         let replica = Replica { id, state: *state, weight: 1.0, ..Replica::default() };
-        Listed { replica, address: Some(([127, 0, 0, 1], 9).into()) }
+        ListedRunStore { replica, address: Some(([127, 0, 0, 1], 9).into()) }
     };
-    News::Changes(states.iter().enumerate().map(line).collect())
+    DirectoryUpdate::Changes(states.iter().enumerate().map(line).collect())
 }
 
-fn ask(parts: u32, timeout: f64, partial: bool) -> Ask {
-    let part = |shard| AskPart { shard, weight: 1.0 / f64::from(parts), hint: None, key: None };
-    Ask {
+fn ask(parts: u32, timeout: f64, partial: bool) -> QueryRequest {
+    let part = |shard| PartRequest { shard, weight: 1.0 / f64::from(parts), hint: None, key: None };
+    QueryRequest {
         id: "r".into(),
         class: "search".into(),
         tenant: None,
@@ -115,7 +115,7 @@
             *now += time;
             core.step(*now);
         }
-        Happens::Lists(ref states) => core.take_news(list(states)),
+        Happens::Lists(ref states) => core.apply_directory_update(list(states)),
         Happens::EndsBy(at) => core.end_by(*now + at),
     }
 }
@@ -142,13 +142,13 @@
     fn indexes_equal_a_recount_after_any_history(history in prop::collection::vec(happens(), 1..150)) {
         let mut core = core();
         let mut now = 0.0;
-        core.take_news(list(&[ReplicaState::Active; 3]));
+        core.apply_directory_update(list(&[ReplicaState::Active; 3]));
         core.step(now);
         for what in &history {
             happen(&mut core, &mut now, what);
             recount(&core.ledger, now);
-            while let Some(order) = core.next_order() {
-                if let Order::Final { query, .. } = order {
+            while let Some(command) = core.next_command() {
+                if let Command::Answer { query, .. } = command {
                     assert!(!core.ledger.queries.contains_key(&query), "it is closed");
                 }
             }
--- a/src/core/hand.rs
+++ b/src/core/manual_drain.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Core, News};
+use super::{Core, DirectoryUpdate};
 use crate::api::{Millis, Replica, ReplicaId, ReplicaState};
 
 /// Ids of run stores that were listed once which are remembered.
@@ -17,7 +17,7 @@
 
 /// Run stores of which operators have spoken.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Hand {
+pub struct ManualDrains {
     out: BTreeSet<ReplicaId>,
     /// When each that is back was called back.
     back: BTreeMap<ReplicaId, Millis>,
@@ -64,7 +64,7 @@
     }
 }
 
-impl Hand {
+impl ManualDrains {
     /// A line of the list as it holds here.
     pub(super) fn over(&self, told: &Replica) -> Replica {
         let mut line = told.clone();
@@ -86,29 +86,29 @@
 impl Core {
     /// Takes a run store out by hand, or brings it back; `false` if no such was ever listed. Said again, it
     /// changes nothing.
-    pub fn by_hand(&mut self, now: Millis, id: &ReplicaId, out: bool) -> bool {
-        let known = self.ledger.places.contains_key(id) || self.hand.gone.contains(id);
+    pub fn set_manual_drain(&mut self, now: Millis, id: &ReplicaId, out: bool) -> bool {
+        let known = self.ledger.run_stores.contains_key(id) || self.manual_drains.gone.contains(id);
         if known {
-            self.told_by_hand(now, id, out);
+            self.apply_manual_drain(now, id, out);
         }
         known
     }
 
     /// The same, as another process of this aggregator was told at some time: there it was listed.
-    pub fn told_by_hand(&mut self, at: Millis, id: &ReplicaId, out: bool) {
+    pub fn apply_manual_drain(&mut self, at: Millis, id: &ReplicaId, out: bool) {
         let changed = match out {
-            true => self.hand.out.insert(id.clone()),
-            false => self.hand.out.remove(id),
+            true => self.manual_drains.out.insert(id.clone()),
+            false => self.manual_drains.out.remove(id),
         };
         if changed {
-            let places = &self.ledger.places;
-            self.hand.back.retain(|id, since| places.contains_key(id) || at - *since < BACK_FOR);
+            let places = &self.ledger.run_stores;
+            self.manual_drains.back.retain(|id, since| places.contains_key(id) || at - *since < BACK_FOR);
             if !out {
-                self.hand.back.insert(id.clone(), at);
+                self.manual_drains.back.insert(id.clone(), at);
             }
             // The list as last told, under what operators say now. It is none that the directory has sent, so that
             // a watch that is being waited for is still waited for.
-            self.take_news(News::Cached(self.directory()));
+            self.apply_directory_update(DirectoryUpdate::Cached(self.directory()));
         }
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Fronts, run-store transports and directories meet it through the small types
 //! of this file. [`Core`] itself does no input or output and reads no clock: it
-//! is told what happened and when, and hands out [`Order`]s. [`drive::Driver`]
+//! is told what happened and when, and hands out [`Command`]s. [`drive::Driver`]
 //! gives it a clock, timers and the outside world.
 //!
 //! A request passes the stages [`take_in`], [`admit`], [`route`], [`send`],
@@ -12,14 +12,14 @@
 pub mod book;
 pub mod classes;
 pub mod drive;
-pub mod hand;
 pub mod ledger;
-pub mod legacy;
+pub mod manual_drain;
 pub mod relay;
 pub mod route;
 pub mod send;
 pub mod take_in;
-pub mod taped;
+pub mod takeover;
+pub mod trace_events;
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -32,15 +32,15 @@
 use crate::hash::mix;
 use crate::settings::Info;
 use crate::starts::StartTimes;
-use crate::trace::tape::{InForce, Tape};
+use crate::trace::writer::{ActiveSettings, TraceWriter};
 use crate::Router;
 use classes::Classes;
-use hand::Hand;
-use ledger::{Ledger, Place};
+use ledger::{Ledger, RunStoreEntry};
+use manual_drain::ManualDrains;
 
 /// A query as a front took it from its client.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct QueryRequest {
     /// The client's id of the query; part ids on the wires are made from it.
     pub id: String,
     /// The name of its class.
@@ -58,14 +58,14 @@
     /// The key by which run stores know its repeats, in a keyed class; see [`Core::is_keyed`].
     pub key: Option<Arc<str>>,
     /// Its parts.
-    pub parts: Vec<AskPart>,
+    pub parts: Vec<PartRequest>,
     /// What each part has to carry to its run store.
     pub text: Rc<[u8]>,
 }
 
-/// A part of an [`Ask`].
+/// A part of an [`QueryRequest`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct AskPart {
+pub struct PartRequest {
     /// Its shard.
     pub shard: u32,
     /// Its share of the answer.
@@ -76,9 +76,9 @@
     pub key: Option<Arc<str>>,
 }
 
-/// Why an [`Ask`] was not taken. Nothing is owed for it.
+/// Why an [`QueryRequest`] was not taken. Nothing is owed for it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum InvalidQuery {
     /// Its class is not in the settings.
     UnknownClass,
     /// It contradicts itself; the text says how.
@@ -95,13 +95,13 @@
 
 /// The one final answer to a query.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict {
+pub enum FinalAnswer {
     /// Served from the parts that are in.
     Served {
         /// Whether the answer is whole.
         whole: bool,
         /// The parts that are in.
-        pieces: Vec<Piece>,
+        answers: Vec<PartAnswer>,
         /// The number of parts that were asked for.
         parts: usize,
     },
@@ -121,19 +121,19 @@
     },
 }
 
-impl Verdict {
+impl FinalAnswer {
     /// Why it is no answer, if it is none.
     pub fn cause(&self) -> Option<Cause> {
         match self {
-            Verdict::Served { .. } => None,
-            Verdict::Refused { cause, .. } | Verdict::Failed { cause, .. } => Some(*cause),
+            FinalAnswer::Served { .. } => None,
+            FinalAnswer::Refused { cause, .. } | FinalAnswer::Failed { cause, .. } => Some(*cause),
         }
     }
 }
 
 /// A part's answer, as a run store gave it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Piece {
+pub struct PartAnswer {
     /// The part's shard.
     pub shard: u32,
     /// The value, unchanged.
@@ -195,7 +195,7 @@
 
 /// A line of a directory: the router's view of a run store, and where it listens.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct ListedRunStore {
     /// The router's view.
     pub replica: crate::api::Replica,
     /// The address it listens on; `None` on a line that only says it is gone.
@@ -204,32 +204,32 @@
 
 /// News from a directory.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum DirectoryUpdate {
     /// The list as it was last known, maybe old.
-    Cached(Vec<Listed>),
+    Cached(Vec<ListedRunStore>),
     /// The whole list.
-    Full(Vec<Listed>),
+    Full(Vec<ListedRunStore>),
     /// The lines that changed.
-    Changes(Vec<Listed>),
+    Changes(Vec<ListedRunStore>),
     /// The directory could not be asked; the old list stands.
-    Broken,
+    Failed,
     /// A watch on the directory has fallen silent: it is broken, and what it missed is not known.
     Silent,
 }
 
 /// Something for the outside world to do.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Order {
+pub enum Command {
     /// Carry out an attempt.
     Send(Call),
     /// Give up an attempt.
-    GiveUp {
+    Abandon {
         /// The run store.
         replica: ReplicaId,
         /// The attempt.
         no: CallNo,
         /// Whether it is waited for until it is proved to be over there. Else its end is already booked.
-        prove: bool,
+        await_proof: bool,
     },
     /// Probe a run store.
     Probe {
@@ -254,11 +254,11 @@
     /// Watch the directory.
     Watch,
     /// Give a query its final answer.
-    Final {
+    Answer {
         /// The query.
         query: QueryNo,
         /// The answer.
-        verdict: Verdict,
+        answer: FinalAnswer,
     },
     /// A line for the people on call.
     Log(String),
@@ -275,7 +275,7 @@
     /// When the log last told of each cause.
     said: BTreeMap<&'static str, Millis>,
     /// The recording, if one is on.
-    tape: Option<Box<Tape>>,
+    trace_writer: Option<Box<TraceWriter>>,
     max_open: usize,
     /// Queries and parts that another process of this aggregator holds.
     held_elsewhere: usize,
@@ -285,7 +285,7 @@
     ends: Millis,
     probe_timeout: Millis,
     ledger: Ledger,
-    hand: Hand,
+    manual_drains: ManualDrains,
     /// When run stores started, and the time now by the clock that they are placed on, once it was told.
     starts: StartTimes,
     clock: Option<Millis>,
@@ -301,7 +301,7 @@
     advice: RetryAdvice,
     /// Events that wait for the next step.
     inbox: Vec<Event>,
-    orders: VecDeque<Order>,
+    commands: VecDeque<Command>,
     wake: Option<Millis>,
     /// What was counted.
     pub counters: Counters,
@@ -319,7 +319,7 @@
             tenants: BTreeMap::new(),
             settings: Settings::default(),
             info: info.clone(),
-            tape: None,
+            trace_writer: None,
             said: BTreeMap::new(),
             max_open: 0,
             held_elsewhere: 0,
@@ -327,7 +327,7 @@
             ends: Millis::INFINITY,
             probe_timeout: 0.0,
             ledger: Ledger::default(),
-            hand: Hand::default(),
+            manual_drains: ManualDrains::default(),
             starts: StartTimes::default(),
             clock: None,
             began: None,
@@ -337,7 +337,7 @@
             chance: mix(seed),
             advice: RetryAdvice::default(),
             inbox: Vec::new(),
-            orders: VecDeque::new(),
+            commands: VecDeque::new(),
             wake: None,
             counters: Counters::default(),
         };
@@ -368,7 +368,7 @@
         self.max_open = info.caps.max_open() as usize;
         self.shards = info.domain.shards;
         self.probe_timeout = info.caps.connect_timeout_ms();
-        self.tape_settings();
+        self.trace_settings();
         Ok(())
     }
 
@@ -423,7 +423,7 @@
     }
 
     /// Whether something waits for a step.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending_events(&self) -> bool {
         !self.inbox.is_empty() || self.watching().is_broken()
     }
 
@@ -447,25 +447,25 @@
 
     /// The number of run stores of which anything is kept.
     pub fn run_stores(&self) -> usize {
-        self.ledger.places.len()
+        self.ledger.run_stores.len()
     }
 
     /// What is so just now, for the figures.
     pub fn gauges(&self) -> Gauges {
         let parked: HashSet<_> = self.router.parked().collect();
-        let places = self.ledger.places.iter();
-        let ejected = |(id, place): &(&ReplicaId, &Place)| {
+        let places = self.ledger.run_stores.iter();
+        let ejected = |(id, place): &(&ReplicaId, &RunStoreEntry)| {
             place.replica.state != ReplicaState::Active || parked.contains(id)
         };
         Gauges {
             active: self.ledger.queries.len(),
-            pool_size: self.ledger.places.len(),
+            pool_size: self.ledger.run_stores.len(),
             pool_ejected: places.filter(ejected).count(),
         }
     }
 
     /// Takes the next order, in the order of their making.
-    pub fn next_order(&mut self) -> Option<Order> {
-        self.orders.pop_front()
+    pub fn next_command(&mut self) -> Option<Command> {
+        self.commands.pop_front()
     }
 }
--- a/src/core/send.rs
+++ b/src/core/send.rs
@@ -1,7 +1,7 @@
 //! Stage 4, send: an attempt gets its record and goes to the transport, or ends at once.
 
 use super::ledger::Out;
-use super::{Call, CallEnd, CallNo, Core, Order};
+use super::{Call, CallEnd, CallNo, Command, Core};
 use crate::api::{Attempt, Millis, Outcome, PartId, ReplicaId, ReplicaState};
 
 impl Core {
@@ -18,7 +18,8 @@
         let out = Out { part: part.clone(), attempt, replica: replica.clone(), sent: now, given_up: None };
         self.ledger.out.insert(no, out);
         self.ledger.calls.insert((part, attempt), no);
-        let active = |id| self.ledger.places.get(id).is_some_and(|p| p.replica.state == ReplicaState::Active);
+        let active =
+            |id| self.ledger.run_stores.get(id).is_some_and(|p| p.replica.state == ReplicaState::Active);
         let Some(query) = self.ledger.queries.get(&of).filter(|_| !copy && active(&replica)) else {
             self.call_ended(now, no, CallEnd::bare(Outcome::NotSent));
             return;
@@ -26,7 +27,7 @@
         self.counters.sent += 1;
         let until = (now + timeout).min(query.deadline);
         let repeat = self.classes.at(query.class).class.repeat;
-        self.orders.push_back(Order::Send(Call {
+        self.commands.push_back(Command::Send(Call {
             no,
             replica,
             part: format!("{}.{shard}", query.client_id),
@@ -57,7 +58,7 @@
         }
         if let Some(out) = self.ledger.out.get_mut(&no).filter(|out| out.given_up.is_none()) {
             out.given_up = Some(outcome);
-            self.orders.push_back(Order::GiveUp { replica: out.replica.clone(), no, prove: true });
+            self.commands.push_back(Command::Abandon { replica: out.replica.clone(), no, await_proof: true });
         }
     }
 
@@ -75,7 +76,11 @@
     /// An attempt ends for the router at once, and the transport forgets it.
     fn let_go(&mut self, now: Millis, no: CallNo, outcome: Outcome) {
         if let Some(out) = self.ledger.out.get(&no) {
-            self.orders.push_back(Order::GiveUp { replica: out.replica.clone(), no, prove: false });
+            self.commands.push_back(Command::Abandon {
+                replica: out.replica.clone(),
+                no,
+                await_proof: false,
+            });
             self.call_ended(now, no, CallEnd::bare(outcome));
         }
     }
--- a/src/core/take_in.rs
+++ b/src/core/take_in.rs
@@ -1,6 +1,6 @@
-//! Stage 1, take in: an [`Ask`] is checked and gets its number.
+//! Stage 1, take in: an [`QueryRequest`] is checked and gets its number.
 
-use super::{Ask, Core, NotTaken, QueryNo};
+use super::{Core, InvalidQuery, QueryNo, QueryRequest};
 use crate::api::Millis;
 
 /// The most parts that one query may have.
@@ -10,19 +10,19 @@
 
 impl Core {
     /// Takes a query in, or says why not. Once taken it gets exactly one
-    /// [`super::Order::Final`], unless its client goes first.
+    /// [`super::Command::Answer`], unless its client goes first.
     ///
     /// # Errors
     /// Says why the query was not taken; nothing is owed for it then.
-    pub fn take_in(&mut self, now: Millis, ask: Ask) -> Result<QueryNo, NotTaken> {
-        let class = self.classes.named(&ask.class).ok_or(NotTaken::UnknownClass)?;
-        check(&ask).map_err(NotTaken::Malformed)?;
+    pub fn take_in(&mut self, now: Millis, ask: QueryRequest) -> Result<QueryNo, InvalidQuery> {
+        let class = self.classes.named(&ask.class).ok_or(InvalidQuery::UnknownClass)?;
+        check(&ask).map_err(InvalidQuery::Malformed)?;
         if ask.key.is_none() && self.is_keyed(&ask.class) {
-            return Err(NotTaken::Malformed("a query of this class needs a key".into()));
+            return Err(InvalidQuery::Malformed("a query of this class needs a key".into()));
         }
         // A part of a shard that does not exist would reach run stores that do not hold it.
         if let Some(part) = ask.parts.iter().find(|part| self.shards.is_some_and(|most| part.shard >= most)) {
-            return Err(NotTaken::Malformed(format!("there is no shard {}", part.shard)));
+            return Err(InvalidQuery::Malformed(format!("there is no shard {}", part.shard)));
         }
         let most = self.classes.at(class).deadline;
         // No client waits longer than its class's give-up time; a longer wish would only hold memory. Its time counts
@@ -35,7 +35,7 @@
     }
 }
 
-fn check(ask: &Ask) -> Result<(), String> {
+fn check(ask: &QueryRequest) -> Result<(), String> {
     if ask.parts.is_empty() {
         return Err("a query needs at least one part".into());
     }
--- a/src/core/legacy.rs
+++ b/src/core/takeover.rs
@@ -2,16 +2,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::hand::Hand;
+use super::manual_drain::ManualDrains;
 use super::Core;
 use crate::settings::Info;
 use crate::starts::StartTimes;
 
 /// What the rules see as one aggregator's, beside the list of run stores.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Legacy {
+pub struct TakeoverState {
     /// What operators have said.
-    pub hand: Hand,
+    #[serde(rename = "hand")]
+    pub manual_drains: ManualDrains,
     /// When run stores started, by the clock that both share; a process of an older version does not say.
     #[serde(default)]
     starts: StartTimes,
@@ -23,9 +24,9 @@
 
 impl Core {
     /// What the process that takes over is to know.
-    pub fn legacy(&self) -> Legacy {
-        Legacy {
-            hand: self.hand.clone(),
+    pub fn takeover_state(&self) -> TakeoverState {
+        TakeoverState {
+            manual_drains: self.manual_drains.clone(),
             starts: self.starts.clone(),
             learned: self.router.export_learned(),
             classes: self.classes.order(),
@@ -36,12 +37,12 @@
     ///
     /// # Errors
     /// Says which setting contradicts itself.
-    pub fn inherit(&mut self, info: &Info, legacy: Legacy) -> Result<bool, String> {
-        self.hand = legacy.hand;
-        self.starts = legacy.starts;
-        self.classes.in_order(&legacy.classes, info);
+    pub fn restore_takeover_state(&mut self, info: &Info, state: TakeoverState) -> Result<bool, String> {
+        self.manual_drains = state.manual_drains;
+        self.starts = state.starts;
+        self.classes.in_order(&state.classes, info);
         self.apply_settings(info)?;
-        Ok(self.router.import_learned(&legacy.learned))
+        Ok(self.router.import_learned(&state.learned))
     }
 
     /// Queries and parts that are held.
--- /dev/null
+++ b/src/core/trace_events.rs
@@ -0,0 +1,168 @@
+//! What the core tells a recording, where one is on.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use ironpaddle_trace::record::{How, Progress};
+
+use super::{ActiveSettings, Call, Core, FinalAnswer, QueryNo, QueryRequest, TraceWriter};
+use crate::api::{Cause, Millis};
+use crate::trace::writer::QueryEnd;
+use crate::trace::MODULE;
+
+/// How a verdict counts.
+pub(super) fn how(verdict: &FinalAnswer) -> How {
+    match verdict {
+        FinalAnswer::Served { whole: true, .. } => How::Whole,
+        FinalAnswer::Served { whole: false, .. } => How::Partial,
+        FinalAnswer::Refused { .. } => How::Refused,
+        FinalAnswer::Failed { .. } => How::Failed,
+    }
+}
+
+/// The group of a query, if the settings name it.
+fn group_of<'a>(groups: &'a BTreeMap<Arc<str>, usize>, ask: &QueryRequest) -> Option<&'a Arc<str>> {
+    groups.get_key_value(ask.tenant.as_deref()?).map(|(name, _)| name)
+}
+
+impl Core {
+    /// Records from now on, or no more; gives back the tape that was on.
+    pub fn record(&mut self, now: Millis, trace_writer: Option<TraceWriter>) -> Option<TraceWriter> {
+        let before = std::mem::replace(&mut self.trace_writer, trace_writer.map(Box::new));
+        self.trace_segment(now);
+        before.map(|trace_writer| *trace_writer)
+    }
+
+    /// The recording, if one is on.
+    pub fn trace_writer(&mut self) -> Option<&mut TraceWriter> {
+        self.trace_writer.as_deref_mut()
+    }
+
+    /// Records the counts if they are due.
+    pub fn trace_due(&mut self, now: Millis) {
+        if let Some(trace_writer) = &mut self.trace_writer {
+            trace_writer.counts(now, &self.counters, self.ledger.queries.len(), false);
+        }
+    }
+
+    /// Ends the recording in good order, by the last counts.
+    pub fn trace_last(&mut self, now: Millis) {
+        if let Some(trace_writer) = &mut self.trace_writer {
+            trace_writer.counts(now, &self.counters, self.ledger.queries.len(), true);
+            trace_writer.end(now);
+        }
+    }
+
+    fn in_force(&self) -> ActiveSettings<'_> {
+        let mut groups: Vec<_> = self.tenants.iter().map(|(name, at)| (*at, name.clone())).collect();
+        groups.sort_unstable();
+        ActiveSettings {
+            settings: &self.settings,
+            text: serde_json::to_string(&self.info).unwrap_or_default(),
+            classes: self.classes.order().iter().map(|name| Arc::from(name.as_str())).collect(),
+            groups: groups.into_iter().map(|(_, name)| name).collect(),
+        }
+    }
+
+    /// Begins a segment if one is due: between two steps, when the module's state is all there is.
+    pub(super) fn trace_segment(&mut self, now: Millis) {
+        if !self.trace_writer.as_ref().is_some_and(|trace_writer| trace_writer.wants_segment(now)) {
+            return;
+        }
+        if let Some(mut trace_writer) = self.trace_writer.take() {
+            if let Ok(state) = postcard::to_stdvec(&self.router) {
+                trace_writer.begin(now, *MODULE, state, self.in_force());
+            }
+            self.trace_writer = Some(trace_writer);
+        }
+    }
+
+    pub(super) fn trace_settings(&mut self) {
+        if let Some(mut trace_writer) = self.trace_writer.take() {
+            trace_writer.settings(self.in_force());
+            self.trace_writer = Some(trace_writer);
+        }
+    }
+
+    pub(super) fn trace_taken(
+        &mut self,
+        now: Millis,
+        no: QueryNo,
+        class: usize,
+        ask: &QueryRequest,
+        deadline: Millis,
+    ) {
+        if let Some(trace_writer) = &mut self.trace_writer {
+            let (class, group) = (&self.classes.at(class).name, group_of(&self.tenants, ask));
+            trace_writer.taken(
+                now,
+                (no.0, &ask.id),
+                class,
+                group,
+                (ask.parts.len(), deadline - now, ask.retried),
+            );
+        }
+    }
+
+    /// A query that is refused before the module hears of it.
+    pub(super) fn trace_turned_away(
+        &mut self,
+        now: Millis,
+        no: QueryNo,
+        class: usize,
+        ask: &QueryRequest,
+        (until, cause): (Millis, Cause),
+    ) {
+        self.trace_taken(now, no, class, ask, until);
+        if let Some(trace_writer) = &mut self.trace_writer {
+            trace_writer.verdict(
+                now,
+                &QueryEnd {
+                    query: no.0,
+                    class: &self.classes.at(class).name,
+                    group: group_of(&self.tenants, ask),
+                    taken: now,
+                    how: How::Refused,
+                    cause: Some(cause),
+                    parts_in: 0,
+                    parts: ask.parts.len(),
+                },
+            );
+        }
+    }
+
+    /// A request of a class was answered with an error before it became a query.
+    pub fn not_taken(&mut self, now: Millis, class: &str) {
+        self.counters.not_taken(class);
+        if let Some(trace_writer) = &mut self.trace_writer {
+            trace_writer.not_taken(now, self.classes.names().find(|name| ***name == *class));
+        }
+    }
+
+    /// An attempt has got so far on its connection.
+    pub fn progress(&mut self, now: Millis, call: &Call, progress: Progress) {
+        if let Some(trace_writer) = &mut self.trace_writer {
+            trace_writer.wire(now, call.of.0 .0, call.shard, call.of.1, progress);
+        }
+    }
+
+    /// The end of a query that is still held.
+    pub(super) fn trace_verdict(&mut self, now: Millis, no: QueryNo, how: How, cause: Option<Cause>) {
+        let Some(trace_writer) = &mut self.trace_writer else { return };
+        let Some(query) = self.ledger.queries.get(&no) else { return };
+        let is_in = |id: &&_| self.ledger.parts.get(id).is_some_and(|part| part.value.is_some());
+        trace_writer.verdict(
+            now,
+            &QueryEnd {
+                query: no.0,
+                class: &self.classes.at(query.class).name,
+                group: query.group.as_ref(),
+                taken: query.taken,
+                how,
+                cause,
+                parts_in: query.parts.iter().filter(is_in).count(),
+                parts: query.parts.len(),
+            },
+        );
+    }
+}
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::api::Outcome;
-use crate::core::Verdict;
+use crate::core::FinalAnswer;
 
 /// How the requests of a class ended. One whose client left first is in none of these.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -71,18 +71,18 @@
 }
 
 impl Counters {
-    pub(crate) fn answered(&mut self, class: &Arc<str>, verdict: &Verdict) {
+    pub(crate) fn answered(&mut self, class: &Arc<str>, verdict: &FinalAnswer) {
         let ends = self.classes.entry(class.clone()).or_default();
         *match verdict {
-            Verdict::Served { .. } => &mut ends.ok,
-            Verdict::Refused { .. } => &mut ends.shed,
-            Verdict::Failed { .. } => &mut ends.errors,
+            FinalAnswer::Served { .. } => &mut ends.ok,
+            FinalAnswer::Refused { .. } => &mut ends.shed,
+            FinalAnswer::Failed { .. } => &mut ends.errors,
         } += 1;
         *match verdict {
-            Verdict::Served { whole: true, .. } => &mut self.whole,
-            Verdict::Served { whole: false, .. } => &mut self.partial,
-            Verdict::Refused { .. } => &mut self.refused,
-            Verdict::Failed { .. } => &mut self.failed,
+            FinalAnswer::Served { whole: true, .. } => &mut self.whole,
+            FinalAnswer::Served { whole: false, .. } => &mut self.partial,
+            FinalAnswer::Refused { .. } => &mut self.refused,
+            FinalAnswer::Failed { .. } => &mut self.failed,
         } += 1;
         if let Some(cause) = verdict.cause() {
             *self.causes.entry((class.clone(), cause.code())).or_default() += 1;
--- a/src/directory/dns_sd.rs
+++ b/src/directory/dns_sd.rs
@@ -19,7 +19,7 @@
 use super::{Reload, Target};
 use crate::config::{Config, DnsSd as Place};
 use crate::core::drive::{Directory, Driver};
-use crate::core::{Listed, News};
+use crate::core::{DirectoryUpdate, ListedRunStore};
 use crate::http::client::within;
 use crate::log::{self, Reason};
 use crate::net::Stream;
@@ -68,7 +68,7 @@
         log::ended("dns", Some(server), reason, why);
         // The core decides when to ask again.
         self.on.set(false);
-        self.driver.take_news(News::Broken);
+        self.driver.apply_directory_update(DirectoryUpdate::Failed);
     }
 
     /// Looks again and again until a look fails.
@@ -81,11 +81,11 @@
                     return io::Error::new(io::ErrorKind::InvalidData, "no run store is listed");
                 }
                 Ok(list) if *self.last.borrow() != list => {
-                    self.driver.take_news(list.clone().news());
+                    self.driver.apply_directory_update(list.clone().news());
                     *self.last.borrow_mut() = list;
                 }
                 // Nothing new, which the core is to know once, when it starts to watch.
-                Ok(_) => self.driver.take_news(News::Changes(Vec::new())),
+                Ok(_) => self.driver.apply_directory_update(DirectoryUpdate::Changes(Vec::new())),
                 Err(why) => return why,
             }
             Timer::after(span(place.refresh_ms)).await;
@@ -108,7 +108,7 @@
     }
 
     /// The line of a run store; `None` if its records do not tell enough.
-    async fn instance(&self, name: &Name, known: &[Record]) -> io::Result<Option<Listed>> {
+    async fn instance(&self, name: &Name, known: &[Record]) -> io::Result<Option<ListedRunStore>> {
         let mut records = known.to_vec();
         let of = |records: &[Record], wanted: fn(&Data) -> bool| {
             records.iter().any(|record| dns::same(&record.name, name) && wanted(&record.data))
@@ -215,7 +215,7 @@
 }
 
 /// A run store's line from its TXT record; `None` without a `group`.
-fn line(name: &str, address: SocketAddr, texts: &[Vec<u8>]) -> Option<Listed> {
+fn line(name: &str, address: SocketAddr, texts: &[Vec<u8>]) -> Option<ListedRunStore> {
     let value = |key: &str| {
         texts.iter().filter_map(|text| std::str::from_utf8(text).ok()).find_map(|text| {
             let (known, value) = text.split_once('=')?;
--- a/src/directory/list.rs
+++ b/src/directory/list.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use crate::api::{Replica, ReplicaId, ReplicaState};
-use crate::core::{Listed, News};
+use crate::core::{DirectoryUpdate, ListedRunStore};
 
 /// The most lines of one list: the next power of two over the 57,000 run stores that are planned for. A line is held
 /// several times while a list is taken in, so that it is their number that bounds the memory it takes.
@@ -32,7 +32,7 @@
     pub snapshot: bool,
     /// The lines, [`MOST_LINES`] at most.
     #[serde(default, serialize_with = "write", deserialize_with = "read")]
-    pub endpoints: Vec<Listed>,
+    pub endpoints: Vec<ListedRunStore>,
 }
 
 /// A line of the list as it is written.
@@ -66,11 +66,11 @@
 
 impl Line<'_> {
     /// The line for the core.
-    pub fn listed(&self) -> Listed {
+    pub fn listed(&self) -> ListedRunStore {
         self.listed_in(self.zone.as_ref().into())
     }
 
-    fn listed_in(&self, zone: Arc<str>) -> Listed {
+    fn listed_in(&self, zone: Arc<str>) -> ListedRunStore {
         let replica = Replica {
             id: ReplicaId::from(self.name.as_ref()),
             zone,
@@ -84,12 +84,12 @@
             weight: self.weight,
             started: Some(self.since_ms).filter(|since| *since > 0.0),
         };
-        Listed { replica, address: self.address.parse().ok() }
+        ListedRunStore { replica, address: self.address.parse().ok() }
     }
 }
 
-impl<'a> From<&'a Listed> for Line<'a> {
-    fn from(line: &'a Listed) -> Self {
+impl<'a> From<&'a ListedRunStore> for Line<'a> {
+    fn from(line: &'a ListedRunStore) -> Self {
         let status = match line.replica.state {
             ReplicaState::Active => "ready",
             ReplicaState::Draining => "draining",
@@ -107,11 +107,11 @@
     }
 }
 
-fn write<S: Serializer>(lines: &[Listed], serializer: S) -> Result<S::Ok, S::Error> {
+fn write<S: Serializer>(lines: &[ListedRunStore], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_seq(lines.iter().map(Line::from))
 }
 
-fn read<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Listed>, D::Error> {
+fn read<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<ListedRunStore>, D::Error> {
     deserializer.deserialize_seq(Lines)
 }
 
@@ -119,13 +119,13 @@
 struct Lines;
 
 impl<'de> Visitor<'de> for Lines {
-    type Value = Vec<Listed>;
+    type Value = Vec<ListedRunStore>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "at most {MOST_LINES} lines")
     }
 
-    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Vec<Listed>, A::Error> {
+    fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Vec<ListedRunStore>, A::Error> {
         let mut zones: BTreeSet<Arc<str>> = BTreeSet::new();
         let mut lines = Vec::new();
         while let Some(line) = seq.next_element::<Line>()? {
@@ -145,16 +145,16 @@
 
 impl List {
     /// A whole list of such lines.
-    pub fn of(endpoints: Vec<Listed>) -> Self {
+    pub fn of(endpoints: Vec<ListedRunStore>) -> Self {
         List { index: 0, snapshot: true, endpoints }
     }
 
     /// As news.
-    pub fn news(self) -> News {
+    pub fn news(self) -> DirectoryUpdate {
         if self.snapshot {
-            News::Full(self.endpoints)
+            DirectoryUpdate::Full(self.endpoints)
         } else {
-            News::Changes(self.endpoints)
+            DirectoryUpdate::Changes(self.endpoints)
         }
     }
 }
--- a/src/directory/watch.rs
+++ b/src/directory/watch.rs
@@ -14,7 +14,7 @@
 use crate::asking::{CALL, SILENT_AFTER, WAIT};
 use crate::config::Config;
 use crate::core::drive::{Directory, Driver};
-use crate::core::News;
+use crate::core::DirectoryUpdate;
 use crate::directory::list::{List, MOST_BYTES};
 use crate::http::client::{within, Client};
 use crate::http::parse::Message;
@@ -66,7 +66,11 @@
         self.ended(address, why.kind().into(), &why.to_string());
         // The core decides when to ask again.
         self.on.set(false);
-        self.driver.take_news(if self.silent.get() { News::Silent } else { News::Broken });
+        self.driver.apply_directory_update(if self.silent.get() {
+            DirectoryUpdate::Silent
+        } else {
+            DirectoryUpdate::Failed
+        });
     }
 
     fn ended(&self, address: SocketAddr, reason: Reason, why: &str) {
@@ -89,7 +93,7 @@
             match answer {
                 Ok(list) => {
                     self.index.set(Some(list.index));
-                    self.driver.take_news(list.news());
+                    self.driver.apply_directory_update(list.news());
                 }
                 Err(error) => return error,
             }
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -15,7 +15,7 @@
 use serde_json::json;
 
 use crate::core::drive::{millis, Driver};
-use crate::core::{Ask, AskPart, NotTaken, Verdict};
+use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
 use crate::http::door::Door;
 use crate::http::inbox::Arrived;
 use crate::http::parse::{Bad, Message};
@@ -52,7 +52,7 @@
         error(status, kind, &why)
     }
 
-    fn ask(&self, search: &Search, arrived: &Arrived) -> Result<Ask, Refusal> {
+    fn ask(&self, search: &Search, arrived: &Arrived) -> Result<QueryRequest, Refusal> {
         let request = &arrived.message;
         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
         let weight = 1.0 / shards.len().max(1) as f64;
@@ -68,7 +68,7 @@
         let keyed = self.driver.is_keyed(&search.index);
         let key = keyed.then(|| super::key(&request.headers)).transpose();
         let key = key.map_err(|why| Refusal(400, "illegal_argument_exception", why))?.map(Into::into);
-        Ok(Ask {
+        Ok(QueryRequest {
             id: request
                 .headers
                 .get("x-opaque-id")
@@ -80,7 +80,10 @@
             retried: false,
             partial: search.partial,
             key,
-            parts: shards.into_iter().map(|shard| AskPart { shard, weight, hint: None, key: None }).collect(),
+            parts: shards
+                .into_iter()
+                .map(|shard| PartRequest { shard, weight, hint: None, key: None })
+                .collect(),
             text: carry(&search.for_shards(), &request.body).into(),
         })
     }
@@ -108,11 +111,11 @@
                             echo(render(&verdict, &search, &shards, took), opaque)
                         });
                     }
-                    Ok((search, Err(NotTaken::UnknownClass))) => {
+                    Ok((search, Err(InvalidQuery::UnknownClass))) => {
                         let why = format!("no such index [{}]", search.index);
                         self.reject(index, Refusal(404, "index_not_found_exception", why))
                     }
-                    Ok((_, Err(NotTaken::Malformed(why)))) => {
+                    Ok((_, Err(InvalidQuery::Malformed(why)))) => {
                         self.reject(index, Refusal(400, "illegal_argument_exception", why))
                     }
                     Err(refusal) => self.reject(index, refusal),
@@ -158,24 +161,24 @@
     Response::new(status, "application/json; charset=UTF-8", body.to_string())
 }
 
-fn render(verdict: &Verdict, search: &Search, shards: &[u32], took: u64) -> Response {
-    let (whole, pieces) = match verdict {
-        Verdict::Served { whole, pieces, .. } => (*whole, pieces),
-        Verdict::Refused { retry_after, cause } => {
+fn render(verdict: &FinalAnswer, search: &Search, shards: &[u32], took: u64) -> Response {
+    let (whole, answers) = match verdict {
+        FinalAnswer::Served { whole, answers, .. } => (*whole, answers),
+        FinalAnswer::Refused { retry_after, cause } => {
             let why = format!("{cause}; asking again is harmless");
             return back_off(error(429, "rejected_execution_exception", &why), *retry_after);
         }
-        Verdict::Failed { retry_after, cause } => {
+        FinalAnswer::Failed { retry_after, cause } => {
             let why = cause.to_string();
             return back_off(error(500, "search_phase_execution_exception", &why), *retry_after);
         }
     };
-    let answers = pieces.iter().map(|piece| &piece.value[..]);
-    let merged = match merge::merge(answers, &search.order, search.from, search.size) {
+    let values = answers.iter().map(|answer| &answer.value[..]);
+    let merged = match merge::merge(values, &search.order, search.from, search.size) {
         Ok(merged) => merged,
         Err(why) => return error(500, "search_phase_execution_exception", &why),
     };
-    let missing = shards.iter().filter(|shard| pieces.iter().all(|piece| piece.shard != **shard));
+    let missing = shards.iter().filter(|shard| answers.iter().all(|answer| answer.shard != **shard));
     let failures: Vec<_> = missing
         .map(|shard| {
             let reason =
@@ -184,7 +187,7 @@
         })
         .collect();
     let mut counts = json!({
-        "total": shards.len(), "successful": pieces.len(), "skipped": 0, "failed": failures.len(),
+        "total": shards.len(), "successful": answers.len(), "skipped": 0, "failed": failures.len(),
     });
     if !failures.is_empty() {
         counts["failures"] = failures.into();
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::drive::{millis, Driver, Pending};
-use crate::core::{Ask, AskPart, NotTaken, Verdict};
+use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
 use crate::http::door::Door;
 use crate::http::inbox::Arrived;
 use crate::http::parse::{Bad, Message};
@@ -87,8 +87,8 @@
         let held = Held { id: ask.id.clone(), all: self.held.clone() };
         match self.driver.ask(ask) {
             Ok(pending) => Ok((held, pending)),
-            Err(NotTaken::UnknownClass) => Err(self.reject(class, 404, "no such class")),
-            Err(NotTaken::Malformed(why)) => Err(self.reject(class, 400, &why)),
+            Err(InvalidQuery::UnknownClass) => Err(self.reject(class, 404, "no such class")),
+            Err(InvalidQuery::Malformed(why)) => Err(self.reject(class, 400, &why)),
         }
     }
 
@@ -146,7 +146,7 @@
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
-fn read(arrived: &Arrived, in_path: &str, keyed: bool) -> Result<Ask, String> {
+fn read(arrived: &Arrived, in_path: &str, keyed: bool) -> Result<QueryRequest, String> {
     let request = &arrived.message;
     let header = |name: &str| request.headers.get(name);
     let class = header("x-priority-class").unwrap_or(in_path);
@@ -168,13 +168,13 @@
     if !body.slices.iter().all(|slice| hint(slice) && term(slice)) {
         return Err("micros must not be negative, and a term is 16 hex digits".into());
     }
-    let part = |slice: Slice| AskPart {
+    let part = |slice: Slice| PartRequest {
         shard: slice.slice,
         weight: slice.mass,
         hint: slice.micros.map(|micros| micros / 1000.0),
         key: slice.term.map(Into::into),
     };
-    Ok(Ask {
+    Ok(QueryRequest {
         id: id.to_string(),
         class: class.to_string(),
         tenant: tenant.map(str::to_string),
@@ -199,11 +199,11 @@
     number.map(|number| number * scale).ok_or_else(|| "X-Timeout is not a number and a unit".into())
 }
 
-fn render(verdict: &Verdict) -> Response {
+fn render(verdict: &FinalAnswer) -> Response {
     match verdict {
-        Verdict::Served { whole, pieces, .. } => {
-            let item = |piece: &'_ crate::core::Piece| (piece.shard, piece.value.clone());
-            let kept: Vec<_> = pieces.iter().map(item).collect();
+        FinalAnswer::Served { whole, answers, .. } => {
+            let item = |answer: &'_ crate::core::PartAnswer| (answer.shard, answer.value.clone());
+            let kept: Vec<_> = answers.iter().map(item).collect();
             let items = kept.iter();
             let items =
                 items.map(|(slice, value)| Item { slice: *slice, body: String::from_utf8_lossy(value) });
@@ -213,11 +213,11 @@
                 Err(error) => Response::text(500, &error.to_string()),
             }
         }
-        Verdict::Refused { retry_after, cause } => {
+        FinalAnswer::Refused { retry_after, cause } => {
             let why = format!("refused, trying again is harmless: {cause}");
             Response::text(503, &why).retry_after(*retry_after)
         }
-        Verdict::Failed { retry_after, cause } => {
+        FinalAnswer::Failed { retry_after, cause } => {
             Response::text(500, &format!("failed: {cause}")).retry_after(*retry_after)
         }
     }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::api::{Millis, ReplicaId};
-use crate::core::legacy::Legacy;
+use crate::core::takeover::TakeoverState;
 use crate::directory::list::List;
 use crate::http::client::within;
 use crate::store::Entry;
@@ -40,7 +40,8 @@
     /// See `list`.
     pub discovery: Option<SocketAddr>,
     /// What the core leaves.
-    pub legacy: Legacy,
+    #[serde(rename = "legacy")]
+    pub takeover_state: TakeoverState,
     /// What the old process's clock shows, by which all times in this count; one of an older version does not say.
     #[serde(default)]
     pub now: Option<Millis>,
@@ -106,7 +107,7 @@
     /// The other process is gone: serve as before, unless this one is to end.
     fn stand_up(&self);
     /// Operators have spoken to the other process.
-    fn told_by_hand(&self, at: Millis, id: &ReplicaId, out: bool);
+    fn apply_manual_drain(&self, at: Millis, id: &ReplicaId, out: bool);
     /// The other process holds this, or is gone.
     fn leave_room(&self, held: Option<Held>);
 }
@@ -157,8 +158,8 @@
             Err(error) => return error,
         };
         match word {
-            Word::Out(id) => process.told_by_hand(0.0, &id, true),
-            Word::Back(id, at) => process.told_by_hand(at, &id, false),
+            Word::Out(id) => process.apply_manual_drain(0.0, &id, true),
+            Word::Back(id, at) => process.apply_manual_drain(at, &id, false),
             Word::Held(held) => process.leave_room(Some(held)),
             Word::Serving => serving(),
             Word::Hello { .. } | Word::Ending | Word::No(_) | Word::State(_) => {
--- a/src/log.rs
+++ b/src/log.rs
@@ -15,7 +15,7 @@
 use tracing_subscriber::{Layer, Registry};
 
 use crate::api::Cause;
-use crate::core::Verdict;
+use crate::core::FinalAnswer;
 
 /// Why a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -182,12 +182,12 @@
 }
 
 /// A query's end: at level debug, as there are many.
-pub fn verdict(query: &str, verdict: &Verdict) {
+pub fn verdict(query: &str, verdict: &FinalAnswer) {
     let how = match verdict {
-        Verdict::Served { whole: true, .. } => "whole",
-        Verdict::Served { whole: false, .. } => "partial",
-        Verdict::Refused { .. } => "refused",
-        Verdict::Failed { .. } => "failed",
+        FinalAnswer::Served { whole: true, .. } => "whole",
+        FinalAnswer::Served { whole: false, .. } => "partial",
+        FinalAnswer::Refused { .. } => "refused",
+        FinalAnswer::Failed { .. } => "failed",
     };
     let cause = verdict.cause().map_or("-", Cause::code);
     tracing::debug!(target: "ironpaddle::query", query, how, cause, "query {query} {how} cause={cause}");
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -91,7 +91,7 @@
 
     fn by_hand(&self, id: &str, out: bool) -> Response {
         let (at, id) = (self.driver.now(), ReplicaId::from(id));
-        if !self.driver.by_hand(at, &id, out) {
+        if !self.driver.set_manual_drain(at, &id, out) {
             return Response::text(404, "no such run store was ever listed");
         }
         self.wire.say(if out { Word::Out(id.clone()) } else { Word::Back(id.clone(), at) });
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -17,7 +17,7 @@
 use crate::api::{Millis, ReplicaId};
 use crate::config::{Api, Config};
 use crate::core::drive::{Directory, Driver, RunStores};
-use crate::core::{Core, News};
+use crate::core::{Core, DirectoryUpdate};
 use crate::directory::dns_sd::DnsSd;
 use crate::directory::list::List;
 use crate::directory::watch::Watch;
@@ -80,8 +80,9 @@
         let info = settle_settings(&config, store.as_ref().map(|(store, _)| &**store))?;
         let mut core = Core::new(&info, config.seed()).map_err(|why| format!("key settings: {why}"))?;
         if let Some(state) = &state {
-            let read =
-                core.inherit(&info, state.legacy.clone()).map_err(|why| format!("key settings: {why}"))?;
+            let read = core
+                .restore_takeover_state(&info, state.takeover_state.clone())
+                .map_err(|why| format!("key settings: {why}"))?;
             log::line(if read {
                 "handover: taken over"
             } else {
@@ -108,7 +109,7 @@
         let (known, version) = known_list(&config, state.as_ref(), store.as_ref().map(|(store, _)| &**store));
         let (listing, reload) = directory(&config, version, &driver)?;
         driver.connect(stores, listing);
-        driver.take_news(News::Cached(known.endpoints));
+        driver.apply_directory_update(DirectoryUpdate::Cached(known.endpoints));
         executor.spawn(driver.clone().run()).detach();
         if let Some((store, _)) = &store {
             executor.spawn(keep_directory(store.clone(), driver.clone())).detach();
@@ -201,7 +202,7 @@
         State {
             list,
             discovery: self.reloads.discovery(),
-            legacy: self.driver.legacy(),
+            takeover_state: self.driver.takeover_state(),
             now: Some(self.driver.now()),
             shut: self.door.is_shut_by_hand(),
             recording: self.driver.recording().map(Control::is_on),
@@ -228,8 +229,8 @@
         }
     }
 
-    fn told_by_hand(&self, at: Millis, id: &ReplicaId, out: bool) {
-        self.driver.told_by_hand(at, id, out);
+    fn apply_manual_drain(&self, at: Millis, id: &ReplicaId, out: bool) {
+        self.driver.apply_manual_drain(at, id, out);
     }
 
     fn leave_room(&self, held: Option<Held>) {
--- a/src/trace/control.rs
+++ b/src/trace/control.rs
@@ -7,7 +7,7 @@
 use ironpaddle_trace::keep::Job;
 
 use super::recorder::{Keep, Recorder, Standing};
-use super::tape::Tape;
+use super::writer::TraceWriter;
 use crate::api::Millis;
 use crate::core::Core;
 use crate::log;
@@ -61,8 +61,8 @@
     /// Has a recorder write what the core does from now on.
     pub fn begin(&self, recorder: Recorder, core: &mut Core, clock: impl Fn() -> Millis + 'static) {
         *self.recorder.borrow_mut() = Some(recorder);
-        let tape = Tape::new(self.source.clone(), self.keep.limits, self.segment.get());
-        core.record(clock(), Some(tape));
+        let trace_writer = TraceWriter::new(self.source.clone(), self.keep.limits, self.segment.get());
+        core.record(clock(), Some(trace_writer));
         let closed = self.closed.clone();
         log::watch(Some(Box::new(move |kind, peer, code, note| {
             let mut closed = closed.borrow_mut();
@@ -75,10 +75,10 @@
     /// Switches it off, in good order.
     pub fn stop(&self, core: &mut Core, now: Millis) {
         self.pump(core, now);
-        core.tape_last(now);
+        core.trace_last(now);
         self.pump(core, now);
-        if let Some(tape) = core.record(now, None) {
-            self.segment.set(tape.next_segment());
+        if let Some(trace_writer) = core.record(now, None) {
+            self.segment.set(trace_writer.next_segment());
         }
         if let Some(recorder) = &mut *self.recorder.borrow_mut() {
             recorder.finish();
@@ -88,46 +88,46 @@
 
     /// Has a new segment begun.
     pub fn rotate(&self, core: &mut Core) {
-        if let Some(tape) = core.tape() {
-            tape.rotate();
+        if let Some(trace_writer) = core.trace_writer() {
+            trace_writer.rotate();
         }
     }
 
     /// Hands over what is to be written.
     pub fn pump(&self, core: &mut Core, now: Millis) {
-        core.tape_due(now);
-        let Some(tape) = core.tape() else { return };
-        self.count_lost(tape);
+        core.trace_due(now);
+        let Some(trace_writer) = core.trace_writer() else { return };
+        self.count_lost(trace_writer);
         for (at, kind, peer, code, note) in self.closed.take() {
-            tape.closed(at, &kind, &peer, &code, &note);
+            trace_writer.closed(at, &kind, &peer, &code, &note);
         }
-        if !tape.tick(now) {
+        if !trace_writer.tick(now) {
             return;
         }
         let mut recorder = self.recorder.borrow_mut();
         let Some(recorder) = &mut *recorder else { return };
         if recorder.is_begun() {
-            tape.begun();
-            self.untold.set(tape.untold());
+            trace_writer.begun();
+            self.untold.set(trace_writer.untold());
         }
         if let Some(records) = recorder.failed() {
-            tape.lost(now, now, records);
+            trace_writer.lost(now, now, records);
         }
-        while let Some(job) = tape.next_job() {
+        while let Some(job) = trace_writer.next_job() {
             let from = first(&job).unwrap_or(now);
             let records = recorder.take(job);
             if records > 0 {
-                tape.lost(now, from, records);
+                trace_writer.lost(now, from, records);
             }
         }
-        self.count_lost(tape);
-        tape.grown(recorder.size());
+        self.count_lost(trace_writer);
+        trace_writer.grown(recorder.size());
     }
 
     /// Adds up what was lost since this was called last.
-    fn count_lost(&self, tape: &Tape) {
-        let before = self.untold.replace(tape.untold());
-        self.lost.set(self.lost.get() + tape.untold().saturating_sub(before));
+    fn count_lost(&self, trace_writer: &TraceWriter) {
+        let before = self.untold.replace(trace_writer.untold());
+        self.lost.set(self.lost.get() + trace_writer.untold().saturating_sub(before));
     }
 
     /// How it stands.
--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -1,13 +1,13 @@
 //! Recording what an aggregator sees and decides, and playing it again.
 //!
-//! The format and its tools are the package `ironpaddle-trace`; here is what ties them to this program. [`tape`]
+//! The format and its tools are the package `ironpaddle-trace`; here is what ties them to this program. [`writer`]
 //! collects, [`recorder`] writes, [`control`] ties both together, [`replay`] feeds a recording to the decision module again. See `docs/TRACE.md`.
 
 pub mod control;
 pub mod convert;
 pub mod recorder;
 pub mod replay;
-pub mod tape;
+pub mod writer;
 
 use std::sync::LazyLock;
 
--- a/src/trace/recorder.rs
+++ b/src/trace/recorder.rs
@@ -13,7 +13,7 @@
 
 use ironpaddle_trace::keep::{Done, Job, Keeper, Storage};
 
-use super::tape::{records_of, Limits};
+use super::writer::{records_of, Limits};
 use crate::log;
 
 /// Jobs that wait for the disk: some seconds of a busy aggregator, some MB at most.
--- a/src/trace/tape.rs
+++ b/src/trace/writer.rs
@@ -38,7 +38,7 @@
 }
 
 /// The settings as a tape writes them down.
-pub struct InForce<'a> {
+pub struct ActiveSettings<'a> {
     /// For the module.
     pub settings: &'a Settings,
     /// The settings object.
@@ -50,7 +50,7 @@
 }
 
 /// A query, as its end is written down.
-pub struct Ended<'a> {
+pub struct QueryEnd<'a> {
     /// Its number.
     pub query: u64,
     /// Its class.
@@ -70,7 +70,7 @@
 }
 
 /// A recording that is on.
-pub struct Tape {
+pub struct TraceWriter {
     source: Source,
     limits: Limits,
     batch: Batch,
@@ -94,10 +94,10 @@
     keys: bool,
 }
 
-impl Tape {
+impl TraceWriter {
     /// A recording of a process, whose next segment has some number.
     pub fn new(source: Source, limits: Limits, segment: u64) -> Self {
-        Tape {
+        TraceWriter {
             source,
             limits,
             batch: Batch::default(),
@@ -127,7 +127,7 @@
     }
 
     /// Begins a segment by the module's state, as itself has written it, and the settings in force.
-    pub fn begin(&mut self, now: Millis, module: u64, state: Vec<u8>, in_force: InForce) {
+    pub fn begin(&mut self, now: Millis, module: u64, state: Vec<u8>, in_force: ActiveSettings) {
         self.close_block();
         self.keys = in_force.settings.warm_keys;
         let source = Source { settings: in_force.text.clone(), ..self.source.clone() };
@@ -149,7 +149,7 @@
         }
     }
 
-    fn told(&mut self, in_force: InForce) -> Told {
+    fn told(&mut self, in_force: ActiveSettings) -> Told {
         let batch = &mut self.batch;
         Told {
             module: convert::settings_out(in_force.settings),
@@ -274,7 +274,7 @@
     }
 
     /// Other settings.
-    pub fn settings(&mut self, in_force: InForce) {
+    pub fn settings(&mut self, in_force: ActiveSettings) {
         self.keys = in_force.settings.warm_keys;
         if self.is_open() {
             let (at, told) = (self.clock, self.told(in_force));
@@ -305,7 +305,7 @@
     }
 
     /// A query has its end.
-    pub fn verdict(&mut self, at: Millis, ended: &Ended) {
+    pub fn verdict(&mut self, at: Millis, ended: &QueryEnd) {
         self.note(at, |batch| {
             Record::Verdict(Verdict {
                 query: ended.query,
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -399,9 +399,9 @@
         self.put(call, Link::push);
     }
 
-    fn give_up(&self, replica: &ReplicaId, no: CallNo, prove: bool) {
+    fn give_up(&self, replica: &ReplicaId, no: CallNo, await_proof: bool) {
         let unsent = self.take_waiting(|call| call.no == no);
-        if prove {
+        if await_proof {
             self.report(
                 unsent.into_iter().map(|no| Ended::Call(no, CallEnd::bare(Outcome::NotSent))).collect(),
             );
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -444,8 +444,8 @@
         self.queue(&replica, Job::Search(call));
     }
 
-    fn give_up(&self, replica: &ReplicaId, no: CallNo, prove: bool) {
-        if prove {
+    fn give_up(&self, replica: &ReplicaId, no: CallNo, await_proof: bool) {
+        if await_proof {
             self.call_back(replica, no);
         } else {
             self.take_back(replica, no);
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use ironpaddle::api::{Outcome, ReplicaState};
-use ironpaddle::core::{Call, CallEnd, Core, News, Order, QueryNo, Verdict};
+use ironpaddle::core::{Call, CallEnd, Command, Core, DirectoryUpdate, FinalAnswer, QueryNo};
 use ironpaddle::settings::Info;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -54,7 +54,7 @@
     .unwrap();
     let mut core = Core::new(&info, 7).unwrap();
     let line = |name: &str| fixture::listed(name, ReplicaState::Active, 0.0);
-    core.take_news(News::Cached(vec![line("a"), line("b")]));
+    core.apply_directory_update(DirectoryUpdate::Cached(vec![line("a"), line("b")]));
     core
 }
 
@@ -77,9 +77,9 @@
     }
 
     fn look(&mut self, core: &mut Core) {
-        while let Some(order) = core.next_order() {
-            match order {
-                Order::Send(call) => {
+        while let Some(command) = core.next_command() {
+            match command {
+                Command::Send(call) => {
                     assert!(
                         self.out.iter().all(|known| known.part != call.part),
                         "a second copy of {}",
@@ -88,16 +88,16 @@
                     self.out.push(call);
                 }
                 // What is to be proved over may still end in any way.
-                Order::GiveUp { no, prove, .. } => {
-                    self.proved += u64::from(prove);
-                    self.out.retain(|call| prove || call.no != no);
+                Command::Abandon { no, await_proof, .. } => {
+                    self.proved += u64::from(await_proof);
+                    self.out.retain(|call| await_proof || call.no != no);
                 }
-                Order::Final { query, verdict } => {
+                Command::Answer { query, answer } => {
                     let class = self.open.remove(&query).expect("one final answer to each query");
-                    let end = match verdict {
-                        Verdict::Served { .. } => 0,
-                        Verdict::Refused { .. } => 1,
-                        Verdict::Failed { .. } => 2,
+                    let end = match answer {
+                        FinalAnswer::Served { .. } => 0,
+                        FinalAnswer::Refused { .. } => 1,
+                        FinalAnswer::Failed { .. } => 2,
                     };
                     self.ends[class][end] += 1;
                 }
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -4,9 +4,9 @@
 #[path = "common/core.rs"]
 mod fixture;
 
-use fixture::{calls, orders};
+use fixture::{calls, commands};
 use ironpaddle::api::{Outcome, ReplicaState};
-use ironpaddle::core::{Call, CallEnd, CallNo, Core, News, Order, QueryNo, Verdict};
+use ironpaddle::core::{Call, CallEnd, CallNo, Command, Core, DirectoryUpdate, FinalAnswer, QueryNo};
 use ironpaddle::settings::Info;
 use serde_json::json;
 
@@ -21,7 +21,7 @@
     /// All attempts, each with the end that was ordered: whether it is to be proved.
     sent: Vec<CallNo>,
     given_up: Vec<(CallNo, bool)>,
-    finals: Vec<Verdict>,
+    finals: Vec<FinalAnswer>,
 }
 
 /// Settings that allow second copies or not.
@@ -40,11 +40,11 @@
     fn begin(copies: bool, class: &str, timeout: f64) -> Self {
         let mut core = Core::new(&info(copies), 7).unwrap();
         let line = |name: &str| fixture::listed(name, ReplicaState::Active, 0.0);
-        core.take_news(News::Cached(vec![line("a"), line("b")]));
+        core.apply_directory_update(DirectoryUpdate::Cached(vec![line("a"), line("b")]));
         core.step(0.0);
         let query = core.take_in(1.0, fixture::ask("r1", class, 1, timeout)).unwrap();
         core.step(STEP);
-        let first = calls(&orders(&mut core)).remove(0);
+        let first = calls(&commands(&mut core)).remove(0);
         let sent = vec![first.no];
         Day { core, now: STEP, query, first, sent, given_up: Vec::new(), finals: Vec::new() }
     }
@@ -58,14 +58,14 @@
                 self.core.call_timed_out(self.now, self.first.no);
             }
             self.core.step(self.now);
-            for order in orders(&mut self.core) {
-                match order {
-                    Order::Send(call) => {
+            for command in commands(&mut self.core) {
+                match command {
+                    Command::Send(call) => {
                         self.sent.push(call.no);
                         new.push(call);
                     }
-                    Order::GiveUp { no, prove, .. } => self.given_up.push((no, prove)),
-                    Order::Final { verdict, .. } => self.finals.push(verdict),
+                    Command::Abandon { no, await_proof, .. } => self.given_up.push((no, await_proof)),
+                    Command::Answer { answer, .. } => self.finals.push(answer),
                     _ => {}
                 }
             }
@@ -108,7 +108,7 @@
         assert_eq!(day.core.counters.ends[place(told)], 1, "{proof:?}");
         day.end(again[0].no, Outcome::Completed);
         day.pass(STEP);
-        assert!(matches!(day.finals[..], [Verdict::Served { whole: true, .. }]), "{proof:?}");
+        assert!(matches!(day.finals[..], [FinalAnswer::Served { whole: true, .. }]), "{proof:?}");
         assert_eq!(day.ends(), 2, "{proof:?}");
     }
 }
@@ -125,7 +125,7 @@
     let mut day = Day::in_silence(false);
     day.end(day.first.no, Outcome::Completed);
     assert!(day.pass(100.0).is_empty());
-    assert!(matches!(day.finals[..], [Verdict::Served { whole: true, .. }]), "{:?}", day.finals);
+    assert!(matches!(day.finals[..], [FinalAnswer::Served { whole: true, .. }]), "{:?}", day.finals);
     assert_eq!((day.ends(), day.core.counters.ends[0]), (1, 1));
 }
 
@@ -139,7 +139,7 @@
         end(&mut day);
         assert!(day.pass(3000.0).is_empty());
         assert_eq!(day.finals.len(), finals);
-        assert!(!matches!(day.finals.first(), Some(Verdict::Served { .. })), "{:?}", day.finals);
+        assert!(!matches!(day.finals.first(), Some(FinalAnswer::Served { .. })), "{:?}", day.finals);
         assert_eq!(day.given_up, [(day.first.no, true), (day.first.no, false)]);
         // What the transport still says of it is no second end.
         day.end(day.first.no, Outcome::Completed);
@@ -168,8 +168,8 @@
         day.first.until = until;
         day.core.call_timed_out(until, day.first.no);
         assert_eq!(day.core.counters.ends[place(Outcome::TimedOut)], 1, "{class}");
-        let given_up = |order: &Order| matches!(order, Order::GiveUp { prove: false, .. });
-        assert!(orders(&mut day.core).iter().any(given_up), "{class}");
+        let given_up = |command: &Command| matches!(command, Command::Abandon { await_proof: false, .. });
+        assert!(commands(&mut day.core).iter().any(given_up), "{class}");
     }
     assert_eq!(Day::in_silence(true).given_up.len(), 1, "with second copies nothing is waited for");
 }
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -11,7 +11,7 @@
 use futures_lite::{future, AsyncReadExt};
 use ironpaddle::api::{Millis, Outcome, ReplicaId, ReplicaState};
 use ironpaddle::core::drive::{Directory, Driver, RunStores};
-use ironpaddle::core::{Call, CallEnd, CallNo, Core, News, QueryNo};
+use ironpaddle::core::{Call, CallEnd, CallNo, Core, DirectoryUpdate, QueryNo};
 use ironpaddle::settings::Info;
 use ironpaddle::transport::{frames::Frames, opensearch::Searches, Limits};
 use serde_json::json;
@@ -161,7 +161,7 @@
     let sent = Rc::new(Cell::new(0));
     driver.connect(Rc::new(Full { driver: driver.clone(), sent: sent.clone() }), Rc::new(NoDirectory));
     let lines = ["a", "b"].map(|name| fixture::listed(name, ReplicaState::Active, 0.0));
-    driver.take_news(News::Cached(lines.to_vec()));
+    driver.apply_directory_update(DirectoryUpdate::Cached(lines.to_vec()));
     let executor = driver.executor().clone();
     executor.spawn(driver.clone().run()).detach();
     let (mut client, server) = std::os::unix::net::UnixStream::pair().unwrap();
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -10,11 +10,11 @@
 use std::thread;
 use std::time::Duration;
 
-use fixture::{listed, orders};
+use fixture::{commands, listed};
 use futures_lite::future;
 use ironpaddle::api::{Millis, ReplicaState};
 use ironpaddle::core::drive::{Directory, Driver};
-use ironpaddle::core::{Core, Listed, News, Order};
+use ironpaddle::core::{Command, Core, DirectoryUpdate, ListedRunStore};
 use ironpaddle::directory::list::{MOST_BYTES, MOST_LINES};
 use ironpaddle::directory::watch::Watch;
 use ironpaddle::settings::Info;
@@ -40,18 +40,18 @@
 struct Reference(BTreeMap<String, (ReplicaState, Located)>);
 
 impl Reference {
-    fn take(&mut self, news: &News) -> Vec<Order> {
+    fn take(&mut self, news: &DirectoryUpdate) -> Vec<Command> {
         let (lines, whole) = match news {
-            News::Cached(lines) | News::Full(lines) => (&lines[..], true),
-            News::Changes(lines) => (&lines[..], false),
-            News::Broken | News::Silent => (&[][..], false),
+            DirectoryUpdate::Cached(lines) | DirectoryUpdate::Full(lines) => (&lines[..], true),
+            DirectoryUpdate::Changes(lines) => (&lines[..], false),
+            DirectoryUpdate::Failed | DirectoryUpdate::Silent => (&[][..], false),
         };
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         if whole {
             for name in self.0.keys().cloned().collect::<Vec<_>>() {
                 if !lines.iter().any(|line| *line.replica.id.0 == *name) {
                     self.0.remove(&name);
-                    orders.push(Order::Retire(name.as_str().into()));
+                    commands.push(Command::Retire(name.as_str().into()));
                 }
             }
         }
@@ -60,9 +60,9 @@
             let before = self.0.get(&name).copied();
             let at = line.address.map(|at| (at, line.replica.started)).or(before.and_then(|(_, at)| at));
             if state != ReplicaState::Active {
-                orders.push(Order::Retire(line.replica.id.clone()));
+                commands.push(Command::Retire(line.replica.id.clone()));
             } else if before != Some((ReplicaState::Active, at)) {
-                orders.extend(at.map(|(address, started)| Order::Locate {
+                commands.extend(at.map(|(address, started)| Command::Locate {
                     replica: line.replica.id.clone(),
                     address,
                     started,
@@ -73,28 +73,28 @@
                 _ => self.0.insert(name, (state, at)),
             };
         }
-        orders
+        commands
     }
 }
 
-fn news() -> impl Strategy<Value = News> {
+fn news() -> impl Strategy<Value = DirectoryUpdate> {
     let state = prop_oneof![
         6 => Just(ReplicaState::Active),
         2 => Just(ReplicaState::Draining),
         1 => Just(ReplicaState::Gone),
     ];
     let line = (0u8..20, state, 0u8..4, prop::option::weighted(0.8, 1u16..4)).prop_map(
-        |(name, state, started, port)| Listed {
+        |(name, state, started, port)| ListedRunStore {
             address: port.map(|port| ([127, 0, 0, 1], port).into()),
             ..listed(&format!("s-{name}"), state, f64::from(started))
         },
     );
     let lines = || prop::collection::vec(line.clone(), 0..30);
     prop_oneof![
-        2 => lines().prop_map(News::Full),
-        1 => lines().prop_map(News::Cached),
-        3 => lines().prop_map(News::Changes),
-        1 => Just(News::Broken),
+        2 => lines().prop_map(DirectoryUpdate::Full),
+        1 => lines().prop_map(DirectoryUpdate::Cached),
+        3 => lines().prop_map(DirectoryUpdate::Changes),
+        1 => Just(DirectoryUpdate::Failed),
     ]
 }
 
@@ -105,8 +105,8 @@
         let (mut core, mut reference) = (core(), Reference::default());
         for news in told {
             let expected = reference.take(&news);
-            core.take_news(news);
-            prop_assert_eq!(orders(&mut core), expected);
+            core.apply_directory_update(news);
+            prop_assert_eq!(commands(&mut core), expected);
             let names: Vec<_> = core.directory().iter().map(|line| line.replica.id.0.to_string()).collect();
             prop_assert_eq!(names, reference.0.keys().cloned().collect::<Vec<_>>());
         }
--- a/tests/hand.rs
+++ b/tests/manual_drain.rs
@@ -3,9 +3,9 @@
 #[path = "common/core.rs"]
 mod fixture;
 
-use fixture::{calls, listed as line, orders};
+use fixture::{calls, commands, listed as line};
 use ironpaddle::api::{Outcome, ReplicaState};
-use ironpaddle::core::{Ask, Call, CallEnd, Core, News, Order};
+use ironpaddle::core::{Call, CallEnd, Command, Core, DirectoryUpdate, QueryRequest};
 use ironpaddle::settings::Info;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -23,14 +23,14 @@
     }))
     .unwrap();
     let mut core = Core::new(&info, 7).unwrap();
-    core.take_news(News::Full(vec![
+    core.apply_directory_update(DirectoryUpdate::Full(vec![
         line("a", ReplicaState::Active, 0.0),
         line("b", ReplicaState::Active, 0.0),
     ]));
     core
 }
 
-fn ask(number: usize) -> Ask {
+fn ask(number: usize) -> QueryRequest {
     fixture::ask(&format!("r{number}"), "search", 1, 900.0)
 }
 
@@ -76,21 +76,28 @@
     let (mut core, mut now, mut out) = (core(), 1e6, false);
     let mut queue = Vec::new();
     core.step(now);
-    orders(&mut core);
+    commands(&mut core);
     for (at, step) in steps.iter().enumerate() {
         let told = |state, since: Option<f64>| line("a", state, since.map_or(0.0, |since| now - since));
         match step {
             Step::Out | Step::Back => {
                 out = matches!(step, Step::Out);
-                prop_assert!(core.by_hand(now, &"a".into(), out), "it was listed once");
-                prop_assert!(!core.by_hand(now, &"c".into(), out), "it never was");
+                prop_assert!(core.set_manual_drain(now, &"a".into(), out), "it was listed once");
+                prop_assert!(!core.set_manual_drain(now, &"c".into(), out), "it never was");
             }
             Step::Full(state, since) => {
-                core.take_news(News::Full(vec![told(*state, *since), line("b", ReplicaState::Active, 0.0)]));
+                core.apply_directory_update(DirectoryUpdate::Full(vec![
+                    told(*state, *since),
+                    line("b", ReplicaState::Active, 0.0),
+                ]));
             }
-            Step::Change(state, since) => core.take_news(News::Changes(vec![told(*state, *since)])),
-            Step::Unlisted => core.take_news(News::Full(vec![line("b", ReplicaState::Active, 0.0)])),
-            Step::Broken => core.take_news(News::Broken),
+            Step::Change(state, since) => {
+                core.apply_directory_update(DirectoryUpdate::Changes(vec![told(*state, *since)]))
+            }
+            Step::Unlisted => {
+                core.apply_directory_update(DirectoryUpdate::Full(vec![line("b", ReplicaState::Active, 0.0)]))
+            }
+            Step::Broken => core.apply_directory_update(DirectoryUpdate::Failed),
             Step::Retune => core.apply_settings(&info()).unwrap(),
             Step::Ask => {
                 core.take_in(now, ask(at)).unwrap();
@@ -105,17 +112,17 @@
         }
         now += 5.0;
         core.step(now);
-        for order in orders(&mut core) {
-            match order {
-                Order::Send(call) => {
+        for command in commands(&mut core) {
+            match command {
+                Command::Send(call) => {
                     prop_assert!(!out || call.replica == "b".into(), "an attempt at {} while it is out", at);
                     queue.push(call);
                 }
-                Order::Probe { replica, no } => {
+                Command::Probe { replica, no } => {
                     prop_assert!(!out || replica == "b".into(), "a probe at {} while it is out", at);
                     core.probe_ended(no, false, None);
                 }
-                Order::Locate { replica, .. } => {
+                Command::Locate { replica, .. } => {
                     prop_assert!(!out || replica == "b".into(), "located at {} while it is out", at);
                 }
                 _ => {}
@@ -153,17 +160,17 @@
         core.take_in(now, ask(number)).unwrap();
         now += 5.0;
         core.step(now);
-        for call in calls(&orders(&mut core)) {
+        for call in calls(&commands(&mut core)) {
             let outcome =
                 if call.replica == "a".into() { Outcome::ConnectFailed } else { Outcome::Completed };
             core.call_ended(now, call.no, CallEnd { outcome, value: Some(b"v"[..].into()), load: None });
         }
     }
     assert_eq!(core.gauges().pool_ejected, 1, "parked");
-    assert!(core.by_hand(now, &"a".into(), true));
-    assert!(orders(&mut core).contains(&Order::Retire("a".into())));
+    assert!(core.set_manual_drain(now, &"a".into(), true));
+    assert!(commands(&mut core).contains(&Command::Retire("a".into())));
     now += 500.0;
-    assert!(core.by_hand(now, &"a".into(), false));
+    assert!(core.set_manual_drain(now, &"a".into(), false));
     core.step(now);
     assert_eq!(core.gauges().pool_ejected, 0);
     let back = now;
@@ -176,9 +183,9 @@
         }
         now += 5.0;
         core.step(now);
-        let orders = orders(&mut core);
-        located += orders.iter().filter(|order| matches!(order, Order::Locate { .. })).count();
-        for call in calls(&orders) {
+        let commands = commands(&mut core);
+        located += commands.iter().filter(|command| matches!(command, Command::Locate { .. })).count();
+        for call in calls(&commands) {
             if call.replica == "a".into() {
                 sent.0 += 1
             } else {
@@ -189,12 +196,16 @@
         }
         if number == 150 {
             // Discovery tells of the restart at last: it is the one that is known.
-            core.take_news(News::Changes(vec![line("a", ReplicaState::Active, back - 200.0)]));
+            core.apply_directory_update(DirectoryUpdate::Changes(vec![line(
+                "a",
+                ReplicaState::Active,
+                back - 200.0,
+            )]));
         }
     }
     assert!(sent.0 > 0 && sent.0 * 2 < sent.1, "used, with care, as it is cold: {sent:?}");
     assert_eq!(located, 1, "what discovery tells late makes no new process of it");
     // A later start is one.
-    core.take_news(News::Changes(vec![line("a", ReplicaState::Active, back + 10.0)]));
-    assert!(orders(&mut core).iter().any(|order| matches!(order, Order::Locate { .. })));
+    core.apply_directory_update(DirectoryUpdate::Changes(vec![line("a", ReplicaState::Active, back + 10.0)]));
+    assert!(commands(&mut core).iter().any(|command| matches!(command, Command::Locate { .. })));
 }
--- a/tests/recorder.rs
+++ b/tests/recorder.rs
@@ -6,14 +6,14 @@
 use std::io::{self, Cursor, Write};
 use std::sync::{Arc, Condvar, Mutex};
 
-use fixture::{ask, listed, orders};
+use fixture::{ask, commands, listed};
 use ironpaddle::api::ReplicaState;
-use ironpaddle::core::{Core, News};
+use ironpaddle::core::{Core, DirectoryUpdate};
 use ironpaddle::settings::Info;
 use ironpaddle::trace::control::Control;
 use ironpaddle::trace::recorder::{Keep, Recorder, QUEUE};
 use ironpaddle::trace::replay::Replay;
-use ironpaddle::trace::tape::Limits;
+use ironpaddle::trace::writer::Limits;
 use ironpaddle_trace::file::{Reader, Source};
 use ironpaddle_trace::keep::Storage;
 use ironpaddle_trace::record::Record;
@@ -80,7 +80,7 @@
     }))
     .unwrap();
     let mut core = Core::new(&info, 7).unwrap();
-    core.take_news(News::Cached(vec![listed("a", ReplicaState::Active, 0.0)]));
+    core.apply_directory_update(DirectoryUpdate::Cached(vec![listed("a", ReplicaState::Active, 0.0)]));
     core
 }
 
@@ -98,7 +98,7 @@
             now += 260.0;
             core.take_in(now, ask("c1", "search", 1, 2000.0)).unwrap();
             core.step(now);
-            orders(core);
+            commands(core);
             control.pump(core, now);
         }
         now
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -6,12 +6,12 @@
 use std::io::Cursor;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use fixture::{calls, listed, orders};
+use fixture::{calls, commands, listed};
 use ironpaddle::api::{LoadReport, Outcome, ReplicaState};
-use ironpaddle::core::{Call, CallEnd, Core, Listed, News, Order};
+use ironpaddle::core::{Call, CallEnd, Command, Core, DirectoryUpdate, ListedRunStore};
 use ironpaddle::settings::Info;
 use ironpaddle::trace::replay::{Replay, Report};
-use ironpaddle::trace::tape::{Limits, Tape};
+use ironpaddle::trace::writer::{Limits, TraceWriter};
 use ironpaddle_trace::block::Block;
 use ironpaddle_trace::file::{Reader, Source, Writer};
 use ironpaddle_trace::keep::Job;
@@ -38,7 +38,7 @@
     .unwrap()
 }
 
-fn list(random: &mut fastrand::Rng, now: f64) -> Vec<Listed> {
+fn list(random: &mut fastrand::Rng, now: f64) -> Vec<ListedRunStore> {
     let line = |store: usize| {
         let mut line = listed(&format!("s-{store}"), ReplicaState::Active, 0.0);
         line.replica.cell = store as u32;
@@ -56,8 +56,8 @@
     let mut random = fastrand::Rng::with_seed(seed);
     let mut core = Core::new(&info(1000.0), seed).unwrap();
     let source = Source { aggregator: "n0".into(), started: BEGIN as u64, seed, ..Source::default() };
-    core.record(BEGIN, Some(Tape::new(source, limits, 0)));
-    core.take_news(News::Cached(list(&mut random, BEGIN)));
+    core.record(BEGIN, Some(TraceWriter::new(source, limits, 0)));
+    core.apply_directory_update(DirectoryUpdate::Cached(list(&mut random, BEGIN)));
     let (mut now, mut jobs, mut asked) = (BEGIN, Vec::new(), 0);
     let mut out: Vec<(f64, Call)> = Vec::new();
     for step in 0..4000 {
@@ -78,20 +78,24 @@
         }
         if random.f64() < 0.004 {
             let news = list(&mut random, now);
-            core.take_news(if random.bool() { News::Full(news) } else { News::Broken });
+            core.apply_directory_update(if random.bool() {
+                DirectoryUpdate::Full(news)
+            } else {
+                DirectoryUpdate::Failed
+            });
         }
         meddle(&mut core, now);
         core.step(now);
-        let orders = orders(&mut core);
-        for order in &orders {
-            if let Order::GiveUp { no, prove, .. } = order {
+        let commands = commands(&mut core);
+        for command in &commands {
+            if let Command::Abandon { no, await_proof, .. } = command {
                 out.retain(|(_, call)| call.no != *no);
-                if *prove {
+                if *await_proof {
                     core.call_ended(now, *no, CallEnd::bare(Outcome::Cancelled));
                 }
             }
         }
-        for call in calls(&orders) {
+        for call in calls(&commands) {
             // Two run stores fail much, one is slow.
             let slow = if &*call.replica.0 == "s-2" { 900.0 } else { 60.0 };
             out.push((now + random.f64() * slow, call));
@@ -119,18 +123,18 @@
             };
             core.call_ended(now, call.no, CallEnd { outcome, value, load: Some(load) });
         }
-        core.tape_due(now);
+        core.trace_due(now);
         jobs.extend(fetch(&mut core, now));
     }
-    core.tape_last(now);
+    core.trace_last(now);
     jobs.extend(fetch(&mut core, now));
     (jobs, core)
 }
 
 fn fetch(core: &mut Core, now: f64) -> Vec<Job> {
-    let Some(tape) = core.tape() else { return Vec::new() };
-    tape.tick(now);
-    std::iter::from_fn(|| tape.next_job()).collect()
+    let Some(trace_writer) = core.trace_writer() else { return Vec::new() };
+    trace_writer.tick(now);
+    std::iter::from_fn(|| trace_writer.next_job()).collect()
 }
 
 /// The segments that some jobs make.
@@ -244,7 +248,7 @@
     let (jobs, core) = day(7, LONG, |core, now| {
         steps += 1;
         if steps == 1500 {
-            core.tape().unwrap().lost(now, now - 100.0, 40);
+            core.trace_writer().unwrap().lost(now, now - 100.0, 40);
         }
     });
     let segments = segments(jobs);
--- a/tests/legacy.rs
+++ b/tests/takeover.rs
@@ -4,8 +4,8 @@
 mod fixture;
 
 use ironpaddle::api::{Outcome, ReplicaState};
-use ironpaddle::core::legacy::Legacy;
-use ironpaddle::core::{CallEnd, Core, News};
+use ironpaddle::core::takeover::TakeoverState;
+use ironpaddle::core::{CallEnd, Core, DirectoryUpdate};
 use ironpaddle::settings::Info;
 use serde_json::json;
 
@@ -22,9 +22,9 @@
     .unwrap()
 }
 
-fn list() -> News {
+fn list() -> DirectoryUpdate {
     let line = |name: &str| fixture::listed(name, ReplicaState::Active, 5.0);
-    News::Cached(["a", "b", "c"].map(line).into())
+    DirectoryUpdate::Cached(["a", "b", "c"].map(line).into())
 }
 
 /// Asks for some queries of a class; says where their parts went. At `a` nothing gets through.
@@ -35,8 +35,8 @@
         core.take_in(*now, ask).unwrap();
         *now += 5.0;
         core.step(*now);
-        let orders = fixture::orders(core);
-        for call in fixture::calls(&orders) {
+        let commands = fixture::commands(core);
+        for call in fixture::calls(&commands) {
             let lost = call.replica == "a".into();
             let outcome = if lost { Outcome::ConnectFailed } else { Outcome::Completed };
             core.call_ended(*now, call.no, CallEnd { outcome, value: Some(b"v"[..].into()), load: None });
@@ -50,18 +50,18 @@
 fn who_is_parked_or_out_by_hand_stays_so_in_the_process_that_takes_over() {
     let mut now = 1e6;
     let mut old = Core::new(&info(&["search", "lookup"]), 7).unwrap();
-    old.take_news(list());
+    old.apply_directory_update(list());
     assert!(load(&mut old, &mut now, "search", 30).contains(&"a".to_string()));
-    assert!(old.by_hand(now, &"b".into(), true));
+    assert!(old.set_manual_drain(now, &"b".into(), true));
     assert_eq!(old.gauges().pool_ejected, 2);
-    let legacy = serde_json::to_string(&old.legacy()).unwrap();
+    let state = serde_json::to_string(&old.takeover_state()).unwrap();
     // The new one has the classes in another order, one more, and one less.
     for classes in [&["lookup", "entry", "search"][..], &["search"]] {
         let new_info = info(classes);
         let mut new = Core::new(&new_info, 8).unwrap();
-        let legacy: Legacy = serde_json::from_str(&legacy).unwrap();
-        assert_eq!(new.inherit(&new_info, legacy), Ok(true));
-        new.take_news(list());
+        let state: TakeoverState = serde_json::from_str(&state).unwrap();
+        assert_eq!(new.restore_takeover_state(&new_info, state), Ok(true));
+        new.apply_directory_update(list());
         new.step(now);
         assert_eq!((new.gauges().pool_size, new.gauges().pool_ejected), (3, 2));
         for class in classes {
@@ -75,14 +75,17 @@
 fn what_cannot_be_read_of_it_leaves_a_core_that_serves() {
     let mut now = 1e6;
     let mut old = Core::new(&info(&["search"]), 7).unwrap();
-    old.take_news(list());
+    old.apply_directory_update(list());
     old.step(now);
-    assert!(old.by_hand(now, &"b".into(), true));
-    let mut legacy = serde_json::to_value(old.legacy()).unwrap();
-    legacy["learned"] = json!("[");
+    assert!(old.set_manual_drain(now, &"b".into(), true));
+    let mut state = serde_json::to_value(old.takeover_state()).unwrap();
+    state["learned"] = json!("[");
     let mut new = Core::new(&info(&["search"]), 8).unwrap();
-    assert_eq!(new.inherit(&info(&["search"]), serde_json::from_value(legacy).unwrap()), Ok(false));
-    new.take_news(list());
+    assert_eq!(
+        new.restore_takeover_state(&info(&["search"]), serde_json::from_value(state).unwrap()),
+        Ok(false)
+    );
+    new.apply_directory_update(list());
     let went = load(&mut new, &mut now, "search", 9);
     assert!(went.contains(&"c".to_string()) && !went.contains(&"b".to_string()), "{went:?}");
 }
