--- a/benches/list.rs
+++ b/benches/list.rs
@@ -7,7 +7,7 @@
 use ironpaddle::core::{Core, DirectoryUpdate};
 use ironpaddle::directory::list::List;
 use ironpaddle::http::parse::{Kind, Message, Parser};
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use serde_json::json;
 
 #[global_allocator]
@@ -57,14 +57,14 @@
 
 fn core() -> Core {
     let class = json!({"name": "search", "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": "read_like"});
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3},
         "domain": {"cells": 19_000, "width": 1, "shards": 9},
         "request_classes": [class],
         "tick_ms": 5.0,
     }))
     .expect("settings");
-    Core::new(&info, 7).expect("sound settings")
+    Core::new(&site, 7).expect("sound settings")
 }
 
 /// Bytes to lines: all that the watch does by itself.
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -18,7 +18,7 @@
 use ironpaddle::core::drive::{Directory, Driver, RunStores};
 use ironpaddle::core::{Call, CallNo, Core, DirectoryUpdate};
 use ironpaddle::directory::watch::Watch;
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
@@ -79,7 +79,7 @@
         0
     }
     fn room(&self, _: usize) {}
-    fn apply_settings(&self, _: &Info) {}
+    fn apply_settings(&self, _: &SiteSettings) {}
 }
 
 /// An aggregator, driven until its process ends.
@@ -114,7 +114,7 @@
 
 /// Starts them. Each is started when few of the last ones wait for their list.
 pub fn start(setup: &Setup) -> io::Result<(Vec<SocketAddr>, Attend)> {
-    let info: Info = serde_json::from_value(setup.settings.clone())?;
+    let site: SiteSettings = serde_json::from_value(setup.settings.clone())?;
     if setup.discovery.is_empty() {
         return Err(io::ErrorKind::InvalidInput.into());
     }
@@ -124,14 +124,14 @@
         let standing = Shared::default();
         let (asking, asked) = async_channel::bounded::<()>(1);
         let (answers, answer) = std::sync::mpsc::channel();
-        let (info, held) = (info.clone(), standing.clone());
+        let (site, held) = (site.clone(), standing.clone());
         let (seed, hollow, discovery) = (setup.seed, setup.hollow, setup.discovery.clone());
         thread::spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
             let mut drivers = Vec::new();
             let all = async {
                 for no in (thread..hollow).step_by(THREADS) {
-                    let Ok(core) = Core::new(&info, seed + no as u64) else { return };
+                    let Ok(core) = Core::new(&site, seed + no as u64) else { return };
                     let driver = Driver::new(core, executor.clone());
                     let watch = Watch::new(driver.clone(), discovery[no % discovery.len()], None);
                     driver.connect(Rc::new(NoStores), Rc::new(watch.clone()));
--- a/src/bin/ironpaddle-simhost/main.rs
+++ b/src/bin/ironpaddle-simhost/main.rs
@@ -45,10 +45,10 @@
 
     fn take(&mut self, now: f64, event: WireEvent) -> Result<(), String> {
         match event {
-            WireEvent::Hello { instance, entropy, info } => {
-                let router = Router::new(info.settings(), entropy)
+            WireEvent::Hello { instance, entropy, site } => {
+                let router = Router::new(site.router_settings(), entropy)
                     .map_err(|error| format!("HELLO of co-ordinator {instance}: {error}"))?;
-                let names = info.names();
+                let names = site.names();
                 let fresh = Instance { router, names, inbox: Vec::new(), touched: true };
                 self.instances.insert(instance, fresh);
                 Ok(())
--- a/src/bin/ironpaddle-simhost/wire.rs
+++ b/src/bin/ironpaddle-simhost/wire.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ironpaddle::api;
-use ironpaddle::settings::{Info, Names};
+use ironpaddle::settings::{Names, SiteSettings};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -29,7 +29,8 @@
         #[serde(rename = "co-ordinator")]
         instance: u64,
         entropy: u64,
-        info: Box<Info>,
+        #[serde(rename = "info")]
+        site: Box<SiteSettings>,
     },
     Register {
         sheet: u32,
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 use super::Found;
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::trace::replay::{Replay, Report};
 
 /// What to do.
@@ -567,14 +567,14 @@
 }
 
 /// A settings object from a file of its own, or from a configuration file.
-fn read_settings(path: &Path) -> Result<Info, String> {
+fn read_settings(path: &Path) -> Result<SiteSettings, String> {
     let failed = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| failed(&error))?;
     let value: serde_json::Value = serde_json::from_str(&text).map_err(|error| failed(&error))?;
     let value = value.get("settings").cloned().unwrap_or(value);
-    let info: Info = serde_json::from_value(value).map_err(|error| failed(&error))?;
-    info.settings().check().map_err(|why| failed(&why))?;
-    Ok(info)
+    let site: SiteSettings = serde_json::from_value(value).map_err(|error| failed(&error))?;
+    site.router_settings().check().map_err(|why| failed(&why))?;
+    Ok(site)
 }
 
 fn why(query: &str, paths: &[PathBuf], json: bool) -> Result<Found, String> {
--- a/src/config.rs
+++ b/src/config.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 use crate::directory::list::List;
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::trace::recorder::Keep;
 use crate::trace::writer;
 
@@ -278,17 +278,17 @@
     ///
     /// # Errors
     /// Says which key is at fault.
-    pub fn settings(&self, text: &str) -> Result<Info, String> {
-        let info: Info = read(text, "settings.")?;
-        if self.api == Api::Opensearch && info.domain.shards.is_none_or(|shards| shards == 0) {
+    pub fn settings(&self, text: &str) -> Result<SiteSettings, String> {
+        let site: SiteSettings = read(text, "settings.")?;
+        if self.api == Api::Opensearch && site.domain.shards.is_none_or(|shards| shards == 0) {
             return Err(
                 "key settings.domain.shards: the OpenSearch-style API needs their number, 1 or more".into()
             );
         }
-        if info.domain.class_fetch.iter().any(|parts| *parts > 0) {
+        if site.domain.class_fetch.iter().any(|parts| *parts > 0) {
             return Err("key settings.domain.class_fetch: a second step is not spoken on sockets".into());
         }
-        for (at, class) in info.request_classes.iter().enumerate() {
+        for (at, class) in site.request_classes.iter().enumerate() {
             for (key, sound) in [
                 ("aim_ms", class.aim_ms > 0.0),
                 ("deadline_ms", class.deadline_ms() > 0.0),
@@ -300,7 +300,7 @@
                 }
             }
         }
-        let (caps, domain, rules) = (&info.caps, &info.domain, &info.rules);
+        let (caps, domain, rules) = (&site.caps, &site.domain, &site.rules);
         let sound = |value: Option<f64>| value.is_none_or(|value| value >= 0.0);
         // Sums of weights may be a little off.
         let share = |shares: &[f64]| shares.iter().all(|share| (0.0..=1.001).contains(share));
@@ -322,15 +322,15 @@
             ("rules.fall_multiple", sound(rules.fall_multiple)),
             ("rules.overload_for_ms", sound(rules.overload_for_ms)),
             ("rules.resend_span_ms", sound(rules.resend_span_ms)),
-            ("balancers", info.balancers != Some(0)),
-            ("tick_ms", info.tick_ms.is_none_or(|tick| tick > 0.0)),
+            ("balancers", site.balancers != Some(0)),
+            ("tick_ms", site.tick_ms.is_none_or(|tick| tick > 0.0)),
         ] {
             if !sound {
                 return Err(format!("key settings.{key}: is out of range"));
             }
         }
-        info.settings().check().map_err(|why| format!("key settings: {why}"))?;
-        Ok(info)
+        site.router_settings().check().map_err(|why| format!("key settings: {why}"))?;
+        Ok(site)
     }
 
     /// The source of chance as a number.
--- a/src/core/classes.rs
+++ b/src/core/classes.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::api::{Class, Millis};
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 
 /// What a class is.
 #[derive(Debug, Clone, PartialEq)]
@@ -30,9 +30,9 @@
     /// Takes the classes of some settings. One that was there already keeps its place; another gets the one that
     /// its name had, or any that is not held, or a new one. A place that is neither held nor needed becomes like one that is needed, so
     /// that a class that is gone has no bearing on anything.
-    pub fn take(&mut self, info: &Info, held: impl Fn(usize) -> bool) {
-        let told = info.settings().classes;
-        let kinds: Vec<Kind> = info
+    pub fn take(&mut self, site: &SiteSettings, held: impl Fn(usize) -> bool) {
+        let told = site.router_settings().classes;
+        let kinds: Vec<Kind> = site
             .request_classes
             .iter()
             .zip(told)
@@ -68,9 +68,9 @@
     }
 
     /// Places in the order of another process, as what it learned goes by them. None of them is held.
-    pub fn in_order(&mut self, names: &[String], info: &Info) {
+    pub fn in_order(&mut self, names: &[String], site: &SiteSettings) {
         *self = Classes::default();
-        self.take(info, |_| false);
+        self.take(site, |_| false);
         let mut places = self.places.clone();
         places.truncate(names.len());
         places.resize(names.len(), self.places[0].clone());
@@ -78,7 +78,7 @@
             place.name = name.as_str().into();
         }
         self.places = places;
-        self.take(info, |_| false);
+        self.take(site, |_| false);
     }
 
     /// The names by place, also of classes that may not be asked for.
--- a/src/core/classes/tests.rs
+++ b/src/core/classes/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-fn info(classes: &[(&str, f64)]) -> Info {
+fn site(classes: &[(&str, f64)]) -> SiteSettings {
     let class = |(name, aim): &(&str, f64)| json!({"name": name, "aim_ms": aim, "repeat": "read_like"});
     let classes: Vec<_> = classes.iter().map(class).collect();
     serde_json::from_value(json!({"request_classes": classes, "domain": {"cells": 1, "width": 1}})).unwrap()
@@ -10,16 +10,16 @@
 #[test]
 fn a_place_that_is_held_stays_and_one_that_is_not_is_used_anew() {
     let mut classes = Classes::default();
-    classes.take(&info(&[("a", 1.0), ("b", 2.0)]), |_| false);
+    classes.take(&site(&[("a", 1.0), ("b", 2.0)]), |_| false);
     // Place 0 is held, by queries of a class that is gone; `b` keeps its place.
-    classes.take(&info(&[("b", 2.0), ("a", 3.0)]), |place| place == 0);
+    classes.take(&site(&[("b", 2.0), ("a", 3.0)]), |place| place == 0);
     assert_eq!((classes.named("b"), classes.named("a")), (Some(1), Some(2)));
     assert_eq!((classes.at(0).class.aim, classes.at(2).class.aim), (1.0, 3.0));
     for aim in 4..20 {
-        classes.take(&info(&[("b", 2.0), ("a", f64::from(aim))]), |_| false);
+        classes.take(&site(&[("b", 2.0), ("a", f64::from(aim))]), |_| false);
     }
     assert_eq!(classes.for_router().len(), 3, "reloads do not add up");
-    classes.take(&info(&[("c", 5.0)]), |_| false);
+    classes.take(&site(&[("c", 5.0)]), |_| false);
     assert!(classes.named("a").is_none());
     assert!(classes.for_router().iter().all(|class| class.aim == 5.0), "nothing is left of what is gone");
 }
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -19,7 +19,7 @@
 };
 use crate::api::{Cause, LoadReport, Millis, ReplicaId};
 use crate::counters::{Counters, Gauges};
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::trace::control::Control;
 
 /// A transport to run stores. What it is told takes effect at once; it reports ends to the [`Driver`].
@@ -48,7 +48,7 @@
     /// There may be so many connections from now on.
     fn room(&self, connections: usize);
     /// Takes up other settings.
-    fn apply_settings(&self, info: &Info);
+    fn apply_settings(&self, site: &SiteSettings);
 }
 
 /// A directory of run stores.
@@ -261,10 +261,10 @@
     ///
     /// # Errors
     /// Says which setting contradicts itself; then nothing is changed.
-    pub fn apply_settings(&self, info: &Info) -> Result<(), String> {
-        self.core.borrow_mut().apply_settings(info)?;
+    pub fn apply_settings(&self, site: &SiteSettings) -> Result<(), String> {
+        self.core.borrow_mut().apply_settings(site)?;
         if let Some(stores) = self.stores.get() {
-            stores.apply_settings(info);
+            stores.apply_settings(site);
         }
         self.wake();
         Ok(())
--- a/src/core/ledger/tests.rs
+++ b/src/core/ledger/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::api::{Outcome, ReplicaState};
 use crate::core::{CallEnd, Command, Core, DirectoryUpdate, ListedRunStore, PartRequest, QueryRequest};
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 
 /// Something that may happen to a core; numbers stand for any of what is there.
 #[derive(Debug, Clone)]
@@ -43,14 +43,14 @@
 
 fn core() -> Core {
     let class = json!({"name": "search", "aim_ms": 300.0, "deadline_ms": 1000.0, "repeat": "read_like"});
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "max_open": 60, "may_cancel": true, "probes": true},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [0.4], "complete_from": [1.0]},
         "request_classes": [class],
         "tick_ms": 5.0,
     }))
     .unwrap();
-    Core::new(&info, 7).unwrap()
+    Core::new(&site, 7).unwrap()
 }
 
 fn list(states: &[ReplicaState]) -> DirectoryUpdate {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -30,7 +30,7 @@
 use crate::asking::WatchSchedule;
 use crate::counters::{Counters, Gauges};
 use crate::hash::mix;
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::starts::StartTimes;
 use crate::trace::writer::{ActiveSettings, TraceWriter};
 use crate::Router;
@@ -271,7 +271,7 @@
     /// The places of tenants by their names.
     tenants: BTreeMap<Arc<str>, usize>,
     settings: Settings,
-    info: Info,
+    site: SiteSettings,
     /// When the log last told of each cause.
     said: BTreeMap<&'static str, Millis>,
     /// The recording, if one is on.
@@ -312,13 +312,13 @@
     ///
     /// # Errors
     /// Says which setting contradicts itself.
-    pub fn new(info: &Info, seed: u64) -> Result<Self, String> {
+    pub fn new(site: &SiteSettings, seed: u64) -> Result<Self, String> {
         let mut core = Core {
-            router: Router::new(info.settings(), seed)?,
+            router: Router::new(site.router_settings(), seed)?,
             classes: Classes::default(),
             tenants: BTreeMap::new(),
             settings: Settings::default(),
-            info: info.clone(),
+            site: site.clone(),
             trace_writer: None,
             said: BTreeMap::new(),
             max_open: 0,
@@ -341,7 +341,7 @@
             wake: None,
             counters: Counters::default(),
         };
-        core.apply_settings(info)?;
+        core.apply_settings(site)?;
         Ok(core)
     }
 
@@ -349,11 +349,11 @@
     ///
     /// # Errors
     /// Says which setting contradicts itself; then nothing is changed.
-    pub fn apply_settings(&mut self, info: &Info) -> Result<(), String> {
-        let mut settings = info.settings();
+    pub fn apply_settings(&mut self, site: &SiteSettings) -> Result<(), String> {
+        let mut settings = site.router_settings();
         settings.check()?;
         let queries = &self.ledger.queries;
-        self.classes.take(info, |place| queries.values().any(|query| query.class == place));
+        self.classes.take(site, |place| queries.values().any(|query| query.class == place));
         settings.classes = self.classes.for_router();
         self.router.apply_settings(settings.clone())?;
         for name in self.classes.names() {
@@ -362,12 +362,12 @@
         if self.settings.parallel_attempts && !settings.parallel_attempts {
             self.ledger.forbid_copies();
         }
-        self.tenants = info.names().tenants.into_iter().map(|(name, at)| (name.into(), at)).collect();
+        self.tenants = site.names().tenants.into_iter().map(|(name, at)| (name.into(), at)).collect();
         self.settings = settings;
-        self.info = info.clone();
-        self.max_open = info.caps.max_open() as usize;
-        self.shards = info.domain.shards;
-        self.probe_timeout = info.caps.connect_timeout_ms();
+        self.site = site.clone();
+        self.max_open = site.caps.max_open() as usize;
+        self.shards = site.domain.shards;
+        self.probe_timeout = site.caps.connect_timeout_ms();
         self.trace_settings();
         Ok(())
     }
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -4,7 +4,7 @@
 
 use super::manual_drain::ManualDrains;
 use super::Core;
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::starts::StartTimes;
 
 /// What the rules see as one aggregator's, beside the list of run stores.
@@ -37,11 +37,15 @@
     ///
     /// # Errors
     /// Says which setting contradicts itself.
-    pub fn restore_takeover_state(&mut self, info: &Info, state: TakeoverState) -> Result<bool, String> {
+    pub fn restore_takeover_state(
+        &mut self,
+        site: &SiteSettings,
+        state: TakeoverState,
+    ) -> Result<bool, String> {
         self.manual_drains = state.manual_drains;
         self.starts = state.starts;
-        self.classes.in_order(&state.classes, info);
-        self.apply_settings(info)?;
+        self.classes.in_order(&state.classes, site);
+        self.apply_settings(site)?;
         Ok(self.router.import_learned(&state.learned))
     }
 
--- a/src/core/trace_events.rs
+++ b/src/core/trace_events.rs
@@ -58,7 +58,7 @@
         groups.sort_unstable();
         ActiveSettings {
             settings: &self.settings,
-            text: serde_json::to_string(&self.info).unwrap_or_default(),
+            text: serde_json::to_string(&self.site).unwrap_or_default(),
             classes: self.classes.order().iter().map(|name| Arc::from(name.as_str())).collect(),
             groups: groups.into_iter().map(|(_, name)| name).collect(),
         }
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -28,7 +28,7 @@
 use crate::http::door::Door;
 use crate::http::server::{Handler, Limits, Server};
 use crate::log;
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::store::peers::Peers;
 use crate::store::{self, Store};
 use crate::trace::control::Control;
@@ -77,11 +77,11 @@
         let mut sockets = sockets.unwrap_or_default().into_iter();
         let listener = listen("listen", config.listen, sockets.next()).await?;
         let store = start_store(&config, &executor, sockets.next(), state.as_ref()).await?;
-        let info = settle_settings(&config, store.as_ref().map(|(store, _)| &**store))?;
-        let mut core = Core::new(&info, config.seed()).map_err(|why| format!("key settings: {why}"))?;
+        let site = settle_settings(&config, store.as_ref().map(|(store, _)| &**store))?;
+        let mut core = Core::new(&site, config.seed()).map_err(|why| format!("key settings: {why}"))?;
         if let Some(state) = &state {
             let read = core
-                .restore_takeover_state(&info, state.takeover_state.clone())
+                .restore_takeover_state(&site, state.takeover_state.clone())
                 .map_err(|why| format!("key settings: {why}"))?;
             log::line(if read {
                 "handover: taken over"
@@ -101,7 +101,7 @@
                 driver.record(true).map_err(|why| format!("key trace.dir: {why}"))?;
             }
         }
-        let limits = transport::Limits::of(&info, config.store_connections(0));
+        let limits = transport::Limits::of(&site, config.store_connections(0));
         let stores: Rc<dyn RunStores> = match config.api {
             Api::Platform => Rc::new(Frames::new(driver.clone(), limits)),
             Api::Opensearch => Rc::new(Searches::new(driver.clone(), limits)),
@@ -339,7 +339,7 @@
 }
 
 /// The settings of the highest version: this file's or the store's, which gets this file's.
-pub fn settle_settings(config: &Config, store: Option<&Store>) -> Result<Info, String> {
+pub fn settle_settings(config: &Config, store: Option<&Store>) -> Result<SiteSettings, String> {
     let own = config.settings.as_ref().map(|settings| settings.get());
     if let (Some(store), Some(place)) = (store, &config.store) {
         if let Some(own) = own {
--- a/src/service/reload.rs
+++ b/src/service/reload.rs
@@ -57,9 +57,9 @@
     fn take_up(&self) -> Result<(), String> {
         let new = Config::load(&self.path)?;
         self.last.borrow().all_in(&new)?;
-        let info = settle_settings(&new, self.store.as_deref())?;
+        let site = settle_settings(&new, self.store.as_deref())?;
         // All that may be at fault has been looked at; from here on it is taken.
-        self.driver.apply_settings(&info).map_err(|why| format!("key settings: {why}"))?;
+        self.driver.apply_settings(&site).map_err(|why| format!("key settings: {why}"))?;
         self.directory.reload(&new);
         for key in self.started.needs_restart(&new) {
             log::line(&format!("reload: key {key} has changed and needs a restart"));
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings object, read once for both programs.
 //!
 //! The simulator's first message and the real aggregator's configuration file
-//! carry the same object; [`Info`] is its typed form and [`Info::settings`] its
+//! carry the same object; [`SiteSettings`] is its typed form and [`SiteSettings::router_settings`] its
 //! translation for the router. Unknown keys are skipped, as sites may add some.
 
 use std::collections::BTreeMap;
@@ -12,8 +12,8 @@
 
 /// The whole object.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Info {
-    pub request_classes: Vec<InfoClass>,
+pub struct SiteSettings {
+    pub request_classes: Vec<ClassSettings>,
     #[serde(default)]
     pub balancers: Option<u32>,
     #[serde(default)]
@@ -24,7 +24,7 @@
     #[serde(default)]
     pub over_share_worth: Option<f64>,
     #[serde(default)]
-    pub realms: Vec<Realm>,
+    pub realms: Vec<TenantSettings>,
     #[serde(default)]
     pub rules: Rules,
     #[serde(default)]
@@ -37,12 +37,12 @@
 
 /// A class of query.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct InfoClass {
+pub struct ClassSettings {
     pub name: String,
     pub aim_ms: f64,
     #[serde(default)]
     deadline_ms: Option<f64>,
-    pub repeat: InfoRepeat,
+    pub repeat: RepeatSetting,
     #[serde(default)]
     pub window_ms: Option<f64>,
     #[serde(default)]
@@ -51,7 +51,7 @@
     pub late_worth: Option<f64>,
 }
 
-impl InfoClass {
+impl ClassSettings {
     /// How long clients wait for an answer.
     pub fn deadline_ms(&self) -> f64 {
         self.deadline_ms.unwrap_or(10_000.0)
@@ -61,7 +61,7 @@
 /// Whether parts of a class may be repeated.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum InfoRepeat {
+pub enum RepeatSetting {
     ReadLike,
     IdempotencyKey,
     NonIdempotent,
@@ -141,7 +141,7 @@
 
 /// A tenant.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Realm {
+pub struct TenantSettings {
     pub name: String,
     #[serde(default)]
     pub quota_per_s: f64,
@@ -168,11 +168,11 @@
     pub tenants: BTreeMap<String, usize>,
 }
 
-impl Info {
+impl SiteSettings {
     /// The places of classes and tenants by their names.
     pub fn names(&self) -> Names {
-        let class = |(at, class): (usize, &InfoClass)| (class.name.clone(), at);
-        let realm = |(at, realm): (usize, &Realm)| (realm.name.clone(), at);
+        let class = |(at, class): (usize, &ClassSettings)| (class.name.clone(), at);
+        let realm = |(at, realm): (usize, &TenantSettings)| (realm.name.clone(), at);
         Names {
             classes: self.request_classes.iter().enumerate().map(class).collect(),
             tenants: self.realms.iter().enumerate().map(realm).collect(),
@@ -180,18 +180,18 @@
     }
 
     /// The settings in the router's terms.
-    pub fn settings(&self) -> api::Settings {
+    pub fn router_settings(&self) -> api::Settings {
         let rules = &self.rules;
         let classes = self.request_classes.iter().enumerate().map(|(at, class)| {
             let whole_from = self.domain.complete_from.get(at).copied().unwrap_or(1.0);
             api::Class {
                 aim: class.aim_ms,
                 repeat: match class.repeat {
-                    InfoRepeat::ReadLike => api::RepeatPolicy::Safe,
-                    InfoRepeat::IdempotencyKey => {
+                    RepeatSetting::ReadLike => api::RepeatPolicy::Safe,
+                    RepeatSetting::IdempotencyKey => {
                         api::RepeatPolicy::Keyed { window: class.window_ms.unwrap_or(0.0) }
                     }
-                    InfoRepeat::NonIdempotent => api::RepeatPolicy::Unsafe,
+                    RepeatSetting::NonIdempotent => api::RepeatPolicy::Unsafe,
                 },
                 worth: class.value.unwrap_or(1.0),
                 late_worth: class.late_worth.unwrap_or(0.0),
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -10,7 +10,7 @@
 
 use super::{convert, MODULE};
 use crate::api::{Action, Settings};
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::Router;
 
 /// What differed first.
@@ -52,7 +52,7 @@
 /// A replay of one process's entries, which have to come in their order.
 pub struct Replay {
     router: Option<Router>,
-    other: Option<Info>,
+    other: Option<SiteSettings>,
     /// With other settings: the ends of queries that were recorded, and those that the module gave.
     ends: BTreeMap<u64, (Option<String>, Option<String>)>,
     report: Report,
@@ -60,7 +60,7 @@
 
 impl Replay {
     /// A replay under the recorded settings, or under others.
-    pub fn new(other: Option<Info>) -> Self {
+    pub fn new(other: Option<SiteSettings>) -> Self {
         Replay { router: None, other, ends: BTreeMap::new(), report: Report::default() }
     }
 
@@ -215,8 +215,8 @@
 
 /// Other settings, with classes and groups at the places that the recording knows them by. One that the other
 /// settings do not name stays as it was.
-fn in_places(block: &Block, told: &Told, recorded: &Settings, other: &Info) -> Settings {
-    let (mut settings, names) = (other.settings(), other.names());
+fn in_places(block: &Block, told: &Told, recorded: &Settings, other: &SiteSettings) -> Settings {
+    let (mut settings, names) = (other.router_settings(), other.names());
     let place = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
     let class = |(at, name): (usize, &record::Name)| {
         let own = place(&names.classes, *name).and_then(|place| settings.classes.get(place));
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -20,7 +20,7 @@
 use crate::http::client::within;
 use crate::log::{self, Reason};
 use crate::net::Stream;
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::transport::{connect_failed, span, At, Limits, NO_SOCKET_PAUSE};
 use link::{Ended, Link};
 
@@ -478,8 +478,8 @@
         self.put_waiting();
     }
 
-    fn apply_settings(&self, info: &Info) {
-        self.limits.set(Limits::of(info, self.limits.get().connections));
+    fn apply_settings(&self, site: &SiteSettings) {
+        self.limits.set(Limits::of(site, self.limits.get().connections));
         let places = self.places.borrow();
         let open = places.values().flat_map(|place| &place.connections).filter(|c| c.closing.get().is_none());
         open.for_each(|connection| connection.link.borrow_mut().set_may_prove(self.limits.get().probes));
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -10,7 +10,7 @@
 use crate::api::Millis;
 use crate::log::Reason;
 use crate::net::Fault;
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 
 /// What transports keep to.
 #[derive(Debug, Clone, Copy)]
@@ -53,15 +53,15 @@
 
 impl Limits {
     /// What settings say of connections, of which there may be so many.
-    pub fn of(info: &Info, connections: usize) -> Self {
+    pub fn of(site: &SiteSettings, connections: usize) -> Self {
         Limits {
-            connect: span(info.caps.connect_timeout_ms()),
-            keep_alive: span(info.caps.keepalive_ms()),
-            streams: info.caps.streams_per_conn() as usize,
-            bundle: info.domain.bundle_max() as usize,
+            connect: span(site.caps.connect_timeout_ms()),
+            keep_alive: span(site.caps.keepalive_ms()),
+            streams: site.caps.streams_per_conn() as usize,
+            bundle: site.domain.bundle_max() as usize,
             connections,
-            copies: info.caps.parallel_tries,
-            probes: info.caps.probes,
+            copies: site.caps.parallel_tries,
+            probes: site.caps.probes,
         }
     }
 
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -22,7 +22,7 @@
 use crate::http::parse::Message;
 use crate::http::write;
 use crate::log::{self, Reason};
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::transport::{connect_failed, span, At, Limits, NO_SOCKET_PAUSE};
 use answer::Found;
 
@@ -488,8 +488,8 @@
         self.pump_lacking();
     }
 
-    fn apply_settings(&self, info: &Info) {
-        self.limits.set(Limits::of(info, self.limits.get().connections));
+    fn apply_settings(&self, site: &SiteSettings) {
+        self.limits.set(Limits::of(site, self.limits.get().connections));
     }
 
     fn locate(&self, replica: &ReplicaId, address: SocketAddr, started: Option<Millis>) {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -8,19 +8,19 @@
 use ironpaddle::core::{
     CallEnd, Command, Core, DirectoryUpdate, FinalAnswer, InvalidQuery, ListedRunStore, QueryNo, QueryRequest,
 };
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use serde_json::json;
 
 fn core(max_open: u32) -> Core {
     let class = |name: &str, repeat: &str| json!({"name": name, "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": repeat});
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "max_open": max_open, "max_retry_after_ms": 2000.0, "may_cancel": true},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [0.4, 1.0], "complete_from": [1.0, 1.0]},
         "request_classes": [class("search", "read_like"), class("entry", "non_idempotent")],
         "tick_ms": 5.0,
     }))
     .unwrap();
-    let mut core = Core::new(&info, 7).unwrap();
+    let mut core = Core::new(&site, 7).unwrap();
     core.apply_directory_update(DirectoryUpdate::Cached(vec![
         listed("a", ReplicaState::Active),
         listed("b", ReplicaState::Active),
@@ -212,7 +212,7 @@
 #[test]
 fn a_repeat_of_a_keyed_class_carries_the_end_of_its_window_and_no_other_call_has_one() {
     let class = |name: &str, repeat: &str| json!({"name": name, "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": repeat, "window_ms": 300.0});
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "may_cancel": true},
         "domain": {"cells": 1, "width": 1, "shards": 9},
         "request_classes": [class("keyed", "idempotency_key"), class("safe", "read_like")],
@@ -220,7 +220,7 @@
     }))
     .unwrap();
     for name in ["keyed", "safe"] {
-        let mut core = Core::new(&info, 7).unwrap();
+        let mut core = Core::new(&site, 7).unwrap();
         core.apply_directory_update(DirectoryUpdate::Cached(vec![
             listed("a", ReplicaState::Active),
             listed("b", ReplicaState::Active),
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -8,7 +8,7 @@
 
 use ironpaddle::api::{Outcome, ReplicaState};
 use ironpaddle::core::{Call, CallEnd, Command, Core, DirectoryUpdate, FinalAnswer, QueryNo};
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
@@ -45,14 +45,14 @@
 
 fn core() -> Core {
     let class = |name: &str, repeat: &str| json!({"name": name, "aim_ms": 300.0, "deadline_ms": 900.0, "repeat": repeat});
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 2, "max_open": 12, "may_cancel": true},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [0.4, 1.0], "complete_from": [1.0, 1.0]},
         "request_classes": [class(CLASSES[0], "read_like"), class(CLASSES[1], "non_idempotent")],
         "tick_ms": 5.0,
     }))
     .unwrap();
-    let mut core = Core::new(&info, 7).unwrap();
+    let mut core = Core::new(&site, 7).unwrap();
     let line = |name: &str| fixture::listed(name, ReplicaState::Active, 0.0);
     core.apply_directory_update(DirectoryUpdate::Cached(vec![line("a"), line("b")]));
     core
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -7,7 +7,7 @@
 use fixture::{calls, commands};
 use ironpaddle::api::{Outcome, ReplicaState};
 use ironpaddle::core::{Call, CallEnd, CallNo, Command, Core, DirectoryUpdate, FinalAnswer, QueryNo};
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use serde_json::json;
 
 const STEP: f64 = 5.0;
@@ -25,7 +25,7 @@
 }
 
 /// Settings that allow second copies or not.
-fn info(copies: bool) -> Info {
+fn site(copies: bool) -> SiteSettings {
     let kind = |name: &str, repeat: &str| json!({"name": name, "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": repeat, "window_ms": 5000.0});
     serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "max_retry_after_ms": 2000.0, "may_cancel": true, "parallel_tries": copies},
@@ -38,7 +38,7 @@
 
 impl Day {
     fn begin(copies: bool, class: &str, timeout: f64) -> Self {
-        let mut core = Core::new(&info(copies), 7).unwrap();
+        let mut core = Core::new(&site(copies), 7).unwrap();
         let line = |name: &str| fixture::listed(name, ReplicaState::Active, 0.0);
         core.apply_directory_update(DirectoryUpdate::Cached(vec![line("a"), line("b")]));
         core.step(0.0);
@@ -178,7 +178,7 @@
 #[test]
 fn second_copies_that_are_switched_off_stay_off_for_what_was_given_up_before() {
     let mut day = Day::in_silence(true);
-    day.core.apply_settings(&info(false)).unwrap();
+    day.core.apply_settings(&site(false)).unwrap();
     day.end(day.sent[1], Outcome::Errored);
     let again = day.pass(800.0);
     assert!(again.is_empty(), "the first attempt may be out: {again:?}");
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -12,14 +12,14 @@
 use ironpaddle::api::{Millis, Outcome, ReplicaId, ReplicaState};
 use ironpaddle::core::drive::{Directory, Driver, RunStores};
 use ironpaddle::core::{Call, CallEnd, CallNo, Core, DirectoryUpdate, QueryNo};
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use ironpaddle::transport::{frames::Frames, opensearch::Searches, Limits};
 use serde_json::json;
 
 #[path = "common/core.rs"]
 mod fixture;
 
-fn info() -> Info {
+fn site() -> SiteSettings {
     let class = json!({"name": "search", "aim_ms": 1000.0, "deadline_ms": 9000.0, "repeat": "read_like"});
     serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "may_cancel": true},
@@ -31,7 +31,7 @@
 }
 
 fn driver() -> Rc<Driver> {
-    Driver::new(Core::new(&info(), 7).unwrap(), Rc::new(LocalExecutor::new()))
+    Driver::new(Core::new(&site(), 7).unwrap(), Rc::new(LocalExecutor::new()))
 }
 
 fn call(no: u64, replica: &str, until: Millis, allowed_until: Millis) -> Call {
@@ -73,7 +73,7 @@
     ];
     for made in made {
         let driver = driver();
-        let stores = made(driver.clone(), Limits::of(&info(), 10));
+        let stores = made(driver.clone(), Limits::of(&site(), 10));
         let (address, first) = listener();
         let (id, now) = (ReplicaId::from("s"), driver.now());
         stores.locate(&id, address, None);
@@ -98,9 +98,9 @@
 #[test]
 fn a_connection_that_is_too_slow_is_over_once_its_run_store_has_ended_it_where_copies_may_not_be_out() {
     for copies in [true, false] {
-        let (driver, mut info) = (driver(), info());
-        info.caps.parallel_tries = copies;
-        let stores = Frames::new(driver.clone(), Limits::of(&info, 10));
+        let (driver, mut site) = (driver(), site());
+        site.caps.parallel_tries = copies;
+        let stores = Frames::new(driver.clone(), Limits::of(&site, 10));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let now = driver.now();
         stores.locate(&"s".into(), listener.local_addr().unwrap(), None);
@@ -144,7 +144,7 @@
         0
     }
     fn room(&self, _: usize) {}
-    fn apply_settings(&self, _: &Info) {}
+    fn apply_settings(&self, _: &SiteSettings) {}
 }
 
 struct NoDirectory;
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -17,12 +17,12 @@
 use ironpaddle::core::{Command, Core, DirectoryUpdate, ListedRunStore};
 use ironpaddle::directory::list::{MOST_BYTES, MOST_LINES};
 use ironpaddle::directory::watch::Watch;
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use proptest::prelude::*;
 use serde_json::json;
 
 fn core() -> Core {
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3},
         "domain": {"cells": 1, "width": 1, "shards": 9},
         "request_classes":
@@ -30,7 +30,7 @@
         "tick_ms": 5.0,
     }))
     .unwrap();
-    Core::new(&info, 7).unwrap()
+    Core::new(&site, 7).unwrap()
 }
 
 type Located = Option<(SocketAddr, Option<Millis>)>;
--- a/tests/manual_drain.rs
+++ b/tests/manual_drain.rs
@@ -6,7 +6,7 @@
 use fixture::{calls, commands, listed as line};
 use ironpaddle::api::{Outcome, ReplicaState};
 use ironpaddle::core::{Call, CallEnd, Command, Core, DirectoryUpdate, QueryRequest};
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
@@ -14,7 +14,7 @@
 const WARM: f64 = 10_000.0;
 
 fn core() -> Core {
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "max_open": 500, "may_cancel": true, "probes": true, "connect_timeout_ms": 50.0},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [1.0], "complete_from": [1.0]},
         "request_classes": [{"name": "search", "aim_ms": 300.0, "deadline_ms": 900.0, "repeat": "read_like"}],
@@ -22,7 +22,7 @@
         "tick_ms": 5.0,
     }))
     .unwrap();
-    let mut core = Core::new(&info, 7).unwrap();
+    let mut core = Core::new(&site, 7).unwrap();
     core.apply_directory_update(DirectoryUpdate::Full(vec![
         line("a", ReplicaState::Active, 0.0),
         line("b", ReplicaState::Active, 0.0),
@@ -98,7 +98,7 @@
                 core.apply_directory_update(DirectoryUpdate::Full(vec![line("b", ReplicaState::Active, 0.0)]))
             }
             Step::Broken => core.apply_directory_update(DirectoryUpdate::Failed),
-            Step::Retune => core.apply_settings(&info()).unwrap(),
+            Step::Retune => core.apply_settings(&site()).unwrap(),
             Step::Ask => {
                 core.take_in(now, ask(at)).unwrap();
             }
@@ -132,7 +132,7 @@
     Ok(())
 }
 
-fn info() -> Info {
+fn site() -> SiteSettings {
     serde_json::from_value(json!({
         "caps": {"max_attempts": 2, "max_open": 500, "may_cancel": true, "probes": true},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [1.0], "complete_from": [1.0]},
--- a/tests/recorder.rs
+++ b/tests/recorder.rs
@@ -9,7 +9,7 @@
 use fixture::{ask, commands, listed};
 use ironpaddle::api::ReplicaState;
 use ironpaddle::core::{Core, DirectoryUpdate};
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use ironpaddle::trace::control::Control;
 use ironpaddle::trace::recorder::{Keep, Recorder, QUEUE};
 use ironpaddle::trace::replay::Replay;
@@ -72,14 +72,14 @@
 }
 
 fn core() -> Core {
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "max_open": 1000, "may_cancel": true},
         "domain": {"cells": 1, "width": 1, "shards": 9},
         "request_classes": [{"name": "search", "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": "read_like"}],
         "tick_ms": 5.0,
     }))
     .unwrap();
-    let mut core = Core::new(&info, 7).unwrap();
+    let mut core = Core::new(&site, 7).unwrap();
     core.apply_directory_update(DirectoryUpdate::Cached(vec![listed("a", ReplicaState::Active, 0.0)]));
     core
 }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -9,7 +9,7 @@
 use fixture::{calls, commands, listed};
 use ironpaddle::api::{LoadReport, Outcome, ReplicaState};
 use ironpaddle::core::{Call, CallEnd, Command, Core, DirectoryUpdate, ListedRunStore};
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use ironpaddle::trace::replay::{Replay, Report};
 use ironpaddle::trace::writer::{Limits, TraceWriter};
 use ironpaddle_trace::block::Block;
@@ -24,7 +24,7 @@
 const BEGIN: f64 = 1_764_608_400_000.0;
 const STORES: usize = 8;
 
-fn info(aim: f64) -> Info {
+fn site(aim: f64) -> SiteSettings {
     let class = |name: &str, repeat: &str| json!({"name": name, "aim_ms": aim, "deadline_ms": 4000.0, "repeat": repeat, "late_worth": 0.1});
     serde_json::from_value(json!({
         "balancers": 2,
@@ -54,7 +54,7 @@
 /// Plays a day of some trouble against a core, of which a tape is kept; gives back the jobs and the core.
 fn day(seed: u64, limits: Limits, mut meddle: impl FnMut(&mut Core, f64)) -> (Vec<Job>, Core) {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut core = Core::new(&info(1000.0), seed).unwrap();
+    let mut core = Core::new(&site(1000.0), seed).unwrap();
     let source = Source { aggregator: "n0".into(), started: BEGIN as u64, seed, ..Source::default() };
     core.record(BEGIN, Some(TraceWriter::new(source, limits, 0)));
     core.apply_directory_update(DirectoryUpdate::Cached(list(&mut random, BEGIN)));
@@ -165,7 +165,7 @@
     }
 }
 
-fn replay(segments: &[Vec<u8>], other: Option<Info>) -> Report {
+fn replay(segments: &[Vec<u8>], other: Option<SiteSettings>) -> Report {
     let mut replay = Replay::new(other);
     each(segments, |block, entry| replay.take(block, entry));
     replay.report()
@@ -235,7 +235,7 @@
     let (jobs, _) = day(6, LONG, |core, _| {
         steps += 1;
         if steps % 700 == 0 {
-            core.apply_settings(&info(600.0 + f64::from(steps))).unwrap();
+            core.apply_settings(&site(600.0 + f64::from(steps))).unwrap();
         }
     });
     let report = replay(&segments(jobs), None);
@@ -328,12 +328,12 @@
 fn under_other_settings_the_ends_are_compared() {
     let (jobs, _) = day(10, LONG, |_, _| ());
     let segments = segments(jobs);
-    let same = replay(&segments, Some(info(1000.0)));
+    let same = replay(&segments, Some(site(1000.0)));
     assert!(same.verdicts.keys().all(|change| {
         let (before, after) = change.split_once(" -> ").unwrap();
         before == after
     }));
-    let other = replay(&segments, Some(info(90.0)));
+    let other = replay(&segments, Some(site(90.0)));
     assert!(other
         .verdicts
         .keys()
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -6,10 +6,10 @@
 use ironpaddle::api::{Outcome, ReplicaState};
 use ironpaddle::core::takeover::TakeoverState;
 use ironpaddle::core::{CallEnd, Core, DirectoryUpdate};
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use serde_json::json;
 
-fn info(classes: &[&str]) -> Info {
+fn site(classes: &[&str]) -> SiteSettings {
     let class =
         |name: &&str| json!({"name": name, "aim_ms": 300.0, "deadline_ms": 900.0, "repeat": "read_like"});
     let classes: Vec<_> = classes.iter().map(class).collect();
@@ -49,7 +49,7 @@
 #[test]
 fn who_is_parked_or_out_by_hand_stays_so_in_the_process_that_takes_over() {
     let mut now = 1e6;
-    let mut old = Core::new(&info(&["search", "lookup"]), 7).unwrap();
+    let mut old = Core::new(&site(&["search", "lookup"]), 7).unwrap();
     old.apply_directory_update(list());
     assert!(load(&mut old, &mut now, "search", 30).contains(&"a".to_string()));
     assert!(old.set_manual_drain(now, &"b".into(), true));
@@ -57,10 +57,10 @@
     let state = serde_json::to_string(&old.takeover_state()).unwrap();
     // The new one has the classes in another order, one more, and one less.
     for classes in [&["lookup", "entry", "search"][..], &["search"]] {
-        let new_info = info(classes);
-        let mut new = Core::new(&new_info, 8).unwrap();
+        let new_site = site(classes);
+        let mut new = Core::new(&new_site, 8).unwrap();
         let state: TakeoverState = serde_json::from_str(&state).unwrap();
-        assert_eq!(new.restore_takeover_state(&new_info, state), Ok(true));
+        assert_eq!(new.restore_takeover_state(&new_site, state), Ok(true));
         new.apply_directory_update(list());
         new.step(now);
         assert_eq!((new.gauges().pool_size, new.gauges().pool_ejected), (3, 2));
@@ -74,15 +74,15 @@
 #[test]
 fn what_cannot_be_read_of_it_leaves_a_core_that_serves() {
     let mut now = 1e6;
-    let mut old = Core::new(&info(&["search"]), 7).unwrap();
+    let mut old = Core::new(&site(&["search"]), 7).unwrap();
     old.apply_directory_update(list());
     old.step(now);
     assert!(old.set_manual_drain(now, &"b".into(), true));
     let mut state = serde_json::to_value(old.takeover_state()).unwrap();
     state["learned"] = json!("[");
-    let mut new = Core::new(&info(&["search"]), 8).unwrap();
+    let mut new = Core::new(&site(&["search"]), 8).unwrap();
     assert_eq!(
-        new.restore_takeover_state(&info(&["search"]), serde_json::from_value(state).unwrap()),
+        new.restore_takeover_state(&site(&["search"]), serde_json::from_value(state).unwrap()),
         Ok(false)
     );
     new.apply_directory_update(list());
