--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts: a client's request in, its final answer out.
+//! The fronts: each translates the requests of one client API into queries, and final answers into responses.
 
 pub mod opensearch;
 pub mod platform;
@@ -9,11 +9,12 @@
 use crate::http::parse::Headers;
 use crate::http::write::Response;
 
-/// The longest key that is taken in.
+/// The longest accepted `Idempotency-Key`, in bytes.
 const MOST_KEY: usize = 128;
 
-/// The key of a query of a keyed class, as it goes on to run stores. There a comma or a blank would end it, and of
-/// two nobody could say which counts.
+/// Returns the `Idempotency-Key` of a query whose class requires one, as it is forwarded to run stores.
+///
+/// In the frames sent to run stores a comma or a blank would end the key. Two keys are refused as ambiguous.
 fn key(headers: &Headers) -> Result<&str, String> {
     let mut all = headers.all("idempotency-key");
     let key = all.next().ok_or("Idempotency-Key is missing, which queries of this class need")?;
@@ -27,10 +28,11 @@
     Ok(key)
 }
 
-/// The answer to the layer in front of the aggregators, which asks whether to send clients here.
+/// Answers the health check of the load balancer in front of the aggregators.
 ///
-/// A list that has not come by the time in which all changes are here may not come for long: clients are then better
-/// refused with advice than kept from an aggregator that serves as soon as it is told.
+/// Without any list of run stores the check fails only during the first `TOLD_WITHIN` after the start, in which a
+/// reachable discovery service delivers it. After that the list may stay away for long, and it is better to refuse
+/// clients with a retry time than to hide an aggregator that can serve as soon as the list arrives.
 fn health(door: &Door, driver: &Driver) -> Response {
     if !door.takes_clients() {
         Response::text(503, "draining")
--- a/src/front/opensearch/merge.rs
+++ b/src/front/opensearch/merge.rs
@@ -1,4 +1,4 @@
-//! Answers of single shards, merged into one. Hits stay as the run stores gave them.
+//! Merges the answers of single shards into one. Hits are copied as the run stores sent them.
 
 use std::cmp::Ordering;
 
@@ -8,12 +8,13 @@
 
 use crate::transport::opensearch::answer::{Found, Hit, Total};
 
-/// The order of hits: the directions of a search's sort keys; none for falling scores.
+/// The order of hits: for each sort key of the search, whether it is descending. Without sort keys, hits are ordered
+/// by descending score.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Order(Vec<bool>);
 
 impl Order {
-    /// Reads a `sort`; `None` if it is malformed.
+    /// Parses the value of `sort`; `None` if it is malformed.
     pub fn read(sort: &Value) -> Option<Self> {
         let one = std::slice::from_ref(sort);
         let keys = sort.as_array().map_or(one, Vec::as_slice);
@@ -37,7 +38,7 @@
     }
 }
 
-/// Whether a sort key falls; scores do by themselves.
+/// Returns whether a sort key is descending, which is the default for `_score` only; `None` if it is malformed.
 fn descending(key: &Value) -> Option<bool> {
     let (field, order) = match key {
         Value::String(field) => (field.as_str(), None),
@@ -60,7 +61,7 @@
     }
 }
 
-/// Missing values come last in either direction.
+/// Compares two values of one sort key. Missing values come last in either direction.
 fn compare(one: &Value, other: &Value, descending: bool) -> Ordering {
     let order = match (one, other) {
         (Value::Null, Value::Null) => return Ordering::Equal,
@@ -83,7 +84,7 @@
     hit.score.unwrap_or(f64::NEG_INFINITY)
 }
 
-/// The merged `hits` of an answer.
+/// The merged `hits` object of an answer.
 #[derive(Serialize)]
 pub struct Merged {
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -93,16 +94,16 @@
 }
 
 impl Merged {
-    /// How many hits there are in all.
+    /// Returns the total number of hits.
     pub fn count(&self) -> u64 {
         self.total.as_ref().map_or(0, |total| total.value)
     }
 }
 
-/// Merges the answers of shards; hits from `from` on, `size` of them.
+/// Merges the answers of shards and keeps `size` hits, beginning with the one at position `from`.
 ///
 /// # Errors
-/// If an answer is not of the form that the transport let through.
+/// Returns an error if an answer does not have the form that the transport has already checked.
 pub fn merge<'a>(
     answers: impl Iterator<Item = &'a [u8]>,
     order: &Order,
@@ -116,7 +117,7 @@
         if let Some(more) = found.total {
             merged.total = Some(match merged.total.take() {
                 None => more,
-                // One shard that stopped counting makes the sum a lower bound.
+                // If one shard stopped counting, the sum is only a lower bound.
                 Some(sum) => Total {
                     value: sum.value.saturating_add(more.value),
                     relation: if sum.relation == "eq" { more.relation } else { sum.relation },
@@ -129,7 +130,7 @@
         };
         all.extend(found.hits);
     }
-    // Stable: hits that are equal stay in the order of shards.
+    // The sort is stable: equal hits stay in the order of the shards.
     all.sort_by(|(one, _), (other, _)| order.compare(one, other));
     merged.hits = all.into_iter().skip(from).take(size).map(|(_, raw)| raw).collect();
     Ok(merged)
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -1,7 +1,7 @@
-//! The OpenSearch-style front: `POST /{index}/_search` and `_count`, where an index is a class.
+//! The OpenSearch-style front: `/{index}/_search` and `/{index}/_count`, where an index is a query class.
 //!
-//! Answers carry `took`, `timed_out`, `_shards` and `hits`; errors carry `error.type`, `reason`, `root_cause` and
-//! `status`. What is not spoken is refused by name.
+//! Answers carry `took`, `timed_out`, `_shards` and `hits`; errors carry `error.type`, `error.reason`,
+//! `error.root_cause` and `status`. The error for an unsupported parameter or body key names it.
 
 pub mod merge;
 pub mod search;
@@ -25,20 +25,21 @@
 use crate::transport::opensearch::carry;
 use search::{Refusal, Search, Verb};
 
-/// The longest opaque id or tenant that is taken in.
+/// The longest accepted opaque id or tenant, in bytes.
 const MOST_NAME: usize = 128;
-/// Advice to what is not taken up at all.
+/// The `Retry-After` of a request that is refused before it is read, in milliseconds.
 const REFUSED_WAIT: f64 = 500.0;
 
-/// The front.
+/// The OpenSearch-style front.
 pub struct OpenSearch {
     driver: Rc<Driver>,
     door: Rc<Door>,
+    /// The number of the last query, from which an id is made for queries without `X-Opaque-Id`.
     last: Cell<u64>,
 }
 
 impl OpenSearch {
-    /// A front before a driver, behind a door.
+    /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
     pub fn new(driver: Rc<Driver>, door: Rc<Door>) -> Self {
         OpenSearch { driver, door, last: Cell::new(0) }
     }
@@ -52,6 +53,7 @@
         error(status, kind, &why)
     }
 
+    /// Builds the query for the core from a search and its request.
     fn ask(&self, search: &Search, arrived: &Arrived) -> Result<QueryRequest, Refusal> {
         let request = &arrived.message;
         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
@@ -122,7 +124,7 @@
                 }
             }
             (method, _) => {
-                let why = format!("method [{method}] is not allowed; spoken are GET and POST");
+                let why = format!("method [{method}] is not allowed; supported are GET and POST");
                 self.reject("", Refusal(405, "illegal_argument_exception", why)).with("Allow", "GET, POST")
             }
         };
@@ -143,6 +145,7 @@
     }
 }
 
+/// Returns the client's `X-Opaque-Id` to it.
 fn echo(response: Response, opaque: Option<String>) -> Response {
     match opaque {
         Some(id) => response.with("X-Opaque-Id", id),
@@ -150,22 +153,24 @@
     }
 }
 
-/// Advice in whole seconds, as this API's clients read it.
+/// Adds `Retry-After`, rounded up to whole seconds, as clients of this API expect.
 fn back_off(response: Response, millis: f64) -> Response {
     response.retry_after((millis / 1000.0).ceil() * 1000.0)
 }
 
+/// Builds an error response in the format of OpenSearch.
 fn error(status: u16, kind: &str, why: &str) -> Response {
     let cause = json!({"type": kind, "reason": why});
     let body = json!({"error": {"root_cause": [cause], "type": kind, "reason": why}, "status": status});
     Response::new(status, "application/json; charset=UTF-8", body.to_string())
 }
 
+/// Translates a final answer into an HTTP response.
 fn render(verdict: &FinalAnswer, search: &Search, shards: &[u32], took: u64) -> Response {
     let (whole, answers) = match verdict {
         FinalAnswer::Served { whole, answers, .. } => (*whole, answers),
         FinalAnswer::Refused { retry_after, cause } => {
-            let why = format!("{cause}; asking again is harmless");
+            let why = format!("{cause}; safe to retry");
             return back_off(error(429, "rejected_execution_exception", &why), *retry_after);
         }
         FinalAnswer::Failed { retry_after, cause } => {
@@ -181,8 +186,7 @@
     let missing = shards.iter().filter(|shard| answers.iter().all(|answer| answer.shard != **shard));
     let failures: Vec<_> = missing
         .map(|shard| {
-            let reason =
-                json!({"type": "timeout_exception", "reason": "its answer was not waited for any longer"});
+            let reason = json!({"type": "timeout_exception", "reason": "the shard did not answer in time"});
             json!({"shard": shard, "index": search.index, "reason": reason})
         })
         .collect();
--- a/src/front/opensearch/search.rs
+++ b/src/front/opensearch/search.rs
@@ -1,6 +1,7 @@
-//! A search request, read into the few values that the aggregator uses.
+//! Parses a search request into the few values that the aggregator uses.
 //!
-//! What cannot be kept over shards asked one by one is refused by name instead of being answered wrongly.
+//! Features whose results cannot be merged from independently queried shards are refused with an error that names
+//! them, as their answers would be wrong.
 
 use serde::de::IgnoredAny;
 use serde::Deserialize;
@@ -13,10 +14,11 @@
 use crate::http::parse::Message;
 use crate::http::target::Target;
 
-/// As many hits as a search asks for by itself, and the most that it may ask for.
+/// The number of hits that a search returns by default.
 const USUAL_SIZE: usize = 10;
+/// The largest allowed `from + size`.
 const MOST_HITS: usize = 10_000;
-/// Keys of a body that every shard can follow by itself.
+/// Body keys that every shard can apply by itself, so that they are forwarded unchanged.
 const PASSED_ON: &[&str] = &[
     "query",
     "_source",
@@ -34,37 +36,37 @@
     "post_filter",
 ];
 
-/// What is asked of the shards.
+/// The operation that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verb {
-    /// `_search`: hits.
+    /// `_search`: return hits.
     Search,
-    /// `_count`: how many there are.
+    /// `_count`: return only the number of hits.
     Count,
 }
 
-/// A search.
+/// A parsed search or count request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Search {
-    /// What is asked.
+    /// The operation.
     pub verb: Verb,
-    /// The index, which names the class.
+    /// The index, which is the name of the query class.
     pub index: String,
-    /// The shards it asks, if it names any.
+    /// The shards to query; `None` for all.
     pub shards: Option<Vec<u32>>,
-    /// How long its client waits.
+    /// The time-out that the client requests.
     pub timeout: Option<Millis>,
-    /// Whether some shards are enough.
+    /// Whether a partial answer is acceptable.
     pub partial: bool,
-    /// The first hit, of all in order.
+    /// The position of the first hit to return.
     pub from: usize,
-    /// How many hits.
+    /// The number of hits to return.
     pub size: usize,
     /// The order of hits.
     pub order: Order,
 }
 
-/// A request that is not spoken: status, type and reason.
+/// The error for a request that is malformed or not supported: HTTP status, `error.type` and `error.reason`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refusal(pub u16, pub &'static str, pub String);
 
@@ -78,16 +80,16 @@
     from: Option<usize>,
     timeout: Option<String>,
     sort: Option<Value>,
-    /// What is passed on as it is, or refused by name.
+    /// All other keys, which are forwarded unchanged or refused.
     #[serde(flatten)]
     others: BTreeMap<String, IgnoredAny>,
 }
 
 impl Search {
-    /// Reads a search from its request; `shards` is how many there are.
+    /// Parses a request; `shards` is the total number of shards.
     ///
     /// # Errors
-    /// Says what is malformed or not spoken.
+    /// Returns an error that names what is malformed or not supported.
     pub fn read(request: &Message, shards: u32) -> Result<Self, Refusal> {
         let target = Target::read(&request.start.1).ok_or_else(|| illegal("the target is malformed"))?;
         let (index, verb) = match target.path.as_slice() {
@@ -95,14 +97,16 @@
             [index, verb] if verb == "_count" => (index.clone(), Verb::Count),
             _ => {
                 let why = format!(
-                    "no handler found for uri [{}]; spoken are /{{index}}/_search and /{{index}}/_count",
+                    "no handler found for uri [{}]; supported are /{{index}}/_search and /{{index}}/_count",
                     request.start.1
                 );
                 return Err(Refusal(404, "illegal_argument_exception", why));
             }
         };
         if index.contains([',', '*']) || index.starts_with('_') {
-            return Err(illegal("a search names one index; lists and patterns are not spoken"));
+            return Err(illegal(
+                "exactly one index must be named; lists and patterns of indices are not supported",
+            ));
         }
         let mut search = Search {
             verb,
@@ -131,12 +135,12 @@
         let parsing = |why: String| Refusal(400, "parsing_exception", why);
         let body: Body = serde_json::from_slice(bytes).map_err(|error| parsing(error.to_string()))?;
         if let Some(key) = body.others.keys().find(|key| !PASSED_ON.contains(&key.as_str())) {
-            return Err(parsing(format!("key [{key}] is not spoken over shards asked one by one")));
+            return Err(parsing(format!("key [{key}] is not supported, as shards are queried one by one")));
         }
         let paged =
             body.size.is_some() || body.from.is_some() || body.timeout.is_some() || body.sort.is_some();
         if self.verb == Verb::Count && (paged || body.others.keys().any(|key| key != "query")) {
-            return Err(parsing("a count has no key but [query]".into()));
+            return Err(parsing("the only key supported for a count is [query]".into()));
         }
         self.size = body.size.unwrap_or(self.size);
         self.from = body.from.unwrap_or(self.from);
@@ -153,7 +157,7 @@
         let number = || value.parse().map_err(|_| illegal(format!("[{name}] must be a whole number")));
         match name {
             "size" | "from" | "timeout" | "allow_partial_search_results" if self.verb == Verb::Count => {
-                return Err(illegal(format!("parameter [{name}] is not spoken for a count")));
+                return Err(illegal(format!("parameter [{name}] is not supported for a count")));
             }
             "size" => self.size = number()?,
             "from" => self.from = number()?,
@@ -168,30 +172,30 @@
             "routing" => self.narrow(value.split(',').map(|routing| routed(routing, shards))),
             "preference" => {
                 let list = value.strip_prefix("_shards:");
-                let list = list.ok_or_else(|| illegal("the only [preference] spoken is _shards:N,N"))?;
+                let list = list.ok_or_else(|| illegal("the only supported [preference] is _shards:N,N"))?;
                 let list: Vec<u32> = list
                     .split(',')
                     .map(|shard| shard.parse().ok().filter(|shard| *shard < shards))
                     .collect::<Option<_>>()
-                    .ok_or_else(|| illegal(format!("[preference] names shards 0 to {}", shards - 1)))?;
+                    .ok_or_else(|| illegal(format!("[preference] may name shards 0 to {}", shards - 1)))?;
                 self.narrow(list.into_iter());
             }
             "pretty" | "human" => {}
-            _ => return Err(illegal(format!("parameter [{name}] is not spoken"))),
+            _ => return Err(illegal(format!("parameter [{name}] is not supported"))),
         }
         Ok(())
     }
 
-    /// The parameters with which each shard is asked.
+    /// Returns the URL parameters of the request to each shard.
     pub fn for_shards(&self) -> String {
         match self.verb {
-            // One shard's part of a page may be all of it: each is asked for what comes before the page too.
+            // All hits of the page, and all hits before it, may be on one shard, so each must return them all.
             Verb::Search => format!("from=0&size={}", self.from + self.size),
             Verb::Count => "size=0&track_total_hits=true".into(),
         }
     }
 
-    /// Routing and preference both narrow the shards: those that all of them name remain.
+    /// Restricts the shards to query. Routing and preference both do so, and only shards in both sets remain.
     fn narrow(&mut self, to: impl Iterator<Item = u32>) {
         let mut to: Vec<u32> = to.collect();
         to.sort_unstable();
--- a/src/front/opensearch/target.rs
+++ b/src/front/opensearch/target.rs
@@ -1,8 +1,8 @@
-//! Time units, and which shard a routing names.
+//! Parses times with units, and maps routing values to shards.
 
 use crate::api::Millis;
 
-/// A time with its unit, as in `500ms` or `2s`.
+/// Parses a time with its unit, such as `500ms` or `2s`.
 pub fn time(text: &str) -> Option<Millis> {
     let cut = text.find(|c: char| c.is_ascii_alphabetic())?;
     let scale = match &text[cut..] {
@@ -19,7 +19,7 @@
     Some(number * scale)
 }
 
-/// The shard that a routing value leads to: Murmur3 over its UTF-16 code units, modulo the number of shards.
+/// Returns the shard for a routing value: Murmur3 over its UTF-16 code units, modulo the number of shards.
 pub fn routed(routing: &str, shards: u32) -> u32 {
     let bytes: Vec<u8> = routing.encode_utf16().flat_map(u16::to_le_bytes).collect();
     (murmur3(&bytes) as i32).rem_euclid(shards.max(1) as i32) as u32
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's own protocol: a thin translation between HTTP requests and the core's types.
+//! The front for the platform's own protocol, which translates between HTTP and the core's types.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -17,11 +17,12 @@
 use crate::http::write::Response;
 use crate::log;
 
-/// The longest id, class or tenant that is taken in.
+/// The longest accepted id, tenant or term, in bytes.
 const MOST_NAME: usize = 128;
-/// Advice to what is not taken up at all.
+/// The `Retry-After` of a request that is refused before it is read, in milliseconds.
 const REFUSED_WAIT: f64 = 500.0;
 
+/// The JSON body of a query.
 #[derive(Deserialize)]
 struct Body {
     slices: Vec<Slice>,
@@ -29,6 +30,7 @@
     filter: String,
 }
 
+/// One part of a query, as the client names it.
 #[derive(Deserialize)]
 struct Slice {
     slice: u32,
@@ -39,27 +41,29 @@
     term: Option<String>,
 }
 
+/// The JSON body of an answer.
 #[derive(Serialize)]
 struct Answer<'a> {
     entire: bool,
     items: Vec<Item<'a>>,
 }
 
+/// The answer to one part.
 #[derive(Serialize)]
 struct Item<'a> {
     slice: u32,
     body: std::borrow::Cow<'a, str>,
 }
 
-/// The platform's front.
+/// The front for the platform's own protocol.
 pub struct Platform {
     driver: Rc<Driver>,
     door: Rc<Door>,
-    /// Ids of queries that are held: part ids on the wire are made from them and must not meet.
+    /// The ids of open queries. Part ids on the wire are derived from them, so two open queries must not share one.
     held: Rc<RefCell<HashSet<String>>>,
 }
 
-/// An id that is held, until this is dropped.
+/// Reserves a query id until it is dropped.
 struct Held {
     id: String,
     all: Rc<RefCell<HashSet<String>>>,
@@ -72,7 +76,7 @@
 }
 
 impl Platform {
-    /// A front before a driver, behind a door.
+    /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
     pub fn new(driver: Rc<Driver>, door: Rc<Door>) -> Self {
         Platform { driver, door, held: Rc::default() }
     }
@@ -82,12 +86,12 @@
         let ask =
             read(request, class, self.driver.is_keyed(class)).map_err(|why| self.reject(class, 400, &why))?;
         if !self.held.borrow_mut().insert(ask.id.clone()) {
-            return Err(self.reject(class, 409, "a query of this X-Request-ID is being answered"));
+            return Err(self.reject(class, 409, "a query with this X-Request-ID is already in progress"));
         }
         let held = Held { id: ask.id.clone(), all: self.held.clone() };
         match self.driver.ask(ask) {
             Ok(pending) => Ok((held, pending)),
-            Err(InvalidQuery::UnknownClass) => Err(self.reject(class, 404, "no such class")),
+            Err(InvalidQuery::UnknownClass) => Err(self.reject(class, 404, "unknown class")),
             Err(InvalidQuery::Malformed(why)) => Err(self.reject(class, 400, &why)),
         }
     }
@@ -117,7 +121,7 @@
                 }
                 Err(response) => response,
             },
-            _ => self.reject("", 405, "queries are POST requests").with("Allow", "POST"),
+            _ => self.reject("", 405, "method not allowed: send queries with POST").with("Allow", "POST"),
         };
         Box::pin(async move { response })
     }
@@ -136,16 +140,17 @@
     }
 }
 
-/// The path of a request's target.
+/// Returns the path of a request's target, without its query string.
 fn path_of(request: &Message) -> &str {
     request.start.1.split('?').next().unwrap_or("")
 }
 
-/// The class, which is the first part of a path.
+/// Returns the class of a query, which is the first segment of its path.
 fn class_of(path: &str) -> &str {
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
+/// Reads a query from its request.
 fn read(arrived: &Arrived, in_path: &str, keyed: bool) -> Result<QueryRequest, String> {
     let request = &arrived.message;
     let header = |name: &str| request.headers.get(name);
@@ -155,18 +160,22 @@
     }
     let id = header("x-request-id").ok_or("X-Request-ID is missing")?;
     let tenant = header("x-tenant-id");
-    // Ids go into frames, where a blank or a line end would end them.
+    // Ids are sent in frames, where a blank or a line break would end them.
     for (name, text) in [("X-Request-ID", id), ("X-Tenant-Id", tenant.unwrap_or("-"))] {
         if text.is_empty() || text.len() > MOST_NAME || !text.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(format!("{name} must be 1 to {MOST_NAME} visible characters"));
         }
     }
     let timeout = header("x-timeout").map(timeout).transpose()?;
-    let body: Body = serde_json::from_slice(&request.body).map_err(|error| format!("the body: {error}"))?;
+    let body: Body =
+        serde_json::from_slice(&request.body).map_err(|error| format!("invalid body: {error}"))?;
     let hint = |slice: &Slice| slice.micros.is_none_or(|micros| micros.is_finite() && micros >= 0.0);
     let term = |slice: &Slice| slice.term.as_ref().is_none_or(|term| term.len() <= MOST_NAME);
     if !body.slices.iter().all(|slice| hint(slice) && term(slice)) {
-        return Err("micros must not be negative, and a term is 16 hex digits".into());
+        return Err(format!(
+            "micros must be finite and not negative, and a term at most {MOST_NAME} bytes long"
+        )
+        .into());
     }
     let part = |slice: Slice| PartRequest {
         shard: slice.slice,
@@ -188,17 +197,21 @@
     })
 }
 
-/// A number and its unit, in milliseconds.
+/// Parses the value of `X-Timeout`, a number with a unit (`m` for milliseconds, `u` for microseconds), into
+/// milliseconds.
 fn timeout(text: &str) -> Result<f64, String> {
     let (scale, digits) = match text.as_bytes().last() {
         Some(b'm') => (1.0, &text[..text.len() - 1]),
         Some(b'u') => (0.001, &text[..text.len() - 1]),
-        _ => return Err("X-Timeout needs a unit, m or u".into()),
+        _ => return Err("X-Timeout needs a unit: m (milliseconds) or u (microseconds)".into()),
     };
     let number = digits.parse::<f64>().ok().filter(|number| number.is_finite() && *number >= 0.0);
-    number.map(|number| number * scale).ok_or_else(|| "X-Timeout is not a number and a unit".into())
+    number
+        .map(|number| number * scale)
+        .ok_or_else(|| "X-Timeout must be a number that is not negative, followed by its unit".into())
 }
 
+/// Translates a final answer into an HTTP response.
 fn render(verdict: &FinalAnswer) -> Response {
     match verdict {
         FinalAnswer::Served { whole, answers, .. } => {
@@ -214,7 +227,7 @@
             }
         }
         FinalAnswer::Refused { retry_after, cause } => {
-            let why = format!("refused, trying again is harmless: {cause}");
+            let why = format!("refused, safe to retry: {cause}");
             Response::text(503, &why).retry_after(*retry_after)
         }
         FinalAnswer::Failed { retry_after, cause } => {
