--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -1,4 +1,4 @@
-//! A connection between two processes of one aggregator: lines of JSON, and once the listening sockets.
+//! The connection between two processes of one aggregator. It carries lines of JSON and, once, the listening sockets.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -15,43 +15,46 @@
 use super::Word;
 use crate::net::{self, Stream};
 
-/// The longest line: entries of the replicated store may be long.
+/// The longest accepted line, in bytes: the state includes all entries of the replicated store.
 const MOST_LINE: usize = 64 * 1024 * 1024;
-/// The most sockets that are passed: clients' and the store's.
+/// The maximum number of sockets that are passed: those for clients and for the replicated store.
 const MOST_SOCKETS: usize = 2;
 
-/// The connection.
+/// A connection to the other process.
 pub struct Link {
     stream: Async<UnixStream>,
 }
 
 impl Link {
-    /// A connection to a process of the same user.
+    /// Wraps a connection to a process of the same user.
     ///
     /// # Errors
-    /// If it is another user's: that one must neither be given the sockets nor give any.
+    /// Returns an error if the other process belongs to another user, with whom no sockets may be exchanged.
     pub fn new(stream: Async<UnixStream>) -> io::Result<Self> {
         let other = sockopt::socket_peercred(stream.as_fd())?.uid;
         if other != rustix::process::geteuid() {
-            return Err(io::Error::new(io::ErrorKind::PermissionDenied, "a process of another user"));
+            return Err(io::Error::new(
+                io::ErrorKind::PermissionDenied,
+                "the other process belongs to another user",
+            ));
         }
         Ok(Link { stream })
     }
 
-    /// Says a word.
+    /// Sends a message.
     ///
     /// # Errors
-    /// If the other process is gone.
+    /// Returns an error if the other process has ended.
     pub async fn say(&self, word: &Word) -> io::Result<()> {
         let mut line = serde_json::to_vec(word)?;
         line.push(b'\n');
         Stream::from(&self.stream).write_all(&line).await
     }
 
-    /// Passes sockets along, with one byte that carries them.
+    /// Sends sockets as ancillary data of one byte.
     ///
     /// # Errors
-    /// If the other process is gone.
+    /// Returns an error if the other process has ended.
     pub async fn pass(&self, sockets: &[OwnedFd]) -> io::Result<()> {
         let borrowed: Vec<_> = sockets.iter().map(AsFd::as_fd).collect();
         let send = |stream: &UnixStream| {
@@ -65,10 +68,10 @@
         net::again(|| self.stream.write_with(send)).await.map(drop)
     }
 
-    /// Takes the sockets that are passed along.
+    /// Receives sockets.
     ///
     /// # Errors
-    /// If the other process is gone.
+    /// Returns an error if the other process has ended.
     pub async fn take(&self) -> io::Result<Vec<OwnedFd>> {
         let receive = |stream: &UnixStream| {
             let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
@@ -91,19 +94,19 @@
     }
 }
 
-/// The lines that come on a link.
+/// Splits what arrives on a link into lines.
 #[derive(Default)]
 pub struct Lines {
     buffer: Vec<u8>,
-    /// How far the buffer was searched for a line's end.
+    /// The length of the part of the buffer that contains no line break.
     searched: usize,
 }
 
 impl Lines {
-    /// The next word. What was begun is kept if this is dropped.
+    /// Receives the next message. Is cancel-safe: if the future is dropped, a partly received line is kept.
     ///
     /// # Errors
-    /// If the other process is gone, or says what cannot be read.
+    /// Returns an error if the other process has ended or a line cannot be parsed.
     pub async fn next(&mut self, link: &Link) -> io::Result<Word> {
         let mut bytes = [0; 8192];
         loop {
@@ -116,7 +119,7 @@
             }
             self.searched = self.buffer.len();
             if self.buffer.len() > MOST_LINE {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "a line that does not end"));
+                return Err(io::Error::new(io::ErrorKind::InvalidData, "line too long"));
             }
             match Stream::from(&link.stream).read(&mut bytes).await? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,9 +1,10 @@
-//! From an old process of this aggregator to a new one, under load.
+//! Hands over from a running process of this aggregator to a new one, under load.
 //!
-//! The old one listens on a Unix socket in `$TMPDIR`. The new one finds it there and is given the listening sockets
-//! and what the rules see as one aggregator's: the list, what operators have said, what the router learned. Once it
-//! serves it says so; from then on the old one accepts no more and only ends what it has. Until one of them is gone
-//! both tell each other what operators call for, and the old one tells what it holds of the limits that they share.
+//! The old process listens on a Unix socket in `$TMPDIR`. The new process connects to it and receives the listening
+//! sockets and the state that belongs to the aggregator as a whole: the list of run stores, manual drains, and what the
+//! router has learned. It reports when it serves; from then on the old process accepts no connections and only finishes
+//! its open queries. While both run, they forward operators' manual drains to each other, and the old process reports
+//! its share of the limits that apply to both together.
 
 pub mod link;
 pub mod new;
@@ -27,120 +28,120 @@
 use crate::store::Entry;
 use link::{Lines, Link};
 
-/// The version of what is said here. Processes of different versions do not hand over.
+/// The version of the handover protocol. Processes of different versions do not hand over.
 const VERSION: u32 = 1;
-/// How long one thing may take to be said or to come, between two processes on one machine.
+/// The time-out for sending or receiving one message or the sockets between two processes on one machine.
 const LIMIT: Duration = Duration::from_secs(1);
 
-/// All that the new process is given, beside the sockets.
+/// The state that the new process receives, apart from the sockets.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct State {
-    /// The list as last told, with its version at the discovery service of this address.
+    /// The current list of run stores, with its version at the discovery service that `discovery` names.
     pub list: List,
-    /// See `list`.
+    /// The address of the discovery service that `list` came from.
     pub discovery: Option<SocketAddr>,
-    /// What the core leaves.
+    /// The state of the core.
     #[serde(rename = "legacy")]
     pub takeover_state: TakeoverState,
-    /// What the old process's clock shows, by which all times in this count; one of an older version does not say.
+    /// The time on the old process's clock, to which all times in this state refer. `None` from an older version.
     #[serde(default)]
     pub now: Option<Millis>,
-    /// Whether operators want no clients.
+    /// Whether operators have shut clients out.
     pub shut: bool,
-    /// Whether it was recording; a process of an older version does not say.
+    /// Whether the trace recording was on. `None` from an older version.
     #[serde(default)]
     pub recording: Option<bool>,
-    /// What the replicated store holds.
+    /// The entries of the replicated store.
     pub entries: Vec<Entry>,
-    /// What the old process holds by now.
+    /// The resources that the old process uses at this time.
     pub held: Held,
 }
 
-/// What a process holds of the limits that both share.
+/// The resources that a process uses, out of limits that apply to both processes together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
-    /// Queries and parts.
+    /// The number of open queries and parts.
     pub open: usize,
-    /// Descriptors.
+    /// The number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// What two processes say to each other, a line of JSON each.
+/// A message between two processes, sent as one line of JSON.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Word {
-    /// The new one asks.
+    /// The new process asks for the handover.
     Hello {
-        /// What it speaks.
+        /// The version of its handover protocol.
         version: u32,
         /// The aggregator's name.
         name: String,
     },
-    /// The old one accepts no more, as it is to end: there is nothing to hand over.
+    /// The old process is shutting down and no longer accepts connections, so there is nothing to hand over.
     Ending,
-    /// The old one does not hand over.
+    /// The old process refuses to hand over, for this reason.
     No(String),
-    /// The old one hands over.
+    /// The old process hands over this state.
     State(Box<State>),
-    /// The new one serves.
+    /// The new process serves clients.
     Serving,
-    /// The old one holds this.
+    /// The old process uses these resources.
     Held(Held),
-    /// Either was told that a run store is out.
+    /// An operator has drained a run store through the sending process.
     Out(ReplicaId),
-    /// Either was told, at that time, that a run store is back.
+    /// An operator has ended the manual drain of a run store through the sending process, at this time.
     Back(ReplicaId, Millis),
 }
 
-/// A process of an aggregator, as the handover needs it.
+/// The operations of the running program that the handover needs.
 pub trait Process {
-    /// The aggregator's name.
+    /// Returns the aggregator's name.
     fn name(&self) -> String;
-    /// The listening sockets, that of clients first; `None` if it accepts no more.
+    /// Returns copies of the listening sockets, that for clients first; `None` if the process no longer accepts.
     fn sockets(&self) -> Option<Vec<OwnedFd>>;
-    /// What the new process is to know.
+    /// Returns the state for the new process.
     fn state(&self) -> State;
-    /// What it holds now.
+    /// Returns the resources in use.
     fn held(&self) -> Held;
-    /// The other process serves: accept no more, and end what is there.
+    /// Stops accepting connections and finishes open queries, as the new process serves.
     fn stand_down(&self);
-    /// The other process is gone: serve as before, unless this one is to end.
+    /// Accepts connections again, as the new process has ended. Does nothing if this process is shutting down.
     fn stand_up(&self);
-    /// Operators have spoken to the other process.
+    /// Applies a manual drain (`out`), or its end, that an operator requested from the other process at the time `at`.
     fn apply_manual_drain(&self, at: Millis, id: &ReplicaId, out: bool);
-    /// The other process holds this, or is gone.
+    /// Leaves room, under the shared limits, for the resources of the other process; `None` once that has ended.
     fn leave_room(&self, held: Option<Held>);
 }
 
-/// Where the running process of an aggregator is found.
+/// Returns the path of the Unix socket on which the running process of an aggregator listens.
 pub fn path(name: &str) -> PathBuf {
     let plain = |c: char| if c.is_ascii_alphanumeric() || matches!(c, '-' | '.') { c } else { '_' };
     let name: String = name.chars().map(plain).collect();
     std::env::temp_dir().join(format!("ironpaddle-{name}.sock"))
 }
 
-/// The words to the other process, while there is one.
+/// Sends messages to the other process of a handover, while there is one.
 #[derive(Default)]
 pub struct Wire(RefCell<Option<Sender<Word>>>);
 
 impl Wire {
-    /// From now on what is said reaches the receiver.
+    /// Connects the sender to a new channel and returns its receiver.
     fn open(&self) -> Receiver<Word> {
         let (sender, words) = async_channel::unbounded();
         *self.0.borrow_mut() = Some(sender);
         words
     }
 
-    /// Says something to the other process, if there is one.
+    /// Queues a message for the other process, if there is one.
     pub fn say(&self, word: Word) {
         if let Some(sender) = &*self.0.borrow() {
-            // One that is gone needs no telling.
+            // A failure means that the other process has ended.
             let _ = sender.try_send(word);
         }
     }
 }
 
-/// Says what there is to say; ends when that cannot be said.
+/// Sends queued messages until one cannot be sent, and returns the error.
 async fn speak(link: &Link, words: &Receiver<Word>) -> io::Error {
     while let Ok(word) = words.recv().await {
         if let Err(error) = within(LIMIT, link.say(&word)).await {
@@ -150,7 +151,8 @@
     future::pending().await
 }
 
-/// Hears the other process out; says how that ended.
+/// Receives and handles messages of the other process until that fails, and returns the error. Calls `serving` when the
+/// new process reports that it serves.
 async fn hear(link: &Link, lines: &mut Lines, process: &dyn Process, mut serving: impl FnMut()) -> io::Error {
     loop {
         let word = match lines.next(link).await {
@@ -163,7 +165,7 @@
             Word::Held(held) => process.leave_room(Some(held)),
             Word::Serving => serving(),
             Word::Hello { .. } | Word::Ending | Word::No(_) | Word::State(_) => {
-                return io::Error::new(io::ErrorKind::InvalidData, "a word out of its place");
+                return io::Error::new(io::ErrorKind::InvalidData, "unexpected message");
             }
         }
     }
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -1,4 +1,4 @@
-//! The new process: it takes over from a running one, if there is one.
+//! The new process's side of the handover: it takes over from a running process, if there is one.
 
 use std::io;
 use std::os::fd::OwnedFd;
@@ -14,12 +14,12 @@
 use crate::http::client::within;
 use crate::log;
 
-/// The time in which the running process hands over. Callers wait for the new one meanwhile.
+/// The time-out for the handover, and for connecting to the running process. Starting the new process waits for it.
 const HANDOVER: Duration = Duration::from_secs(2);
 
-/// What a running process has handed over.
+/// The state and sockets that a running process has handed over, and the connection to it.
 pub struct Taken {
-    /// What it knows.
+    /// Its state.
     pub state: State,
     /// Its listening sockets.
     pub sockets: Vec<OwnedFd>,
@@ -27,10 +27,11 @@
     lines: Lines,
 }
 
-/// Asks the running process of an aggregator; `None` if none runs, as far as can be told from its socket.
+/// Asks the running process of an aggregator to hand over; `None` if its socket shows that none runs.
 ///
 /// # Errors
-/// If one runs and does not hand over. It serves on; this one has no place beside it.
+/// Returns an error if a process runs and does not hand over. It continues to serve, and the new process must not start
+/// beside it.
 pub async fn take(path: &Path, name: &str) -> Result<Option<Taken>, String> {
     let failed = |error: io::Error| format!("the running process does not hand over: {error}");
     let stream = match within(HANDOVER, Async::<UnixStream>::connect(path)).await {
@@ -39,7 +40,7 @@
         Err(error) if matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
             return Ok(None)
         }
-        // A path too long for a socket: then no process listens there either.
+        // The path is too long for a socket, so no process can listen there.
         Err(error) if error.kind() == io::ErrorKind::InvalidInput => return Ok(None),
         Err(error) => return Err(failed(error)),
     };
@@ -54,11 +55,11 @@
         (sockets, Word::State(state), lines) => Ok(Some(Taken { state: *state, sockets, link, lines })),
         (_, Word::Ending, _) => Ok(None),
         (_, Word::No(why), _) => Err(format!("the running process does not hand over: {why}")),
-        _ => Err("the running process does not hand over: it says what was not asked".into()),
+        _ => Err("the running process does not hand over: unexpected message".into()),
     }
 }
 
-/// Says that this process serves, and stays in step with the old one until that is gone.
+/// Reports that this process serves, and exchanges messages with the old process until that has ended.
 pub async fn follow(with: (Link, Lines), process: &dyn Process, wire: &Wire) {
     let (link, mut lines) = with;
     let words = wire.open();
@@ -70,7 +71,7 @@
 }
 
 impl Taken {
-    /// Its parts: what was handed over, and the link to the old process.
+    /// Splits it into the state, the sockets and the connection to the old process.
     pub fn split(self) -> (State, Vec<OwnedFd>, (Link, Lines)) {
         (self.state, self.sockets, (self.link, self.lines))
     }
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -1,4 +1,4 @@
-//! The running process: it waits for one that takes over, and hands over to it.
+//! The running process's side of the handover: it waits for a new process and hands over to it.
 
 use std::cell::Cell;
 use std::io;
@@ -15,21 +15,21 @@
 use crate::http::client::within;
 use crate::log;
 
-/// The time in which one that was given all has to serve.
+/// The time within which a new process must serve after it was sent the state.
 const PATIENCE: Duration = Duration::from_secs(5);
-/// How often it is told what this process still holds.
+/// The interval at which the new process is sent the resources in use here.
 const TELL_EVERY: Duration = Duration::from_millis(100);
-/// The wait after an accept that failed, for want of descriptors for example.
+/// The pause after a failed accept, for example when no descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Waits for processes that take over, one after the other.
+/// Accepts new processes that want to take over, one after the other.
 pub async fn wait(path: &Path, process: Rc<dyn Process>, wire: &Wire) {
     loop {
         let listener = match listen(path) {
             Ok(listener) => listener,
             Err(error) => {
-                // It serves all the same; a new version then needs a restart.
-                log::line(&format!("handover: none can take over: {}: {error}", path.display()));
+                // The process serves clients all the same, but can then be replaced only by a restart.
+                log::line(&format!("handover: disabled, cannot listen on {}: {error}", path.display()));
                 return;
             }
         };
@@ -55,12 +55,13 @@
                 log::line("handover: failed, this process serves on");
             }
         }
-        // The one that took over is gone.
+        // The process that took over has ended.
         process.stand_up();
     }
 }
 
-/// A socket at a path. What is there already is stale: a running process would have been asked.
+/// Listens on a Unix socket. A file that exists at its path is stale: this process has asked any running process there
+/// to hand over before.
 fn listen(path: &Path) -> io::Result<Async<UnixListener>> {
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
@@ -69,8 +70,9 @@
     Async::<UnixListener>::bind(path)
 }
 
-/// Hands over to a process that asks, and stays in step with it; says how that ended. Once it serves, this process
-/// listens here no longer: the next one asks that one.
+/// Hands over to a process that has connected and exchanges messages with it; returns how the connection ended, as an
+/// `Err` if the new process never served. Once the new process serves, this one stops listening for further handovers:
+/// the next process asks the new one.
 async fn offer(
     link: &Link,
     process: &dyn Process,
@@ -80,12 +82,12 @@
     let mut lines = Lines::default();
     let hello = within(LIMIT, lines.next(link)).await?;
     let ours = matches!(&hello, Word::Hello { version: VERSION, name } if *name == process.name());
-    let other = "it is another aggregator, or of a version that speaks otherwise";
+    let other = "the other process has another aggregator name or protocol version";
     let sockets = match process.sockets() {
         Some(sockets) if ours => sockets,
         sockets => {
             let (word, why) = match sockets {
-                None if ours => (Word::Ending, "this process is to end"),
+                None if ours => (Word::Ending, "this process is shutting down"),
                 _ => (Word::No(other.into()), other),
             };
             within(LIMIT, link.pass(&[])).await?;
@@ -93,7 +95,7 @@
             return Err(io::Error::other(why));
         }
     };
-    // What is called for from here on is told there, in order, behind the state of this moment.
+    // The channel is opened before the state is captured, so that operators' calls made afterwards are sent behind it.
     let words = wire.open();
     let state = Word::State(Box::new(process.state()));
     within(LIMIT, link.pass(&sockets)).await?;
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, on an address of their own: what clients do there delays none of them.
+//! The operators' HTTP interface. It has its own address, so that load from clients does not delay operators' calls.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -19,12 +19,13 @@
 use crate::http::write::Response;
 use crate::log;
 
-/// The time for one call, and its connection.
+/// The time-out for one call, including its connection.
 const CALL: Duration = Duration::from_secs(2);
-/// Calls at once, out of the descriptors that are kept back.
+/// The maximum number of concurrent calls. Their descriptors come from the reserve for everything but clients and run
+/// stores.
 const CONNECTIONS: usize = 32;
 
-/// What operators may call for.
+/// Handles operators' calls.
 pub struct Operator {
     driver: Rc<Driver>,
     door: Rc<Door>,
@@ -32,25 +33,28 @@
 }
 
 impl Operator {
-    /// Calls that act on a driver and the clients' door, and of which another process hears.
+    /// Creates a handler that acts on `driver` and `door`, and forwards manual drains over `wire` to the other process
+    /// during a handover.
     pub fn new(driver: Rc<Driver>, door: Rc<Door>, wire: Rc<Wire>) -> Self {
         Operator { driver, door, wire }
     }
 
-    /// Serves calls on a listener.
+    /// Accepts and answers calls on `listener`.
     pub async fn serve(self, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
         let limits = Limits { connections: CONNECTIONS, idle: CALL, request: CALL, write: CALL, keep: false };
         let server = Server::new("operator", executor, Box::new(self), limits, Rc::default());
         server.accept(listener).await;
     }
 
+    /// Routes a call by its method and path.
     fn call(&self, method: &str, target: &str) -> Response {
         let Some(target) = Target::read(target) else {
-            return Response::text(400, "an escape in the path is malformed");
+            return Response::text(400, "the path contains a malformed percent-escape");
         };
         let words: Vec<&str> = target.path.iter().map(String::as_str).collect();
         match (method, &words[..]) {
-            // A process that listens here serves; whether it wants clients is told at their address.
+            // The process is healthy if it answers here. `/healthz` on the clients' address says whether it takes
+            // clients.
             ("GET", ["healthcheck"]) => yes("ready"),
             ("GET", ["stats"]) => Response::text(200, &self.stats()),
             ("PUT", ["run-stores", id, "maint"]) => self.by_hand(id, true),
@@ -67,7 +71,7 @@
             (_, ["trace", "start" | "stop" | "rotate"]) => wrong_method("PUT"),
             (_, ["healthcheck"] | ["stats"] | ["trace"]) => wrong_method("GET"),
             (_, ["healthcheck", "fail" | "ok"] | ["run-stores", _, "maint" | "ready"]) => wrong_method("PUT"),
-            _ => Response::text(404, "no such call"),
+            _ => Response::text(404, "unknown path"),
         }
     }
 
@@ -75,10 +79,10 @@
         counters::stats(&self.driver.counters(), &self.driver.gauges())
     }
 
-    /// The recording: what to do with it, and then how it stands, as JSON.
+    /// Applies an action to the trace recording and returns the recording's status as JSON.
     fn trace(&self, act: impl FnOnce(&Rc<Driver>) -> Result<(), String>) -> Response {
         let Some(control) = self.driver.recording() else {
-            return Response::text(409, "the configuration has no key trace");
+            return Response::text(409, "trace recording is not configured (key trace)");
         };
         if let Err(why) = act(&self.driver) {
             return Response::text(500, &why);
@@ -89,10 +93,11 @@
         }
     }
 
+    /// Drains a run store manually (`out`) or ends its manual drain, here and in the other process of a handover.
     fn by_hand(&self, id: &str, out: bool) -> Response {
         let (at, id) = (self.driver.now(), ReplicaId::from(id));
         if !self.driver.set_manual_drain(at, &id, out) {
-            return Response::text(404, "no such run store was ever listed");
+            return Response::text(404, "unknown run store");
         }
         self.wire.say(if out { Word::Out(id.clone()) } else { Word::Back(id.clone(), at) });
         let word = if out { "out" } else { "back" };
@@ -100,9 +105,10 @@
         yes(word)
     }
 
+    /// Shuts clients out or lets them in again.
     fn turn(&self, shut: bool, word: &str) -> Response {
         if !self.door.by_hand(shut) {
-            return Response::text(409, "this process is to end");
+            return Response::text(409, "this process is shutting down or has handed over");
         }
         log::line(&format!("operator: {word}"));
         yes(word)
@@ -114,7 +120,7 @@
 }
 
 fn wrong_method(spoken: &str) -> Response {
-    Response::text(405, &format!("this is a {spoken} call")).with("Allow", spoken)
+    Response::text(405, &format!("method not allowed: use {spoken}")).with("Allow", spoken)
 }
 
 impl Handler for Operator {
@@ -132,7 +138,7 @@
         Response::text(bad.status(), &bad.to_string())
     }
 
-    /// All calls are answered at once.
+    /// Returns no time-out, as all calls are answered immediately.
     fn waits(&self, _: &Message) -> Option<Duration> {
         None
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,8 +1,8 @@
-//! A small replicated store: versioned entries, held in memory, the same at all peers in the end.
+//! A small replicated store of versioned entries. It is held in memory and eventually consistent between peers.
 //!
-//! It holds configuration and the last directory, never live load. Of two entries under one key the one with
-//! the higher version stands, and between equal versions the one of the greater origin, so that all peers
-//! agree in whatever order entries reach them.
+//! It holds the settings and the last directory, never live load. Of two entries with one key, the one with the higher
+//! version wins, then the one with the greater origin, then the one with the greater value, so that all peers agree
+//! whatever the order in which entries reach them.
 
 pub mod peers;
 
@@ -16,49 +16,51 @@
 pub const SETTINGS: &str = "settings";
 /// The key of the last directory.
 pub const DIRECTORY: &str = "directory";
-/// Bounds on what peers can make this process hold.
+/// The maximum number of keys, which bounds the memory that peers can make this process use.
 const MOST_KEYS: usize = 64;
+/// The maximum size of a value, in bytes, for the same reason.
 const MOST_VALUE: usize = 1024 * 1024;
 
-/// An entry.
+/// An entry of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Its key.
     pub key: String,
-    /// Its version; the higher stands.
+    /// Its version; the higher one wins.
     pub version: u64,
-    /// Who wrote it.
+    /// The name of the aggregator that wrote it.
     pub origin: String,
     /// Its value.
     pub value: String,
 }
 
 impl Entry {
+    /// Returns whether this entry replaces another one with the same key.
     fn stands_over(&self, other: &Entry) -> bool {
         (self.version, &self.origin, &self.value) > (other.version, &other.origin, &other.value)
     }
 }
 
-/// One peer's copy.
+/// This peer's copy of the store.
 pub struct Store {
     origin: String,
     entries: RefCell<BTreeMap<String, Entry>>,
-    /// Whoever waits for changes: connections to peers.
+    /// The connections to peers, which are notified of changes.
     listeners: RefCell<Vec<Sender<()>>>,
 }
 
 impl Store {
-    /// An empty copy; `origin` names this peer.
+    /// Creates an empty copy; `origin` is the name of this peer.
     pub fn new(origin: &str) -> Self {
         Store { origin: origin.to_string(), entries: RefCell::default(), listeners: RefCell::default() }
     }
 
-    /// Writes an entry; it is passed over where a newer one is known.
+    /// Writes an entry unless a newer one is known; returns whether it was written.
     pub fn put(&self, key: &str, version: u64, value: String) -> bool {
         self.merge(Entry { key: key.to_string(), version, origin: self.origin.clone(), value })
     }
 
-    /// Takes an entry in; says whether it is news.
+    /// Merges an entry into the store; returns whether it changed the store.
     pub fn merge(&self, entry: Entry) -> bool {
         let mut entries = self.entries.borrow_mut();
         let known = entries.get(&entry.key);
@@ -68,7 +70,7 @@
         }
         entries.insert(entry.key.clone(), entry);
         drop(entries);
-        // One signal stands for any number of changes; a listener that is gone is forgotten.
+        // The channels have room for one signal, which stands for any number of changes. Closed ones are removed.
         self.listeners.borrow_mut().retain(|listener| {
             let _ = listener.try_send(());
             !listener.is_closed()
@@ -76,23 +78,24 @@
         true
     }
 
-    /// The entry under a key.
+    /// Returns the entry with this key.
     pub fn get(&self, key: &str) -> Option<Entry> {
         self.entries.borrow().get(key).cloned()
     }
 
-    /// All entries.
+    /// Returns all entries.
     pub fn entries(&self) -> Vec<Entry> {
         self.entries.borrow().values().cloned().collect()
     }
 
+    /// Returns a channel that is signalled when the store changes.
     fn listen(&self) -> Receiver<()> {
         let (sender, receiver) = async_channel::bounded(1);
         self.listeners.borrow_mut().push(sender);
         receiver
     }
 
-    /// The entries that a peer has not been sent in their present form.
+    /// Returns the entries that are not in `sent` in their current form.
     fn unsent(&self, sent: &BTreeMap<String, Entry>) -> Vec<Entry> {
         self.entries.borrow().values().filter(|entry| sent.get(&entry.key) != Some(entry)).cloned().collect()
     }
--- a/src/store/peers.rs
+++ b/src/store/peers.rs
@@ -1,7 +1,7 @@
-//! Replication: on each connection between two peers, both send what the other has not been sent.
+//! Replication: on each connection between two peers, each side sends the entries that it has not sent there yet.
 //!
-//! A line is a JSON value: an entry, `"synced"` after the first round, or `"ping"` so that a silent peer is
-//! noticed. A peer that comes back is dialled again and brought up to date by a first round.
+//! Each line is a JSON value: an entry, `"synced"` after the first round, or `"ping"` so that a dead peer is detected.
+//! A lost connection is dialled again, and the first round on the new one brings both peers up to date.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -21,16 +21,22 @@
 use crate::log::{self, Reason};
 use crate::net::Stream;
 
+/// The time-out for connecting.
 const CONNECT: Duration = Duration::from_millis(500);
+/// The pause before a peer is dialled again, or after a failed accept.
 const REDIAL: Duration = Duration::from_millis(500);
+/// The interval at which an idle connection sends a ping.
 const PING_EVERY: Duration = Duration::from_millis(1000);
+/// The time after which a connection is closed if nothing is received.
 const SILENCE: Duration = Duration::from_millis(4000);
+/// The time-out for writing one batch of lines.
 const WRITE: Duration = Duration::from_millis(4000);
-/// The longest line: a value may double in size by its escapes.
+/// The longest accepted line, in bytes: escapes can double the size of a value.
 const MOST_LINE: usize = 3 * super::MOST_VALUE;
-/// Connections that peers may hold here.
+/// The maximum number of accepted connections from peers.
 const MOST_PEERS: usize = 32;
 
+/// A line of the replication protocol.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Line {
@@ -43,8 +49,9 @@
 pub struct Peers {
     store: Rc<Store>,
     executor: Rc<LocalExecutor<'static>>,
-    /// Peers whose first round has come, or that could not be reached at first.
+    /// The number of listed peers whose first round has arrived, or with whom the first attempt failed.
     settled: Cell<usize>,
+    /// The number of open connections that peers have made.
     accepted: Cell<usize>,
 }
 
@@ -69,11 +76,12 @@
         replication
     }
 
-    /// How many of the listed peers have sent all they had, or were out of reach.
+    /// Returns how many of the listed peers have sent all their entries or could not be reached.
     pub fn settled(&self) -> usize {
         self.settled.get()
     }
 
+    /// Accepts connections from peers.
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -97,6 +105,7 @@
         }
     }
 
+    /// Keeps a connection to a listed peer.
     async fn dial(self: Rc<Self>, peer: SocketAddr) {
         let settled = Cell::new(false);
         loop {
@@ -108,12 +117,14 @@
         }
     }
 
+    /// Counts a peer as settled, at most once.
     fn settle(&self, settled: &Cell<bool>) {
         if !settled.replace(true) {
             self.settled.set(self.settled.get() + 1);
         }
     }
 
+    /// Replicates over a connection until it ends, and logs why it ended.
     async fn talk(&self, stream: Stream, peer: SocketAddr, settled: &Cell<bool>) {
         let read = async { self.read(stream.clone(), settled).await };
         let write = async { self.write(stream.clone()).await };
@@ -126,6 +137,7 @@
         log::ended("peer", Some(peer), reason, "");
     }
 
+    /// Merges the entries that a peer sends.
     async fn read(&self, mut stream: Stream, settled: &Cell<bool>) -> io::Result<Reason> {
         let mut buffer = Vec::new();
         let mut bytes = vec![0; 16 * 1024];
@@ -153,6 +165,7 @@
         }
     }
 
+    /// Sends entries that are new to a peer, and pings.
     async fn write(&self, mut stream: Stream) -> io::Result<Reason> {
         let changed = self.store.listen();
         let mut sent: BTreeMap<String, Entry> = BTreeMap::new();
