--- a/src/config.rs
+++ b/src/config.rs
@@ -1,6 +1,6 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads and validates the configuration and applies its defaults.
 //!
-//! The file is JSON, named by `GW_CONFIG` or by the first argument. Messages name the faulty key.
+//! The configuration is a JSON file, named by the first argument or by `GW_CONFIG`. Error messages name the faulty key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,65 +16,69 @@
 use crate::trace::recorder::Keep;
 use crate::trace::writer;
 
-/// Descriptors kept for everything else: standard streams, the reactor, listeners, discovery, operators' calls.
+/// Descriptors reserved for everything but clients and run stores: standard streams, the reactor, listeners, discovery
+/// and operators' calls.
 const SPARE_DESCRIPTORS: usize = 64;
+/// The minimum of `limits.sockets`.
 const LEAST_DESCRIPTORS: usize = 128;
-/// However much another process holds, this one serves.
+/// The minimum number of connections to clients and to run stores, however many descriptors another process of this
+/// aggregator uses.
 const LEAST_CONNECTIONS: usize = 8;
 
 /// The configuration of an aggregator.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Config {
-    /// Its name.
+    /// The aggregator's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where operators call; where it is not set, nobody can.
+    /// The address of the operators' HTTP interface; off if it is not set.
     #[serde(default)]
     pub operator: Option<SocketAddr>,
-    /// Where discovery listens; either this or `dns_sd` is set.
+    /// The address of the discovery service; either this or `dns_sd` is set.
     #[serde(default)]
     pub discovery: Option<SocketAddr>,
     /// The DNS server and the service that list the run stores.
     #[serde(default)]
     pub dns_sd: Option<DnsSd>,
-    /// The replicated store; off where it is not set.
+    /// The replicated store; off if it is not set.
     #[serde(default)]
     pub store: Option<Store>,
-    /// The recording of what is seen and decided; without it there can be none.
+    /// The trace recording; without this key operators cannot switch it on.
     #[serde(default)]
     pub trace: Option<Trace>,
-    /// The source of chance, in hex digits.
+    /// The seed of the random number generator, in hex digits.
     #[serde(default)]
     pub seed: String,
-    /// What the process may use.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: Limits,
-    /// The list of run stores as it was last known.
+    /// The last known list of run stores.
     #[serde(default)]
     pub known: List,
-    /// What clients and run stores speak.
+    /// The API that clients and run stores use.
     #[serde(default)]
     pub api: Api,
-    /// The settings of the site, as text; without them they come from the store.
+    /// The settings of the site, as JSON text; if missing, they come from the store.
     #[serde(default)]
     pub settings: Option<Box<RawValue>>,
-    /// All that is set, to tell at a reload what is missing.
+    /// The keys that the file sets, with which a reload detects keys that are missing.
     #[serde(skip)]
     set: Value,
 }
 
-/// Keys that a later file may leave out: they are meant for a start alone, or one stands for the other.
+/// Keys that the file may omit at a reload: `seed` and `known` apply only at the start, and `discovery` and `dns_sd`
+/// can replace each other.
 const MAY_GO: [&str; 4] = ["seed", "known", "discovery", "dns_sd"];
 
 /// The DNS server and the service that list the run stores.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct DnsSd {
-    /// Where the DNS server listens.
+    /// The address of the DNS server.
     pub server: SocketAddr,
-    /// The service, such as `_run-store._tcp.example`.
+    /// The service name, such as `_run-store._tcp.example`.
     pub service: String,
-    /// The time between two looks, in milliseconds.
+    /// The polling interval, in milliseconds.
     #[serde(default = "two_seconds")]
     pub refresh_ms: f64,
 }
@@ -83,33 +87,33 @@
     2000.0
 }
 
-/// This peer of the replicated store.
+/// The configuration of this peer of the replicated store.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct Store {
-    /// Where peers connect.
+    /// The address on which peers connect.
     pub listen: SocketAddr,
-    /// The other peers.
+    /// The addresses of the other peers.
     pub peers: Vec<SocketAddr>,
-    /// The version of `settings` in this file; the highest that any peer knows is used.
+    /// The version of `settings` in this file; the settings with the highest version of all peers are used.
     #[serde(default)]
     pub settings_version: u64,
 }
 
-/// The recording.
+/// The configuration of the trace recording.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Trace {
-    /// The folder of its segments.
+    /// The directory for its segments.
     pub dir: PathBuf,
-    /// Whether it is on from the start; operators switch it on and off.
+    /// Whether it is on at the start; operators can switch it on and off.
     #[serde(default = "yes")]
     pub on: bool,
-    /// The length from which another segment is begun, in MB.
+    /// The size at which a new segment is begun, in MB (2^20 bytes).
     #[serde(default = "segment_mb")]
     pub segment_mb: f64,
-    /// The age from which another segment is begun, in seconds.
+    /// The age at which a new segment is begun, in seconds.
     #[serde(default = "segment_s")]
     pub segment_s: f64,
-    /// What all segments of this aggregator may take up, in MB; the oldest go.
+    /// The maximum total size of this aggregator's segments, in MB; the oldest are deleted first.
     #[serde(default = "keep_mb")]
     pub keep_mb: f64,
 }
@@ -131,7 +135,7 @@
 }
 
 impl Trace {
-    /// The same, for a recorder.
+    /// Converts the configuration to the recorder's type.
     pub fn keep(&self) -> Keep {
         let bytes = |mb: f64| (mb * 1_048_576.0) as u64;
         let limits = writer::Limits { bytes: bytes(self.segment_mb), age: self.segment_s * 1000.0 };
@@ -139,22 +143,22 @@
     }
 }
 
-/// What clients and run stores speak.
+/// The API that clients and run stores use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Api {
-    /// The platform's protocol, and frames.
+    /// The platform's protocol, with frames between aggregator and run stores.
     #[default]
     Platform,
-    /// The OpenSearch-style API.
+    /// The OpenSearch-style API, for clients and run stores.
     Opensearch,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Descriptors.
+    /// The maximum number of file descriptors.
     pub sockets: usize,
 }
 
@@ -164,36 +168,37 @@
     }
 }
 
-/// The file that an argument or the environment names.
+/// Returns the path of the configuration file from the argument or from `GW_CONFIG`.
 ///
 /// # Errors
-/// Says so if none is named.
+/// Returns an error if neither is given.
 pub fn path(named: Option<PathBuf>) -> Result<PathBuf, String> {
     let path = named.or_else(|| env::var_os("GW_CONFIG").map(PathBuf::from));
-    path.ok_or_else(|| "GW_CONFIG is not set, and no file was named".into())
+    path.ok_or_else(|| "no configuration file: GW_CONFIG is not set and no argument is given".into())
 }
 
 impl Config {
-    /// Reads and checks a file, at the start and again at a reload.
+    /// Reads and validates a configuration file, at the start and at each reload.
     ///
     /// # Errors
-    /// Says which key is at fault.
+    /// Returns a message that names the faulty key and its line.
     pub fn load(path: &Path) -> Result<Self, String> {
         let text = fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
         let mut config =
             Config::parse(&text).map_err(|why| format!("{}: {}", path.display(), with_line(&text, why)))?;
         if let (None, Ok(address)) = (config.operator, env::var("GW_OPERATOR")) {
-            let address = address.parse().map_err(|_| format!("key GW_OPERATOR: {address} is no address"))?;
+            let address =
+                address.parse().map_err(|_| format!("key GW_OPERATOR: {address} is not a socket address"))?;
             config.operator = Some(address);
         }
         Ok(config)
     }
 
-    /// Whether a later configuration sets all that this one sets. One that does not is held to be cut short: to
-    /// fall back on a default would be a change that nobody wrote.
+    /// Checks that a later configuration sets every key that this one sets. If a key is missing, the file is assumed to
+    /// be truncated: falling back to the default would be a change that nobody made on purpose.
     ///
     /// # Errors
-    /// Says which key is missing.
+    /// Returns a message that names the missing key.
     pub fn all_in(&self, later: &Config) -> Result<(), String> {
         match missing(&self.set, &later.set) {
             Some(key) => Err(format!("key {key}: is missing, and was set before")),
@@ -201,9 +206,9 @@
         }
     }
 
-    /// The keys in which a later configuration differs and which only a restart takes up. What a reload takes up,
-    /// the settings, the address of discovery and the DNS server and service, is not among them; nor are `seed`
-    /// and `known`, which are meant for a start alone.
+    /// Returns the changed keys of a later configuration that only a restart applies. A reload applies `settings`, the
+    /// address of discovery, and the server, service and refresh time of `dns_sd`. `seed` and `known` are not reported
+    /// either, as they apply only at the start.
     pub fn needs_restart(&self, new: &Config) -> Vec<&'static str> {
         let peers = |config: &Config| config.store.as_ref().map(|store| (store.listen, store.peers.clone()));
         let changed = [
@@ -219,10 +224,10 @@
         changed.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
     }
 
-    /// Reads and checks a configuration.
+    /// Parses and validates a configuration.
     ///
     /// # Errors
-    /// Says which key is at fault.
+    /// Returns a message that names the faulty key.
     pub fn parse(text: &str) -> Result<Self, String> {
         let mut config: Config = read(text, "")?;
         config.check()?;
@@ -236,6 +241,7 @@
         Ok(config)
     }
 
+    /// Validates all keys but `settings`.
     fn check(&self) -> Result<(), String> {
         if self.limits.sockets < LEAST_DESCRIPTORS {
             return Err(format!("key limits.sockets: must be {LEAST_DESCRIPTORS} or more"));
@@ -244,7 +250,7 @@
             return Err("key seed: must be up to 16 hex digits".into());
         }
         match (&self.discovery, &self.dns_sd) {
-            (Some(_), Some(_)) => return Err("key dns_sd: may not be set beside discovery".into()),
+            (Some(_), Some(_)) => return Err("key dns_sd: must not be set together with discovery".into()),
             (None, None) => return Err("key discovery: is missing, and so is dns_sd".into()),
             (None, Some(dns)) if !(100.0..=3_600_000.0).contains(&dns.refresh_ms) => {
                 return Err("key dns_sd.refresh_ms: must be 100 to 3600000".into());
@@ -274,19 +280,20 @@
         }
     }
 
-    /// Reads and checks a settings object, of this file or of the store.
+    /// Parses and validates a settings object from this file or from the store.
     ///
     /// # Errors
-    /// Says which key is at fault.
+    /// Returns a message that names the faulty key.
     pub fn settings(&self, text: &str) -> Result<SiteSettings, String> {
         let site: SiteSettings = read(text, "settings.")?;
         if self.api == Api::Opensearch && site.domain.shards.is_none_or(|shards| shards == 0) {
             return Err(
-                "key settings.domain.shards: the OpenSearch-style API needs their number, 1 or more".into()
+                "key settings.domain.shards: the OpenSearch-style API needs the number of shards, 1 or more"
+                    .into(),
             );
         }
         if site.domain.class_fetch.iter().any(|parts| *parts > 0) {
-            return Err("key settings.domain.class_fetch: a second step is not spoken on sockets".into());
+            return Err("key settings.domain.class_fetch: a second step is not supported over sockets".into());
         }
         for (at, class) in site.request_classes.iter().enumerate() {
             for (key, sound) in [
@@ -302,7 +309,7 @@
         }
         let (caps, domain, rules) = (&site.caps, &site.domain, &site.rules);
         let sound = |value: Option<f64>| value.is_none_or(|value| value >= 0.0);
-        // Sums of weights may be a little off.
+        // Sums of weights may exceed 1 by a rounding error.
         let share = |shares: &[f64]| shares.iter().all(|share| (0.0..=1.001).contains(share));
         for (key, sound) in [
             ("caps.connect_timeout_ms", caps.connect_timeout_ms() > 0.0),
@@ -333,33 +340,36 @@
         Ok(site)
     }
 
-    /// The source of chance as a number.
+    /// Returns the seed as a number.
     pub fn seed(&self) -> u64 {
         u64::from_str_radix(&self.seed, 16).unwrap_or(0)
     }
 
-    /// How many connections clients may hold, where another process of this aggregator holds so many descriptors.
-    /// An eighth more is borne to be turned away.
+    /// Returns the maximum number of client connections when another process of this aggregator uses `elsewhere`
+    /// descriptors. The server accepts an eighth more in order to refuse them, which is why only 8/9 of the remaining
+    /// descriptors are available.
     pub fn client_connections(&self, elsewhere: usize) -> usize {
         let rest = self.descriptors(elsewhere);
         let left = rest.saturating_sub(self.store_connections(elsewhere)) * 8 / 9;
         left.min(rest * 2 / 3).max(LEAST_CONNECTIONS)
     }
 
-    /// How many connections to run stores there may be: a fifth, and up to half where there are many run stores, as
-    /// each is to have one, and those that are replaced have theirs a while longer.
+    /// Returns the maximum number of connections to run stores: a fifth of the descriptors, and up to half if many run
+    /// stores are known. Two are planned for each run store: one in use, and one that is being replaced.
     pub fn store_connections(&self, elsewhere: usize) -> usize {
         let rest = self.descriptors(elsewhere);
         let wanted = self.known.endpoints.len() * 2;
         wanted.min(rest / 2).max(rest / 5).max(LEAST_CONNECTIONS)
     }
 
+    /// Returns the descriptors available for clients and run stores.
     fn descriptors(&self, elsewhere: usize) -> usize {
         self.limits.sockets.saturating_sub(SPARE_DESCRIPTORS + elsewhere)
     }
 }
 
-/// The first key that was set and is not. Lists may shrink and grow; what all entries of one had, each has to have.
+/// Returns the first key that is set in `before` and not in `after`. The length of lists may change, but each entry of
+/// a list must set all keys that every entry of the list before set.
 fn missing(before: &Value, after: &Value) -> Option<String> {
     match (before, after) {
         (Value::Null, _) => None,
@@ -379,7 +389,7 @@
     }
 }
 
-/// What both of two entries of a list have.
+/// Returns the first of two entries of a list, reduced to the keys that both set.
 fn in_both(one: Value, other: &Value) -> Value {
     match (one, other) {
         (Value::Object(one), Value::Object(other)) => {
@@ -390,8 +400,8 @@
     }
 }
 
-/// A message with the line of the key that it names. Within `settings`, which is read by itself, the reader counts lines
-/// from its first one.
+/// Adds to a message the line of the key that it names. The parser's own line number is removed: `settings` is parsed
+/// by itself, so lines there are counted from its first one.
 fn with_line(text: &str, why: String) -> String {
     let named = why.strip_prefix("key ").and_then(|rest| rest.split_once(": "));
     let Some((line, (key, what))) = named.and_then(|named| Some((line_of(text, named.0)?, named))) else {
@@ -401,7 +411,7 @@
     format!("key {key}: {what} (line {line})")
 }
 
-/// The line on which the value of a key stands, or of the last that is there on the way to it.
+/// Returns the line on which the value of a key begins; if the key does not exist, the line of its closest ancestor.
 fn line_of(text: &str, key: &str) -> Option<usize> {
     let mut value: &RawValue = serde_json::from_str(text).ok()?;
     for step in key.split(['.', '[']).map(|step| step.trim_end_matches(']')).filter(|step| !step.is_empty()) {
@@ -418,6 +428,7 @@
     Some(before.matches('\n').count() + 1)
 }
 
+/// Parses JSON. Errors name the key, with the prefix `under`.
 fn read<'a, T: Deserialize<'a>>(text: &'a str, under: &str) -> Result<T, String> {
     let mut json = serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(&mut json)
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: lines on standard error, as text or JSON, written by `tracing`.
+//! The log, written by `tracing` to standard error as lines of text or JSON.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -20,42 +20,43 @@
 /// Why a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// The other side closed it in good order.
+    /// The peer closed it between messages.
     PeerClosed,
-    /// This side closed it after the last answer, as announced.
+    /// This side closed it after the last answer, as it had announced.
     Done,
-    /// It stood idle for too long.
+    /// It was idle for too long.
     Idle,
-    /// The client left before its answer.
+    /// The client closed it before it received its answer.
     ClientGone,
-    /// What came could not be read; framing is lost.
+    /// A malformed message was received, so message boundaries are lost.
     Malformed,
-    /// The other side was too slow with what it had begun.
+    /// The peer did not complete a message or an answer in time.
     TooSlow,
-    /// It never came up.
+    /// Connecting failed.
     ConnectFailed,
-    /// It did not come up in time.
+    /// Connecting timed out.
     ConnectTimeout,
-    /// This machine could make no connection, whoever the peer is.
+    /// This machine could not create a connection, for a reason that does not depend on the peer.
     NoSocket,
-    /// It broke.
+    /// It was reset, or failed with another I/O error.
     Reset,
-    /// The other side reported a frame that it could not use.
+    /// The peer reported a frame that violates the protocol.
     Protocol,
-    /// It fell silent with something outstanding.
+    /// The peer sent nothing although something was outstanding.
     Silent,
-    /// The run store drains, is gone or has started anew.
+    /// The peer is no longer used: a run store that drains, is gone or has restarted, or a directory address that a
+    /// reload replaced.
     Retired,
-    /// The core asked for it.
+    /// The core requested the close.
     Asked,
-    /// There are too many connections.
+    /// There were too many connections.
     Full,
-    /// This program is shutting down.
+    /// This process is shutting down.
     Shutdown,
 }
 
 impl Reason {
-    /// The code in the log.
+    /// Returns the code that the log shows.
     pub fn code(self) -> &'static str {
         match self {
             Reason::PeerClosed => "peer_closed",
@@ -79,7 +80,7 @@
 }
 
 impl From<io::ErrorKind> for Reason {
-    /// Why a connection ended on which a read or a write failed.
+    /// Maps the error of a failed read or write to the reason why its connection ended.
     fn from(kind: io::ErrorKind) -> Self {
         match kind {
             io::ErrorKind::TimedOut => Reason::TooSlow,
@@ -91,31 +92,32 @@
     }
 }
 
-/// Who else hears of connections that ended: what it was, the peer, the reason's code, the note.
+/// A callback for connections that end, with the kind of the connection, the peer, the reason's code and the note.
 type Watcher = Box<dyn Fn(&str, &str, &str, &str)>;
 
 thread_local! {
     static WATCHER: RefCell<Option<Watcher>> = const { RefCell::new(None) };
 }
 
-/// Has somebody hear of the connections of this thread that end, or nobody any more.
+/// Sets or removes the callback that is invoked when a connection of this thread ends.
 pub fn watch(watcher: Option<Watcher>) {
     WATCHER.with_borrow_mut(|known| *known = watcher);
 }
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Format {
-    /// A line each, for people and `grep`.
+    /// Plain text, for people and `grep`.
     #[default]
     Text,
-    /// A JSON object a line, with the time, the level, and what a line is about as fields.
+    /// One JSON object per line, with the time, the level and structured fields.
     Json,
 }
 
-/// A line is its message; fields stand in it already.
+/// Formats an event as its message only, as the text of a message already contains the fields.
 struct Bare;
 
+/// Writes the field `message` of an event and keeps the result.
 struct Message<'a, 'b>(&'a mut Writer<'b>, fmt::Result);
 
 impl Visit for Message<'_, '_> {
@@ -137,10 +139,11 @@
     }
 }
 
-/// What writes lines to some place, those that pass a filter such as `info` or `info,ironpaddle::query=debug`.
+/// Creates a subscriber that writes lines to `out` if they pass `filter`, such as `info` or
+/// `info,ironpaddle::query=debug`.
 ///
 /// # Errors
-/// Says what of the filter cannot be read.
+/// Returns a message if the filter cannot be parsed.
 pub fn subscriber<W>(
     format: Format,
     filter: &str,
@@ -150,7 +153,7 @@
     W: for<'w> MakeWriter<'w> + Send + Sync + 'static,
 {
     let targets: Targets = filter.parse().map_err(|error| format!("log filter {filter}: {error}"))?;
-    // A log that cannot be written is no reason to stop, nor to write of that.
+    // The process goes on if the log cannot be written, and such errors are not logged.
     let layer = tracing_subscriber::fmt::layer().with_writer(out).log_internal_errors(false);
     Ok(match format {
         Format::Text => Box::new(Registry::default().with(layer.event_format(Bare).with_filter(targets))),
@@ -161,27 +164,27 @@
     })
 }
 
-/// Has lines written to standard error from now on. Only the first call counts.
+/// Starts writing the log to standard error. Only the first call has an effect.
 ///
 /// # Errors
-/// Says what of the filter cannot be read.
+/// Returns a message if the filter cannot be parsed.
 pub fn begin(format: Format, filter: &str) -> Result<(), String> {
     let subscriber = subscriber(format, filter, io::stderr)?;
     let _ = tracing::subscriber::set_global_default(subscriber);
     Ok(())
 }
 
-/// Writes a line.
+/// Logs a line.
 pub fn line(text: &str) {
     tracing::info!(target: "ironpaddle", "{text}");
 }
 
-/// A line about a query, by its client's id.
+/// Logs a line about a query, with the id that its client gave it.
 pub fn about(query: &str, text: &str) {
     tracing::info!(target: "ironpaddle", query, "{text}");
 }
 
-/// A query's end: at level debug, as there are many.
+/// Logs the end of a query, at level debug because of their number.
 pub fn verdict(query: &str, verdict: &FinalAnswer) {
     let how = match verdict {
         FinalAnswer::Served { whole: true, .. } => "whole",
@@ -193,7 +196,7 @@
     tracing::debug!(target: "ironpaddle::query", query, how, cause, "query {query} {how} cause={cause}");
 }
 
-/// The one line of a connection that ended.
+/// Logs the end of a connection, with one line per connection.
 pub fn ended(kind: &str, peer: Option<SocketAddr>, reason: Reason, note: impl fmt::Display) {
     let peer = peer.map_or_else(|| "-".to_string(), |peer| peer.to_string());
     let code = reason.code();
