--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -10,20 +10,22 @@
 use crate::http::write::Response;
 
 /// The longest accepted `Idempotency-Key`, in bytes.
-const MOST_KEY: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 
 /// Returns the `Idempotency-Key` of a query whose class requires one, as it is forwarded to run stores.
 ///
 /// In the frames sent to run stores a comma or a blank would end the key. Two keys are refused as ambiguous.
-fn key(headers: &Headers) -> Result<&str, String> {
+fn idempotency_key(headers: &Headers) -> Result<&str, String> {
     let mut all = headers.all("idempotency-key");
     let key = all.next().ok_or("Idempotency-Key is missing, which queries of this class need")?;
     if all.next().is_some() {
         return Err("Idempotency-Key is given more than once".into());
     }
-    let sound = |byte: u8| byte.is_ascii_graphic() && byte != b',';
-    if key.is_empty() || key.len() > MOST_KEY || !key.bytes().all(sound) {
-        return Err(format!("Idempotency-Key must be 1 to {MOST_KEY} visible characters other than a comma"));
+    let is_allowed = |byte: u8| byte.is_ascii_graphic() && byte != b',';
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !key.bytes().all(is_allowed) {
+        return Err(format!(
+            "Idempotency-Key must be 1 to {MAX_KEY_BYTES} visible characters other than a comma"
+        ));
     }
     Ok(key)
 }
--- a/src/front/opensearch/merge.rs
+++ b/src/front/opensearch/merge.rs
@@ -11,14 +11,14 @@
 /// The order of hits: for each sort key of the search, whether it is descending. Without sort keys, hits are ordered
 /// by descending score.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Order(Vec<bool>);
+pub struct SortOrder(Vec<bool>);
 
-impl Order {
+impl SortOrder {
     /// Parses the value of `sort`; `None` if it is malformed.
-    pub fn read(sort: &Value) -> Option<Self> {
+    pub fn parse(sort: &Value) -> Option<Self> {
         let one = std::slice::from_ref(sort);
         let keys = sort.as_array().map_or(one, Vec::as_slice);
-        keys.iter().map(descending).collect::<Option<_>>().map(Order)
+        keys.iter().map(descending).collect::<Option<_>>().map(SortOrder)
     }
 
     fn compare(&self, one: &Hit, other: &Hit) -> Ordering {
@@ -43,10 +43,10 @@
     let (field, order) = match key {
         Value::String(field) => (field.as_str(), None),
         Value::Object(keys) if keys.len() == 1 => {
-            let (field, how) = keys.iter().next()?;
-            let order = match how {
+            let (field, options) = keys.iter().next()?;
+            let order = match options {
                 Value::String(order) => Some(order.as_str()),
-                Value::Object(how) => how.get("order").map(Value::as_str).unwrap_or(None),
+                Value::Object(options) => options.get("order").map(Value::as_str).unwrap_or(None),
                 _ => return None,
             };
             (field.as_str(), order)
@@ -86,14 +86,14 @@
 
 /// The merged `hits` object of an answer.
 #[derive(Serialize)]
-pub struct Merged {
+pub struct MergedHits {
     #[serde(skip_serializing_if = "Option::is_none")]
     total: Option<Total>,
     max_score: Option<f64>,
     hits: Vec<Box<RawValue>>,
 }
 
-impl Merged {
+impl MergedHits {
     /// Returns the total number of hits.
     pub fn count(&self) -> u64 {
         self.total.as_ref().map_or(0, |total| total.value)
@@ -106,12 +106,12 @@
 /// Returns an error if an answer does not have the form that the transport has already checked.
 pub fn merge<'a>(
     answers: impl Iterator<Item = &'a [u8]>,
-    order: &Order,
+    order: &SortOrder,
     from: usize,
     size: usize,
-) -> Result<Merged, String> {
-    let mut all: Vec<(Hit, Box<RawValue>)> = Vec::new();
-    let mut merged = Merged { total: None, max_score: None, hits: Vec::new() };
+) -> Result<MergedHits, String> {
+    let mut all_hits: Vec<(Hit, Box<RawValue>)> = Vec::new();
+    let mut merged = MergedHits { total: None, max_score: None, hits: Vec::new() };
     for answer in answers {
         let found = Found::read(answer)?;
         if let Some(more) = found.total {
@@ -128,11 +128,11 @@
             (Some(a), Some(b)) => Some(a.max(b)),
             (a, b) => a.or(b),
         };
-        all.extend(found.hits);
+        all_hits.extend(found.hits);
     }
     // The sort is stable: equal hits stay in the order of the shards.
-    all.sort_by(|(one, _), (other, _)| order.compare(one, other));
-    merged.hits = all.into_iter().skip(from).take(size).map(|(_, raw)| raw).collect();
+    all_hits.sort_by(|(one, _), (other, _)| order.compare(one, other));
+    merged.hits = all_hits.into_iter().skip(from).take(size).map(|(_, raw)| raw).collect();
     Ok(merged)
 }
 
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -23,159 +23,162 @@
 use crate::http::write::Response;
 use crate::log;
 use crate::transport::opensearch::carry;
-use search::{Refusal, Search, Verb};
+use search::{Operation, RequestError, Search};
 
 /// The longest accepted opaque id or tenant, in bytes.
-const MOST_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// The `Retry-After` of a request that is refused before it is read, in milliseconds.
-const REFUSED_WAIT: f64 = 500.0;
+const REFUSED_RETRY_AFTER_MS: f64 = 500.0;
 
 /// The OpenSearch-style front.
 pub struct OpenSearch {
     driver: Rc<Driver>,
     door: Rc<Door>,
     /// The number of the last query, from which an id is made for queries without `X-Opaque-Id`.
-    last: Cell<u64>,
+    last_query_no: Cell<u64>,
 }
 
 impl OpenSearch {
     /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
     pub fn new(driver: Rc<Driver>, door: Rc<Door>) -> Self {
-        OpenSearch { driver, door, last: Cell::new(0) }
+        OpenSearch { driver, door, last_query_no: Cell::new(0) }
     }
 
     fn shards(&self) -> u32 {
         self.driver.shards().unwrap_or(1)
     }
 
-    fn reject(&self, index: &str, Refusal(status, kind, why): Refusal) -> Response {
+    fn reject(&self, index: &str, RequestError(status, error_type, why): RequestError) -> Response {
         self.driver.not_taken(index);
-        error(status, kind, &why)
+        error(status, error_type, &why)
     }
 
     /// Builds the query for the core from a search and its request.
-    fn ask(&self, search: &Search, arrived: &Arrived) -> Result<QueryRequest, Refusal> {
+    fn build_query(&self, search: &Search, arrived: &Arrived) -> Result<QueryRequest, RequestError> {
         let request = &arrived.message;
         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
         let weight = 1.0 / shards.len().max(1) as f64;
-        self.last.set(self.last.get() + 1);
+        self.last_query_no.set(self.last_query_no.get() + 1);
         let tenant = request.headers.get("x-tenant-id");
         for (name, text) in [("X-Opaque-Id", request.headers.get("x-opaque-id")), ("X-Tenant-Id", tenant)] {
-            let sound = |text: &str| text.len() <= MOST_NAME && text.bytes().all(|b| b.is_ascii_graphic());
-            if !text.is_none_or(sound) {
-                let why = format!("{name} must be at most {MOST_NAME} visible characters");
-                return Err(Refusal(400, "illegal_argument_exception", why));
+            let is_valid =
+                |text: &str| text.len() <= MAX_NAME_BYTES && text.bytes().all(|b| b.is_ascii_graphic());
+            if !text.is_none_or(is_valid) {
+                let why = format!("{name} must be at most {MAX_NAME_BYTES} visible characters");
+                return Err(RequestError(400, "illegal_argument_exception", why));
             }
         }
         let keyed = self.driver.is_keyed(&search.index);
-        let key = keyed.then(|| super::key(&request.headers)).transpose();
-        let key = key.map_err(|why| Refusal(400, "illegal_argument_exception", why))?.map(Into::into);
+        let key = keyed.then(|| super::idempotency_key(&request.headers)).transpose();
+        let key = key.map_err(|why| RequestError(400, "illegal_argument_exception", why))?.map(Into::into);
         Ok(QueryRequest {
             id: request
                 .headers
                 .get("x-opaque-id")
-                .map_or_else(|| format!("s{}", self.last.get()), str::to_string),
+                .map_or_else(|| format!("s{}", self.last_query_no.get()), str::to_string),
             class: search.index.clone(),
             tenant: tenant.map(str::to_string),
             timeout: search.timeout,
             waited: millis(arrived.waited()),
             retried: false,
-            partial: search.partial,
+            partial: search.allow_partial,
             key,
             parts: shards
                 .into_iter()
                 .map(|shard| PartRequest { shard, weight, hint: None, key: None })
                 .collect(),
-            text: carry(&search.for_shards(), &request.body).into(),
+            text: carry(&search.shard_parameters(), &request.body).into(),
         })
     }
 }
 
 impl Handler for OpenSearch {
-    fn handle(&self, arrived: Arrived, sooner: Receiver<Instant>) -> Local<Response> {
+    fn handle(&self, arrived: Arrived, earlier_deadline: Receiver<Instant>) -> Local<Response> {
         let request = &arrived.message;
-        let opaque = request.headers.get("x-opaque-id").map(str::to_string);
+        let opaque_id = request.headers.get("x-opaque-id").map(str::to_string);
         let response = match (request.start.0.as_str(), request.start.1.as_str()) {
             ("GET", "/healthz") => crate::front::health(&self.door, &self.driver),
             ("GET", "/counters") => Response::text(200, &self.driver.counters().to_string()),
             ("GET" | "POST", path) => {
                 let index = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
-                let read = Search::read(request, self.shards());
-                let asked = read.and_then(|search| self.ask(&search, &arrived).map(|ask| (search, ask)));
-                match asked.map(|(search, ask)| (search, self.driver.ask(ask))) {
+                let parsed = Search::parse(request, self.shards());
+                let query = parsed
+                    .and_then(|search| self.build_query(&search, &arrived).map(|query| (search, query)));
+                match query.map(|(search, query)| (search, self.driver.ask(query))) {
                     Ok((search, Ok(pending))) => {
-                        let since = arrived.at;
+                        let arrived_at = arrived.at;
                         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
                         return Box::pin(async move {
-                            let verdict = pending.verdict_before(sooner).await;
-                            log::verdict(opaque.as_deref().unwrap_or("-"), &verdict);
-                            let took = since.elapsed().as_millis() as u64;
-                            echo(render(&verdict, &search, &shards, took), opaque)
+                            let verdict = pending.verdict_before(earlier_deadline).await;
+                            log::verdict(opaque_id.as_deref().unwrap_or("-"), &verdict);
+                            let took = arrived_at.elapsed().as_millis() as u64;
+                            with_opaque_id(to_response(&verdict, &search, &shards, took), opaque_id)
                         });
                     }
                     Ok((search, Err(InvalidQuery::UnknownClass))) => {
                         let why = format!("no such index [{}]", search.index);
-                        self.reject(index, Refusal(404, "index_not_found_exception", why))
+                        self.reject(index, RequestError(404, "index_not_found_exception", why))
                     }
                     Ok((_, Err(InvalidQuery::Malformed(why)))) => {
-                        self.reject(index, Refusal(400, "illegal_argument_exception", why))
+                        self.reject(index, RequestError(400, "illegal_argument_exception", why))
                     }
                     Err(refusal) => self.reject(index, refusal),
                 }
             }
             (method, _) => {
                 let why = format!("method [{method}] is not allowed; supported are GET and POST");
-                self.reject("", Refusal(405, "illegal_argument_exception", why)).with("Allow", "GET, POST")
+                self.reject("", RequestError(405, "illegal_argument_exception", why))
+                    .with("Allow", "GET, POST")
             }
         };
-        Box::pin(async move { echo(response, opaque) })
+        Box::pin(async move { with_opaque_id(response, opaque_id) })
     }
 
     fn bad(&self, bad: Bad) -> Response {
-        self.reject("", Refusal(bad.status(), "parsing_exception", bad.to_string()))
+        self.reject("", RequestError(bad.status(), "parsing_exception", bad.to_string()))
     }
 
     fn waits(&self, request: &Message) -> Option<Duration> {
-        let search = Search::read(request, self.shards()).ok()?;
+        let search = Search::parse(request, self.shards()).ok()?;
         self.driver.wait_of(&search.index, search.timeout)
     }
 
     fn refuse(&self, why: Refused) -> Response {
-        back_off(error(503, "rejected_execution_exception", why.text()), REFUSED_WAIT)
+        with_retry_after(error(503, "rejected_execution_exception", why.text()), REFUSED_RETRY_AFTER_MS)
     }
 }
 
 /// Returns the client's `X-Opaque-Id` to it.
-fn echo(response: Response, opaque: Option<String>) -> Response {
-    match opaque {
+fn with_opaque_id(response: Response, opaque_id: Option<String>) -> Response {
+    match opaque_id {
         Some(id) => response.with("X-Opaque-Id", id),
         None => response,
     }
 }
 
 /// Adds `Retry-After`, rounded up to whole seconds, as clients of this API expect.
-fn back_off(response: Response, millis: f64) -> Response {
+fn with_retry_after(response: Response, millis: f64) -> Response {
     response.retry_after((millis / 1000.0).ceil() * 1000.0)
 }
 
 /// Builds an error response in the format of OpenSearch.
-fn error(status: u16, kind: &str, why: &str) -> Response {
-    let cause = json!({"type": kind, "reason": why});
-    let body = json!({"error": {"root_cause": [cause], "type": kind, "reason": why}, "status": status});
+fn error(status: u16, error_type: &str, why: &str) -> Response {
+    let cause = json!({"type": error_type, "reason": why});
+    let body = json!({"error": {"root_cause": [cause], "type": error_type, "reason": why}, "status": status});
     Response::new(status, "application/json; charset=UTF-8", body.to_string())
 }
 
 /// Translates a final answer into an HTTP response.
-fn render(verdict: &FinalAnswer, search: &Search, shards: &[u32], took: u64) -> Response {
+fn to_response(verdict: &FinalAnswer, search: &Search, shards: &[u32], took: u64) -> Response {
     let (whole, answers) = match verdict {
         FinalAnswer::Served { whole, answers, .. } => (*whole, answers),
         FinalAnswer::Refused { retry_after, cause } => {
             let why = format!("{cause}; safe to retry");
-            return back_off(error(429, "rejected_execution_exception", &why), *retry_after);
+            return with_retry_after(error(429, "rejected_execution_exception", &why), *retry_after);
         }
         FinalAnswer::Failed { retry_after, cause } => {
             let why = cause.to_string();
-            return back_off(error(500, "search_phase_execution_exception", &why), *retry_after);
+            return with_retry_after(error(500, "search_phase_execution_exception", &why), *retry_after);
         }
     };
     let values = answers.iter().map(|answer| &answer.value[..]);
@@ -196,7 +199,7 @@
     if !failures.is_empty() {
         counts["failures"] = failures.into();
     }
-    if search.verb == Verb::Count {
+    if search.operation == Operation::Count {
         let body = json!({"count": merged.count(), "_shards": counts});
         return Response::new(200, "application/json; charset=UTF-8", body.to_string());
     }
@@ -205,7 +208,7 @@
         took: u64,
         timed_out: bool,
         _shards: serde_json::Value,
-        hits: merge::Merged,
+        hits: merge::MergedHits,
     }
     match serde_json::to_vec(&Answer { took, timed_out: !whole, _shards: counts, hits: merged }) {
         Ok(body) => Response::new(200, "application/json; charset=UTF-8", body),
--- a/src/front/opensearch/target.rs
+++ b/src/front/opensearch/target.rs
@@ -3,9 +3,9 @@
 use crate::api::Millis;
 
 /// Parses a time with its unit, such as `500ms` or `2s`.
-pub fn time(text: &str) -> Option<Millis> {
-    let cut = text.find(|c: char| c.is_ascii_alphabetic())?;
-    let scale = match &text[cut..] {
+pub fn parse_time(text: &str) -> Option<Millis> {
+    let unit_start = text.find(|c: char| c.is_ascii_alphabetic())?;
+    let scale = match &text[unit_start..] {
         "nanos" => 1e-6,
         "micros" => 1e-3,
         "ms" => 1.0,
@@ -15,12 +15,13 @@
         "d" => 86_400e3,
         _ => return None,
     };
-    let number = text[..cut].parse::<f64>().ok().filter(|number| number.is_finite() && *number >= 0.0)?;
+    let number =
+        text[..unit_start].parse::<f64>().ok().filter(|number| number.is_finite() && *number >= 0.0)?;
     Some(number * scale)
 }
 
 /// Returns the shard for a routing value: Murmur3 over its UTF-16 code units, modulo the number of shards.
-pub fn routed(routing: &str, shards: u32) -> u32 {
+pub fn shard_for_routing(routing: &str, shards: u32) -> u32 {
     let bytes: Vec<u8> = routing.encode_utf16().flat_map(u16::to_le_bytes).collect();
     (murmur3(&bytes) as i32).rem_euclid(shards.max(1) as i32) as u32
 }
--- a/src/front/opensearch/target/tests.rs
+++ b/src/front/opensearch/target/tests.rs
@@ -2,11 +2,11 @@
 
 #[test]
 fn times_need_a_unit() {
-    assert_eq!(time("250ms"), Some(250.0));
-    assert_eq!(time("1.5s"), Some(1500.0));
-    assert_eq!(time("250"), None);
-    assert_eq!(time("-1s"), None);
-    assert_eq!(time("1y"), None);
+    assert_eq!(parse_time("250ms"), Some(250.0));
+    assert_eq!(parse_time("1.5s"), Some(1500.0));
+    assert_eq!(parse_time("250"), None);
+    assert_eq!(parse_time("-1s"), None);
+    assert_eq!(parse_time("1y"), None);
 }
 
 #[test]
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -18,9 +18,9 @@
 use crate::log;
 
 /// The longest accepted id, tenant or term, in bytes.
-const MOST_NAME: usize = 128;
+const MAX_NAME_BYTES: usize = 128;
 /// The `Retry-After` of a request that is refused before it is read, in milliseconds.
-const REFUSED_WAIT: f64 = 500.0;
+const REFUSED_RETRY_AFTER_MS: f64 = 500.0;
 
 /// The JSON body of a query.
 #[derive(Deserialize)]
@@ -60,37 +60,37 @@
     driver: Rc<Driver>,
     door: Rc<Door>,
     /// The ids of open queries. Part ids on the wire are derived from them, so two open queries must not share one.
-    held: Rc<RefCell<HashSet<String>>>,
+    open_ids: Rc<RefCell<HashSet<String>>>,
 }
 
 /// Reserves a query id until it is dropped.
-struct Held {
+struct ReservedId {
     id: String,
-    all: Rc<RefCell<HashSet<String>>>,
+    open_ids: Rc<RefCell<HashSet<String>>>,
 }
 
-impl Drop for Held {
+impl Drop for ReservedId {
     fn drop(&mut self) {
-        self.all.borrow_mut().remove(&self.id);
+        self.open_ids.borrow_mut().remove(&self.id);
     }
 }
 
 impl Platform {
     /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
     pub fn new(driver: Rc<Driver>, door: Rc<Door>) -> Self {
-        Platform { driver, door, held: Rc::default() }
+        Platform { driver, door, open_ids: Rc::default() }
     }
 
-    fn query(&self, request: &Arrived, path: &str) -> Result<(Held, Pending), Response> {
+    fn start_query(&self, request: &Arrived, path: &str) -> Result<(ReservedId, Pending), Response> {
         let class = class_of(path);
-        let ask =
-            read(request, class, self.driver.is_keyed(class)).map_err(|why| self.reject(class, 400, &why))?;
-        if !self.held.borrow_mut().insert(ask.id.clone()) {
+        let query = read_query(request, class, self.driver.is_keyed(class))
+            .map_err(|why| self.reject(class, 400, &why))?;
+        if !self.open_ids.borrow_mut().insert(query.id.clone()) {
             return Err(self.reject(class, 409, "a query with this X-Request-ID is already in progress"));
         }
-        let held = Held { id: ask.id.clone(), all: self.held.clone() };
-        match self.driver.ask(ask) {
-            Ok(pending) => Ok((held, pending)),
+        let reserved = ReservedId { id: query.id.clone(), open_ids: self.open_ids.clone() };
+        match self.driver.ask(query) {
+            Ok(pending) => Ok((reserved, pending)),
             Err(InvalidQuery::UnknownClass) => Err(self.reject(class, 404, "unknown class")),
             Err(InvalidQuery::Malformed(why)) => Err(self.reject(class, 400, &why)),
         }
@@ -103,19 +103,19 @@
 }
 
 impl Handler for Platform {
-    fn handle(&self, request: Arrived, sooner: Receiver<Instant>) -> Local<Response> {
+    fn handle(&self, request: Arrived, earlier_deadline: Receiver<Instant>) -> Local<Response> {
         let start = &request.message.start;
         let path = path_of(&request.message);
         let response = match (start.0.as_str(), path) {
             ("GET", "/healthz") => super::health(&self.door, &self.driver),
             ("GET", "/counters") => Response::text(200, &self.driver.counters().to_string()),
-            ("POST", _) => match self.query(&request, path) {
-                Ok((held, pending)) => {
+            ("POST", _) => match self.start_query(&request, path) {
+                Ok((reserved, pending)) => {
                     return Box::pin(async move {
-                        let verdict = pending.verdict_before(sooner).await;
-                        log::verdict(&held.id, &verdict);
-                        let response = render(&verdict);
-                        drop(held);
+                        let verdict = pending.verdict_before(earlier_deadline).await;
+                        log::verdict(&reserved.id, &verdict);
+                        let response = to_response(&verdict);
+                        drop(reserved);
                         response
                     })
                 }
@@ -131,12 +131,12 @@
     }
 
     fn waits(&self, request: &Message) -> Option<Duration> {
-        let stated = request.headers.get("x-timeout").and_then(|text| timeout(text).ok());
-        self.driver.wait_of(class_of(path_of(request)), stated)
+        let requested = request.headers.get("x-timeout").and_then(|text| parse_timeout(text).ok());
+        self.driver.wait_of(class_of(path_of(request)), requested)
     }
 
     fn refuse(&self, why: Refused) -> Response {
-        Response::text(503, why.text()).retry_after(REFUSED_WAIT)
+        Response::text(503, why.text()).retry_after(REFUSED_RETRY_AFTER_MS)
     }
 }
 
@@ -151,29 +151,29 @@
 }
 
 /// Reads a query from its request.
-fn read(arrived: &Arrived, in_path: &str, keyed: bool) -> Result<QueryRequest, String> {
+fn read_query(arrived: &Arrived, path_class: &str, keyed: bool) -> Result<QueryRequest, String> {
     let request = &arrived.message;
     let header = |name: &str| request.headers.get(name);
-    let class = header("x-priority-class").unwrap_or(in_path);
-    if class != in_path {
+    let class = header("x-priority-class").unwrap_or(path_class);
+    if class != path_class {
         return Err("X-Priority-Class and the path name different classes".into());
     }
     let id = header("x-request-id").ok_or("X-Request-ID is missing")?;
     let tenant = header("x-tenant-id");
     // Ids are sent in frames, where a blank or a line break would end them.
     for (name, text) in [("X-Request-ID", id), ("X-Tenant-Id", tenant.unwrap_or("-"))] {
-        if text.is_empty() || text.len() > MOST_NAME || !text.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(format!("{name} must be 1 to {MOST_NAME} visible characters"));
+        if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.bytes().all(|b| b.is_ascii_graphic()) {
+            return Err(format!("{name} must be 1 to {MAX_NAME_BYTES} visible characters"));
         }
     }
-    let timeout = header("x-timeout").map(timeout).transpose()?;
+    let timeout = header("x-timeout").map(parse_timeout).transpose()?;
     let body: Body =
         serde_json::from_slice(&request.body).map_err(|error| format!("invalid body: {error}"))?;
-    let hint = |slice: &Slice| slice.micros.is_none_or(|micros| micros.is_finite() && micros >= 0.0);
-    let term = |slice: &Slice| slice.term.as_ref().is_none_or(|term| term.len() <= MOST_NAME);
-    if !body.slices.iter().all(|slice| hint(slice) && term(slice)) {
+    let is_valid_hint = |slice: &Slice| slice.micros.is_none_or(|micros| micros.is_finite() && micros >= 0.0);
+    let is_valid_term = |slice: &Slice| slice.term.as_ref().is_none_or(|term| term.len() <= MAX_NAME_BYTES);
+    if !body.slices.iter().all(|slice| is_valid_hint(slice) && is_valid_term(slice)) {
         return Err(format!(
-            "micros must be finite and not negative, and a term at most {MOST_NAME} bytes long"
+            "micros must be finite and not negative, and a term at most {MAX_NAME_BYTES} bytes long"
         )
         .into());
     }
@@ -191,7 +191,7 @@
         waited: millis(arrived.waited()),
         retried: header("x-retried") == Some("1"),
         partial: true,
-        key: keyed.then(|| super::key(&request.headers)).transpose()?.map(Into::into),
+        key: keyed.then(|| super::idempotency_key(&request.headers)).transpose()?.map(Into::into),
         parts: body.slices.into_iter().map(part).collect(),
         text: body.filter.into_bytes().into(),
     })
@@ -199,7 +199,7 @@
 
 /// Parses the value of `X-Timeout`, a number with a unit (`m` for milliseconds, `u` for microseconds), into
 /// milliseconds.
-fn timeout(text: &str) -> Result<f64, String> {
+fn parse_timeout(text: &str) -> Result<f64, String> {
     let (scale, digits) = match text.as_bytes().last() {
         Some(b'm') => (1.0, &text[..text.len() - 1]),
         Some(b'u') => (0.001, &text[..text.len() - 1]),
@@ -212,12 +212,12 @@
 }
 
 /// Translates a final answer into an HTTP response.
-fn render(verdict: &FinalAnswer) -> Response {
+fn to_response(verdict: &FinalAnswer) -> Response {
     match verdict {
         FinalAnswer::Served { whole, answers, .. } => {
             let item = |answer: &'_ crate::core::PartAnswer| (answer.shard, answer.value.clone());
-            let kept: Vec<_> = answers.iter().map(item).collect();
-            let items = kept.iter();
+            let values: Vec<_> = answers.iter().map(item).collect();
+            let items = values.iter();
             let items =
                 items.map(|(slice, value)| Item { slice: *slice, body: String::from_utf8_lossy(value) });
             let answer = Answer { entire: *whole, items: items.collect() };
