--- a/src/directory/dns.rs
+++ b/src/directory/dns.rs
@@ -4,7 +4,7 @@
 
 /// The record types that are queried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RecordType {
     /// An IPv4 address.
     A = 1,
     /// A pointer to another name.
@@ -22,7 +22,7 @@
 
 /// The data of a record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Data {
+pub enum RecordData {
     /// The address of an A or AAAA record.
     Address(IpAddr),
     /// The target of a PTR record.
@@ -42,7 +42,7 @@
     /// The name that owns the record.
     pub name: Name,
     /// Its data.
-    pub data: Data,
+    pub data: RecordData,
 }
 
 /// A DNS response.
@@ -51,7 +51,7 @@
     /// The id of the query that it answers.
     pub id: u16,
     /// Whether it was truncated to fit into a datagram (the TC flag).
-    pub cut: bool,
+    pub truncated: bool,
     /// The response code: 0 for success, 3 for a name that does not exist.
     pub code: u8,
     /// The answer and additional records.
@@ -59,17 +59,17 @@
 }
 
 /// Splits a dotted name into its labels.
-pub fn name(text: &str) -> Name {
+pub fn parse_name(text: &str) -> Name {
     text.trim_end_matches('.').split('.').filter(|label| !label.is_empty()).map(str::to_string).collect()
 }
 
 /// Returns whether two names are equal, ignoring ASCII case.
-pub fn same(one: &[String], other: &[String]) -> bool {
+pub fn names_equal(one: &[String], other: &[String]) -> bool {
     one.len() == other.len() && one.iter().zip(other).all(|(a, b)| a.eq_ignore_ascii_case(b))
 }
 
 /// Encodes a query; `None` if a label is empty or longer than 63 bytes.
-pub fn query(id: u16, name: &[String], kind: Kind) -> Option<Vec<u8>> {
+pub fn encode_query(id: u16, name: &[String], record_type: RecordType) -> Option<Vec<u8>> {
     let mut bytes = id.to_be_bytes().to_vec();
     // Recursion desired, one question.
     bytes.extend_from_slice(&[1, 0, 0, 1, 0, 0, 0, 0, 0, 0]);
@@ -78,41 +78,42 @@
         bytes.extend_from_slice(label.as_bytes());
     }
     bytes.push(0);
-    bytes.extend_from_slice(&(kind as u16).to_be_bytes());
+    bytes.extend_from_slice(&(record_type as u16).to_be_bytes());
     bytes.extend_from_slice(&[0, 1]);
     Some(bytes)
 }
 
 /// Decodes a response; `None` if it is malformed.
-pub fn read(bytes: &[u8]) -> Option<Response> {
-    let mut at = Cursor { bytes, at: 0 };
-    let (id, flags) = (at.u16()?, at.u16()?);
+pub fn decode_response(bytes: &[u8]) -> Option<Response> {
+    let mut reader = Reader { bytes, at: 0 };
+    let (id, flags) = (reader.u16()?, reader.u16()?);
     if flags & 0x8000 == 0 {
         return None;
     }
-    let (questions, answers, authorities, more) = (at.u16()?, at.u16()?, at.u16()?, at.u16()?);
+    let (questions, answers, authorities, additional) =
+        (reader.u16()?, reader.u16()?, reader.u16()?, reader.u16()?);
     for _ in 0..questions {
-        at.name()?;
-        at.take(4)?;
+        reader.name()?;
+        reader.take(4)?;
     }
     let mut records = Vec::new();
-    for number in 0..u32::from(answers) + u32::from(authorities) + u32::from(more) {
-        let record = at.record()?;
-        let authority = number >= u32::from(answers) && number < u32::from(answers) + u32::from(authorities);
+    for index in 0..u32::from(answers) + u32::from(authorities) + u32::from(additional) {
+        let record = reader.record()?;
+        let authority = index >= u32::from(answers) && index < u32::from(answers) + u32::from(authorities);
         if !authority {
             records.push(record);
         }
     }
-    Some(Response { id, cut: flags & 0x0200 != 0, code: (flags & 0xf) as u8, records })
+    Some(Response { id, truncated: flags & 0x0200 != 0, code: (flags & 0xf) as u8, records })
 }
 
 /// A position in a message that is being decoded.
-struct Cursor<'a> {
+struct Reader<'a> {
     bytes: &'a [u8],
     at: usize,
 }
 
-impl<'a> Cursor<'a> {
+impl<'a> Reader<'a> {
     fn take(&mut self, count: usize) -> Option<&'a [u8]> {
         let taken = self.bytes.get(self.at..self.at.checked_add(count)?)?;
         self.at += count;
@@ -145,12 +146,12 @@
                     at += 1 + length;
                 }
                 3 => {
-                    let to = (length & 0x3f) << 8 | usize::from(*self.bytes.get(at + 1)?);
-                    if to >= limit {
+                    let target = (length & 0x3f) << 8 | usize::from(*self.bytes.get(at + 1)?);
+                    if target >= limit {
                         return None;
                     }
                     resume = resume.or(Some(at + 2));
-                    (at, limit) = (to, to);
+                    (at, limit) = (target, target);
                 }
                 _ => return None,
             }
@@ -159,25 +160,25 @@
 
     fn record(&mut self) -> Option<Record> {
         let name = self.name()?;
-        let kind = self.u16()?;
+        let record_type = self.u16()?;
         self.take(6)?;
         let length = usize::from(self.u16()?);
         let end = self.at + length;
         self.bytes.get(self.at..end)?;
-        let data = match kind {
+        let data = match record_type {
             1 => {
                 let bytes: [u8; 4] = self.take(4)?.try_into().ok()?;
-                Data::Address(Ipv4Addr::from(bytes).into())
+                RecordData::Address(Ipv4Addr::from(bytes).into())
             }
             28 => {
                 let bytes: [u8; 16] = self.take(16)?.try_into().ok()?;
-                Data::Address(Ipv6Addr::from(bytes).into())
+                RecordData::Address(Ipv6Addr::from(bytes).into())
             }
-            12 => Data::Pointer(self.name()?),
+            12 => RecordData::Pointer(self.name()?),
             33 => {
                 self.take(4)?;
                 let port = self.u16()?;
-                Data::Service(port, self.name()?)
+                RecordData::Service(port, self.name()?)
             }
             16 => {
                 let mut texts = Vec::new();
@@ -185,9 +186,9 @@
                     let length = usize::from(self.take(1)?[0]);
                     texts.push(self.take(length)?.to_vec());
                 }
-                Data::Texts(texts)
+                RecordData::Texts(texts)
             }
-            _ => Data::Other,
+            _ => RecordData::Other,
         };
         if self.at > end {
             return None;
--- a/src/directory/dns/tests.rs
+++ b/src/directory/dns/tests.rs
@@ -2,7 +2,7 @@
 
 /// A response with a PTR whose target ends in a pointer to the question's name.
 fn response() -> Vec<u8> {
-    let mut bytes = query(9, &name("_run-store._tcp.test"), Kind::Ptr).unwrap();
+    let mut bytes = encode_query(9, &parse_name("_run-store._tcp.test"), RecordType::Ptr).unwrap();
     (bytes[2], bytes[7]) = (0x84, 1);
     bytes.extend_from_slice(&[0xc0, 12, 0, 12, 0, 1, 0, 0, 0, 60, 0, 6, 3, b's', b'-', b'1', 0xc0, 12]);
     bytes
@@ -10,24 +10,24 @@
 
 #[test]
 fn compressed_names_are_read() {
-    let read = read(&response()).unwrap();
-    assert_eq!((read.id, read.code, read.cut), (9, 0, false));
-    assert!(same(&read.records[0].name, &name("_RUN-STORE._tcp.test.")));
-    assert_eq!(read.records[0].data, Data::Pointer(name("s-1._run-store._tcp.test")));
+    let response = decode_response(&response()).unwrap();
+    assert_eq!((response.id, response.code, response.truncated), (9, 0, false));
+    assert!(names_equal(&response.records[0].name, &parse_name("_RUN-STORE._tcp.test.")));
+    assert_eq!(response.records[0].data, RecordData::Pointer(parse_name("s-1._run-store._tcp.test")));
 }
 
 #[test]
 fn what_is_cut_or_leads_in_circles_is_malformed() {
     let whole = response();
     for length in 0..whole.len() {
-        assert_eq!(read(&whole[..length]), None, "{length} bytes");
+        assert_eq!(decode_response(&whole[..length]), None, "{length} bytes");
     }
     let mut circle = whole.clone();
     let last = circle.len() - 1;
     circle[last] = last as u8 - 5;
-    assert_eq!(read(&circle), None);
+    assert_eq!(decode_response(&circle), None);
     let mut asked = whole;
     asked[2] = 0;
-    assert_eq!(read(&asked), None, "a query is no response");
-    assert_eq!(query(1, &["x".repeat(64)], Kind::Srv), None);
+    assert_eq!(decode_response(&asked), None, "a query is no response");
+    assert_eq!(encode_query(1, &["x".repeat(64)], RecordType::Srv), None);
 }
--- a/src/directory/dns_sd.rs
+++ b/src/directory/dns_sd.rs
@@ -14,10 +14,10 @@
 use async_net::UdpSocket;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 
-use super::dns::{self, Data, Kind, Name, Record, Response};
+use super::dns::{self, Name, Record, RecordData, RecordType, Response};
 use super::list::{Line, List};
-use super::{Reload, Target};
-use crate::config::{Config, DnsSd as Place};
+use super::{Reload, ReloadTarget};
+use crate::config::{Config, DnsSd as DnsSdConfig};
 use crate::core::drive::{Directory, Driver};
 use crate::core::{DirectoryUpdate, ListedRunStore};
 use crate::http::client::within;
@@ -26,48 +26,48 @@
 use crate::transport::span;
 
 /// The time-out of one try of a query.
-const LIMIT: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often a query is sent before it fails, as datagrams can be lost.
-const TRIES: usize = 3;
+const MAX_TRIES: usize = 3;
 
 /// A directory that polls a DNS server.
 pub struct DnsSd {
     driver: Rc<Driver>,
-    place: Target<Place>,
+    config: ReloadTarget<DnsSdConfig>,
     /// Whether the polling task runs.
-    on: Cell<bool>,
+    running: Cell<bool>,
     /// The list passed to the core last.
-    last: RefCell<List>,
+    last_list: RefCell<List>,
 }
 
 /// Queries one DNS server for the instances of one service.
-struct Looks {
+struct Lookup {
     server: SocketAddr,
     service: Name,
 }
 
 impl DnsSd {
     /// Creates a directory of the instances of a service. It does not poll yet.
-    pub fn new(driver: Rc<Driver>, place: Place) -> Rc<Self> {
-        let place = Target::new(place);
-        Rc::new(DnsSd { driver, place, on: Cell::new(false), last: RefCell::default() })
+    pub fn new(driver: Rc<Driver>, config: DnsSdConfig) -> Rc<Self> {
+        let config = ReloadTarget::new(config);
+        Rc::new(DnsSd { driver, config, running: Cell::new(false), last_list: RefCell::default() })
     }
 
     async fn run(self: Rc<Self>) {
         let (server, why) = loop {
-            let place = self.place.settle();
-            let looked = async { Some(self.look(&place).await) };
-            let moved = async {
-                self.place.moved().await;
+            let config = self.config.acknowledge();
+            let polled = async { Some(self.poll(&config).await) };
+            let changed = async {
+                self.config.changed().await;
                 None
             };
-            // A reload drops the query in progress. It is polled first, so that no answer of the old server is applied
-            // after it.
-            match future::or(moved, looked).await {
-                Some(why) => break (place.server, why),
+            // A reload drops the query in progress. `changed` is polled first, so that no answer of the old server is
+            // applied after the reload.
+            match future::or(changed, polled).await {
+                Some(why) => break (config.server, why),
                 None => log::ended(
                     "dns",
-                    Some(place.server),
+                    Some(config.server),
                     Reason::Retired,
                     "the DNS server or service has changed",
                 ),
@@ -75,41 +75,41 @@
         };
         let reason = if why.kind() == io::ErrorKind::TimedOut { Reason::TooSlow } else { Reason::Malformed };
         log::ended("dns", Some(server), reason, why);
-        // The core decides when to ask again.
-        self.on.set(false);
+        // The core decides when to start again.
+        self.running.set(false);
         self.driver.apply_directory_update(DirectoryUpdate::Failed);
     }
 
     /// Polls the records until a poll fails, and returns the error.
-    async fn look(&self, place: &Place) -> io::Error {
-        let looks = Looks { server: place.server, service: dns::name(&place.service) };
+    async fn poll(&self, config: &DnsSdConfig) -> io::Error {
+        let lookup = Lookup { server: config.server, service: dns::parse_name(&config.service) };
         loop {
-            match looks.list().await {
+            match lookup.list().await {
                 // An empty list is more likely a fault in the DNS zone than the truth, so the old list is kept.
                 Ok(list) if list.endpoints.is_empty() => {
                     return io::Error::new(io::ErrorKind::InvalidData, "no run store is listed");
                 }
-                Ok(list) if *self.last.borrow() != list => {
+                Ok(list) if *self.last_list.borrow() != list => {
                     self.driver.apply_directory_update(list.clone().news());
-                    *self.last.borrow_mut() = list;
+                    *self.last_list.borrow_mut() = list;
                 }
                 // Nothing has changed. The empty update tells the core that the directory can be reached.
                 Ok(_) => self.driver.apply_directory_update(DirectoryUpdate::Changes(Vec::new())),
                 Err(why) => return why,
             }
-            Timer::after(span(place.refresh_ms)).await;
+            Timer::after(span(config.refresh_ms)).await;
         }
     }
 }
 
-impl Looks {
+impl Lookup {
     /// Queries the records of all run stores.
     async fn list(&self) -> io::Result<List> {
-        let pointers = self.ask(&self.service, Kind::Ptr).await?;
+        let pointers = self.query(&self.service, RecordType::Ptr).await?;
         let mut lines = BTreeMap::new();
-        for record in pointers.iter().filter(|record| dns::same(&record.name, &self.service)) {
-            let Data::Pointer(instance) = &record.data else { continue };
-            if let Some(line) = self.instance(instance, &pointers).await? {
+        for record in pointers.iter().filter(|record| dns::names_equal(&record.name, &self.service)) {
+            let RecordData::Pointer(instance) = &record.data else { continue };
+            if let Some(line) = self.resolve_instance(instance, &pointers).await? {
                 lines.insert(line.replica.id.clone(), line);
             }
         }
@@ -118,51 +118,51 @@
 
     /// Queries the records of one instance; `None` if they are incomplete. `known` holds the records that the server
     /// has already sent.
-    async fn instance(&self, name: &Name, known: &[Record]) -> io::Result<Option<ListedRunStore>> {
+    async fn resolve_instance(&self, name: &Name, known: &[Record]) -> io::Result<Option<ListedRunStore>> {
         let mut records = known.to_vec();
-        let of = |records: &[Record], wanted: fn(&Data) -> bool| {
-            records.iter().any(|record| dns::same(&record.name, name) && wanted(&record.data))
+        let has_record = |records: &[Record], wanted: fn(&RecordData) -> bool| {
+            records.iter().any(|record| dns::names_equal(&record.name, name) && wanted(&record.data))
         };
         // Servers may send these records along with the PTR records; only missing ones are queried.
-        if !of(&records, |data| matches!(data, Data::Service(..))) {
-            records.extend(self.ask(name, Kind::Srv).await?);
+        if !has_record(&records, |data| matches!(data, RecordData::Service(..))) {
+            records.extend(self.query(name, RecordType::Srv).await?);
         }
-        if !of(&records, |data| matches!(data, Data::Texts(_))) {
-            records.extend(self.ask(name, Kind::Txt).await?);
+        if !has_record(&records, |data| matches!(data, RecordData::Texts(_))) {
+            records.extend(self.query(name, RecordType::Txt).await?);
         }
-        let own = || records.iter().filter(|record| dns::same(&record.name, name));
-        let service = own().find_map(|record| match &record.data {
-            Data::Service(port, host) => Some((*port, host.clone())),
+        let own_records = || records.iter().filter(|record| dns::names_equal(&record.name, name));
+        let service = own_records().find_map(|record| match &record.data {
+            RecordData::Service(port, host) => Some((*port, host.clone())),
             _ => None,
         });
-        let texts = own().find_map(|record| match &record.data {
-            Data::Texts(texts) => Some(texts.clone()),
+        let texts = own_records().find_map(|record| match &record.data {
+            RecordData::Texts(texts) => Some(texts.clone()),
             _ => None,
         });
         let (Some((port, host)), Some(texts)) = (service, texts) else { return Ok(None) };
         let mut address = find_address(&records, &host);
-        for kind in [Kind::A, Kind::Aaaa] {
+        for record_type in [RecordType::A, RecordType::Aaaa] {
             if address.is_none() {
-                address = find_address(&self.ask(&host, kind).await?, &host);
+                address = find_address(&self.query(&host, record_type).await?, &host);
             }
         }
-        Ok(address.and_then(|ip| line(&name[0], SocketAddr::new(ip, port), &texts)))
+        Ok(address.and_then(|ip| listed_run_store(&name[0], SocketAddr::new(ip, port), &texts)))
     }
 
     /// Sends a query over UDP, repeats it after a time-out, and switches to TCP if the response is truncated.
-    async fn ask(&self, name: &[String], kind: Kind) -> io::Result<Vec<Record>> {
+    async fn query(&self, name: &[String], record_type: RecordType) -> io::Result<Vec<Record>> {
         let id = fastrand::u16(..);
-        let query = dns::query(id, name, kind).ok_or(io::ErrorKind::InvalidInput)?;
+        let query = dns::encode_query(id, name, record_type).ok_or(io::ErrorKind::InvalidInput)?;
         let mut answer = Err(io::ErrorKind::TimedOut.into());
-        for _ in 0..TRIES {
-            answer = within(LIMIT, self.datagram(id, &query)).await;
+        for _ in 0..MAX_TRIES {
+            answer = within(QUERY_TIMEOUT, self.query_udp(id, &query)).await;
             if answer.is_ok() {
                 break;
             }
         }
         let mut answer = answer?;
-        if answer.cut {
-            answer = within(LIMIT, self.stream(&query)).await?;
+        if answer.truncated {
+            answer = within(QUERY_TIMEOUT, self.query_tcp(&query)).await?;
         }
         match answer.code {
             0 => Ok(answer.records),
@@ -172,22 +172,23 @@
         }
     }
 
-    async fn datagram(&self, id: u16, query: &[u8]) -> io::Result<Response> {
-        let any: IpAddr = if self.server.is_ipv4() { [0; 4].into() } else { [0u16; 8].into() };
-        let socket = UdpSocket::bind((any, 0)).await?;
+    async fn query_udp(&self, id: u16, query: &[u8]) -> io::Result<Response> {
+        let unspecified: IpAddr = if self.server.is_ipv4() { [0; 4].into() } else { [0u16; 8].into() };
+        let socket = UdpSocket::bind((unspecified, 0)).await?;
         socket.connect(self.server).await?;
         socket.send(query).await?;
         let mut bytes = vec![0; 4096];
         loop {
             let count = socket.recv(&mut bytes).await?;
             // A late response to an earlier query is ignored.
-            if let Some(response) = dns::read(&bytes[..count]).filter(|response| response.id == id) {
+            if let Some(response) = dns::decode_response(&bytes[..count]).filter(|response| response.id == id)
+            {
                 return Ok(response);
             }
         }
     }
 
-    async fn stream(&self, query: &[u8]) -> io::Result<Response> {
+    async fn query_tcp(&self, query: &[u8]) -> io::Result<Response> {
         let mut stream = Stream::connect(self.server).await?;
         let length = (query.len() as u16).to_be_bytes();
         stream.write_all(&[&length[..], query].concat()).await?;
@@ -195,14 +196,14 @@
         stream.read_exact(&mut length).await?;
         let mut bytes = vec![0; usize::from(u16::from_be_bytes(length))];
         stream.read_exact(&mut bytes).await?;
-        dns::read(&bytes).ok_or_else(|| io::ErrorKind::InvalidData.into())
+        dns::decode_response(&bytes).ok_or_else(|| io::ErrorKind::InvalidData.into())
     }
 }
 
 impl Reload for Rc<DnsSd> {
     fn reload(&self, config: &Config) {
-        if config.dns_sd.as_ref().is_some_and(|place| self.place.set(place.clone())) {
-            *self.last.borrow_mut() = List::default();
+        if config.dns_sd.as_ref().is_some_and(|dns_sd| self.config.set(dns_sd.clone())) {
+            *self.last_list.borrow_mut() = List::default();
             self.watch();
         }
     }
@@ -210,9 +211,9 @@
 
 impl Directory for Rc<DnsSd> {
     fn watch(&self) {
-        if !self.on.replace(true) {
+        if !self.running.replace(true) {
             // After a failure the core waits for a list, so the next one is passed on even if it has not changed.
-            *self.last.borrow_mut() = List::default();
+            *self.last_list.borrow_mut() = List::default();
             self.driver.executor().spawn(self.clone().run()).detach();
         }
     }
@@ -220,14 +221,16 @@
 
 /// Finds an address record of a host.
 fn find_address(records: &[Record], host: &Name) -> Option<IpAddr> {
-    records.iter().filter(|record| dns::same(&record.name, host)).find_map(|record| match record.data {
-        Data::Address(ip) => Some(ip),
-        _ => None,
+    records.iter().filter(|record| dns::names_equal(&record.name, host)).find_map(|record| {
+        match record.data {
+            RecordData::Address(ip) => Some(ip),
+            _ => None,
+        }
     })
 }
 
 /// Builds the listed run store from the strings of its TXT record; `None` without a valid `group`.
-fn line(name: &str, address: SocketAddr, texts: &[Vec<u8>]) -> Option<ListedRunStore> {
+fn listed_run_store(name: &str, address: SocketAddr, texts: &[Vec<u8>]) -> Option<ListedRunStore> {
     let value = |key: &str| {
         texts.iter().filter_map(|text| std::str::from_utf8(text).ok()).find_map(|text| {
             let (known, value) = text.split_once('=')?;
@@ -243,7 +246,7 @@
         weight: value("weight").and_then(|weight| weight.parse().ok()).unwrap_or(1.0),
         since_ms: value("since_ms").and_then(|since| since.parse().ok()).unwrap_or(0.0),
     };
-    Some(line.listed())
+    Some(line.to_listed())
 }
 
 #[cfg(test)]
--- a/src/directory/dns_sd/tests.rs
+++ b/src/directory/dns_sd/tests.rs
@@ -5,10 +5,15 @@
 fn a_text_record_tells_a_run_stores_line() {
     let address = SocketAddr::from(([127, 0, 0, 1], 80));
     let texts = |texts: &[&str]| texts.iter().map(|text| text.as_bytes().to_vec()).collect::<Vec<_>>();
-    let told = line("s-1", address, &texts(&["Group=4", "status=draining", "since_ms=9"])).unwrap();
-    let replica = told.replica;
+    let listed =
+        listed_run_store("s-1", address, &texts(&["Group=4", "status=draining", "since_ms=9"])).unwrap();
+    let replica = listed.replica;
     assert_eq!((replica.cell, replica.state, replica.started), (4, ReplicaState::Draining, Some(9.0)));
-    assert_eq!((replica.weight, told.address), (1.0, Some(address)));
-    assert_eq!(line("s-1", address, &texts(&["zone=z"])), None, "without a group it holds no shard");
-    assert_eq!(line("s-1", address, &texts(&["group=many"])), None);
+    assert_eq!((replica.weight, listed.address), (1.0, Some(address)));
+    assert_eq!(
+        listed_run_store("s-1", address, &texts(&["zone=z"])),
+        None,
+        "without a group it holds no shard"
+    );
+    assert_eq!(listed_run_store("s-1", address, &texts(&["group=many"])), None);
 }
--- a/src/directory/list.rs
+++ b/src/directory/list.rs
@@ -66,11 +66,11 @@
 
 impl Line<'_> {
     /// Converts the line to the core's type.
-    pub fn listed(&self) -> ListedRunStore {
-        self.listed_in(self.zone.as_ref().into())
+    pub fn to_listed(&self) -> ListedRunStore {
+        self.to_listed_in(self.zone.as_ref().into())
     }
 
-    fn listed_in(&self, zone: Arc<str>) -> ListedRunStore {
+    fn to_listed_in(&self, zone: Arc<str>) -> ListedRunStore {
         let replica = Replica {
             id: ReplicaId::from(self.name.as_ref()),
             zone,
@@ -112,14 +112,14 @@
 }
 
 fn read<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<ListedRunStore>, D::Error> {
-    deserializer.deserialize_seq(Lines)
+    deserializer.deserialize_seq(LinesVisitor)
 }
 
 /// Reads a list line by line and converts each line at once, so that no list of JSON lines is held. There are few
 /// distinct zones, so lines with equal zones share one string.
-struct Lines;
+struct LinesVisitor;
 
-impl<'de> Visitor<'de> for Lines {
+impl<'de> Visitor<'de> for LinesVisitor {
     type Value = Vec<ListedRunStore>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -138,7 +138,7 @@
                 zones.insert(zone.clone());
                 zone
             });
-            lines.push(line.listed_in(zone));
+            lines.push(line.to_listed_in(zone));
         }
         Ok(lines)
     }
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -18,40 +18,40 @@
 }
 
 /// The address that a directory queries. A reload may change it while a call is in progress.
-struct Target<T> {
-    at: RefCell<T>,
+struct ReloadTarget<T> {
+    current: RefCell<T>,
     /// Signalled when the address has changed.
-    moved: (Sender<()>, Receiver<()>),
+    changed: (Sender<()>, Receiver<()>),
 }
 
-impl<T: Clone + PartialEq> Target<T> {
-    fn new(at: T) -> Self {
-        Target { at: RefCell::new(at), moved: async_channel::bounded(1) }
+impl<T: Clone + PartialEq> ReloadTarget<T> {
+    fn new(current: T) -> Self {
+        ReloadTarget { current: RefCell::new(current), changed: async_channel::bounded(1) }
     }
 
     fn get(&self) -> T {
-        self.at.borrow().clone()
+        self.current.borrow().clone()
     }
 
-    /// Returns the current address and clears the signal of earlier changes, so that [`Target::moved`] waits for a
-    /// later one.
-    fn settle(&self) -> T {
-        let _ = self.moved.1.try_recv();
+    /// Returns the current address and clears the signal of earlier changes, so that [`ReloadTarget::changed`] waits
+    /// for a later one.
+    fn acknowledge(&self) -> T {
+        let _ = self.changed.1.try_recv();
         self.get()
     }
 
     /// Sets the address and returns whether it differs from the one before.
-    fn set(&self, at: T) -> bool {
-        let changed = *self.at.borrow() != at;
+    fn set(&self, target: T) -> bool {
+        let changed = *self.current.borrow() != target;
         if changed {
-            *self.at.borrow_mut() = at;
-            let _ = self.moved.0.try_send(());
+            *self.current.borrow_mut() = target;
+            let _ = self.changed.0.try_send(());
         }
         changed
     }
 
     /// Waits until the address has changed.
-    async fn moved(&self) {
-        let _ = self.moved.1.recv().await;
+    async fn changed(&self) {
+        let _ = self.changed.1.recv().await;
     }
 }
--- a/src/directory/watch.rs
+++ b/src/directory/watch.rs
@@ -9,7 +9,7 @@
 use async_io::Timer;
 use futures_lite::future;
 
-use super::{Reload, Target};
+use super::{Reload, ReloadTarget};
 use crate::api::Millis;
 use crate::asking::{CALL, SILENT_AFTER, WAIT};
 use crate::config::Config;
@@ -22,53 +22,53 @@
 use crate::log::{self, Reason};
 
 /// The time-out for connecting.
-const CONNECT: Duration = Duration::from_millis(1000);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// A watch on the discovery service. The core starts it, and starts it again after each failure.
 pub struct Watch {
     driver: Rc<Driver>,
-    address: Target<SocketAddr>,
+    address: ReloadTarget<SocketAddr>,
     /// The version of the list received last; `None` if there is none.
     index: Cell<Option<u64>>,
     /// Whether the task of the watch runs.
-    on: Cell<bool>,
+    running: Cell<bool>,
     /// Whether the last call was a long poll that timed out without an answer.
-    silent: Cell<bool>,
+    unanswered: Cell<bool>,
 }
 
 impl Watch {
     /// Creates a watch that does not run yet. It continues from the known version of the list, if there is one.
     pub fn new(driver: Rc<Driver>, address: SocketAddr, known: Option<u64>) -> Rc<Self> {
-        let address = Target::new(address);
+        let address = ReloadTarget::new(address);
         Rc::new(Watch {
             driver,
             address,
             index: Cell::new(known),
-            on: Cell::new(false),
-            silent: Cell::new(false),
+            running: Cell::new(false),
+            unanswered: Cell::new(false),
         })
     }
 
     async fn run(self: Rc<Self>) {
         let (address, why) = loop {
-            let address = self.address.settle();
+            let address = self.address.acknowledge();
             let mut client = None;
             let followed = async { Some(self.follow(address, &mut client).await) };
-            let moved = async {
-                self.address.moved().await;
+            let changed = async {
+                self.address.changed().await;
                 None
             };
-            // A reload drops the call in progress, as the old address may never answer it. The reload is polled
-            // first: applying an answer of the old address after it would restore that address's version.
-            match future::or(moved, followed).await {
+            // A reload drops the call in progress, as the old address may never answer it. `changed` is polled
+            // first: an answer of the old address, applied after the reload, would restore that address's version.
+            match future::or(changed, followed).await {
                 Some(why) => break (address, why),
-                None => self.ended(address, Reason::Retired, "the address of discovery has changed"),
+                None => self.log_end(address, Reason::Retired, "the address of discovery has changed"),
             }
         };
-        self.ended(address, why.kind().into(), &why.to_string());
-        // The core decides when to ask again.
-        self.on.set(false);
-        self.driver.apply_directory_update(if self.silent.get() {
+        self.log_end(address, why.kind().into(), &why.to_string());
+        // The core decides when to start again.
+        self.running.set(false);
+        self.driver.apply_directory_update(if self.unanswered.get() {
             DirectoryUpdate::Silent
         } else {
             DirectoryUpdate::Failed
@@ -76,20 +76,20 @@
     }
 
     /// Logs the end of a connection to discovery.
-    fn ended(&self, address: SocketAddr, reason: Reason, why: &str) {
+    fn log_end(&self, address: SocketAddr, reason: Reason, why: &str) {
         log::ended("discovery", Some(address), reason, format_args!("index={:?} {why}", self.index.get()));
     }
 
     /// Follows changes of the list until a call fails, and returns the error.
     async fn follow(&self, address: SocketAddr, client: &mut Option<Client>) -> io::Error {
         loop {
-            let kept = client.is_some();
+            let reused = client.is_some();
             let mut answer = self.call(address, client).await;
             // The service may have closed the keep-alive connection between calls, which is not a failure: the call
             // is repeated on a new connection. An error status is not retried at once: it may say that the service
             // is overloaded, and all aggregators would then double their calls at the same time.
-            if kept && answer.as_ref().is_err_and(closed) {
-                self.ended(address, Reason::PeerClosed, "the keep-alive connection was closed");
+            if reused && answer.as_ref().is_err_and(is_connection_lost) {
+                self.log_end(address, Reason::PeerClosed, "the keep-alive connection was closed");
                 *client = None;
                 answer = self.call(address, client).await;
             }
@@ -105,7 +105,7 @@
 
     /// Makes one call: a long poll for changes, or a call for the whole list if no version is known.
     async fn call(&self, address: SocketAddr, client: &mut Option<Client>) -> io::Result<List> {
-        self.silent.set(false);
+        self.unanswered.set(false);
         let open = client.take();
         // The long poll both returns changes that were missed and begins the watch. A separate call for missed changes
         // would double the load on discovery when all aggregators start at the same time.
@@ -113,8 +113,8 @@
             None => whole_list(address, open).await,
             Some(index) => {
                 let changes = within(ms(WAIT + SILENT_AFTER), changes(address, open, index)).await;
-                let unanswered = changes.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::TimedOut);
-                self.silent.set(unanswered);
+                let timed_out = changes.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::TimedOut);
+                self.unanswered.set(timed_out);
                 changes
             }
         };
@@ -127,49 +127,50 @@
         if answer.keep_alive {
             *client = Some(open);
         } else {
-            self.ended(address, Reason::Done, "discovery did not keep the connection open");
+            self.log_end(address, Reason::Done, "discovery did not keep the connection open");
         }
         Ok(list)
     }
 }
 
 /// A response and the connection on which it arrived.
-type Answered = (Client, Message);
+type ResponseAndClient = (Client, Message);
 
 /// Asks for the changes since version `index` and waits until there are any. The time spent on connecting is subtracted
 /// from the wait, so that the call ends no later than one on an open connection.
-async fn changes(address: SocketAddr, open: Option<Client>, index: u64) -> io::Result<Answered> {
-    let begun = Instant::now();
-    let open = connected(address, open).await?;
-    let wait = ms(WAIT).saturating_sub(begun.elapsed()).as_millis();
-    ask(address, open, &format!("/v1/servers?after={index}&wait_ms={wait}")).await
+async fn changes(address: SocketAddr, open: Option<Client>, index: u64) -> io::Result<ResponseAndClient> {
+    let started = Instant::now();
+    let open = connect_unless_open(address, open).await?;
+    let wait = ms(WAIT).saturating_sub(started.elapsed()).as_millis();
+    get(address, open, &format!("/v1/servers?after={index}&wait_ms={wait}")).await
 }
 
 /// Asks for the whole list. If the call is not answered within [`CALL`], it may hang, or the service may be slow: the call
 /// is made once more on another connection while the first continues, and the first answer of the two is used.
-async fn whole_list(address: SocketAddr, open: Option<Client>) -> io::Result<Answered> {
-    let call = |open| async move { ask(address, connected(address, open).await?, "/v1/servers").await };
-    let again = async {
+async fn whole_list(address: SocketAddr, open: Option<Client>) -> io::Result<ResponseAndClient> {
+    let call =
+        |open| async move { get(address, connect_unless_open(address, open).await?, "/v1/servers").await };
+    let second_call = async {
         Timer::after(ms(CALL)).await;
         match call(None).await {
-            Ok(answered) => Ok(answered),
+            Ok(response) => Ok(response),
             // The first call may still be answered.
             Err(_) => future::pending().await,
         }
     };
-    within(ms(CALL + CALL), future::or(call(open), again)).await
+    within(ms(CALL + CALL), future::or(call(open), second_call)).await
 }
 
 /// Returns the open connection, or connects if there is none.
-async fn connected(address: SocketAddr, open: Option<Client>) -> io::Result<Client> {
+async fn connect_unless_open(address: SocketAddr, open: Option<Client>) -> io::Result<Client> {
     match open {
         Some(open) => Ok(open),
-        None => Client::connect(address, CONNECT, MOST_BYTES).await,
+        None => Client::connect(address, CONNECT_TIMEOUT, MOST_BYTES).await,
     }
 }
 
 /// Sends a GET request and reads the response.
-async fn ask(address: SocketAddr, mut open: Client, target: &str) -> io::Result<Answered> {
+async fn get(address: SocketAddr, mut open: Client, target: &str) -> io::Result<ResponseAndClient> {
     open.write(&write::request("GET", target, &address.to_string(), &[], &[])).await?;
     let answer = open.read().await?;
     Ok((open, answer))
@@ -180,14 +181,14 @@
 }
 
 /// Returns whether a call failed because its connection was lost, rather than by a bad answer or a time-out.
-fn closed(error: &io::Error) -> bool {
+fn is_connection_lost(error: &io::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionAborted, ConnectionReset, UnexpectedEof};
     matches!(error.kind(), BrokenPipe | ConnectionAborted | ConnectionReset | UnexpectedEof)
 }
 
 impl Directory for Rc<Watch> {
     fn watch(&self) {
-        if !self.on.replace(true) {
+        if !self.running.replace(true) {
             self.driver.executor().spawn(self.clone().run()).detach();
         }
     }
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -109,10 +109,10 @@
                         let arrived_at = arrived.at;
                         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
                         return Box::pin(async move {
-                            let verdict = pending.verdict_before(earlier_deadline).await;
-                            log::verdict(opaque_id.as_deref().unwrap_or("-"), &verdict);
+                            let final_answer = pending.verdict_before(earlier_deadline).await;
+                            log::verdict(opaque_id.as_deref().unwrap_or("-"), &final_answer);
                             let took = arrived_at.elapsed().as_millis() as u64;
-                            with_opaque_id(to_response(&verdict, &search, &shards, took), opaque_id)
+                            with_opaque_id(to_response(&final_answer, &search, &shards, took), opaque_id)
                         });
                     }
                     Ok((search, Err(InvalidQuery::UnknownClass))) => {
@@ -169,8 +169,8 @@
 }
 
 /// Translates a final answer into an HTTP response.
-fn to_response(verdict: &FinalAnswer, search: &Search, shards: &[u32], took: u64) -> Response {
-    let (whole, answers) = match verdict {
+fn to_response(final_answer: &FinalAnswer, search: &Search, shards: &[u32], took: u64) -> Response {
+    let (whole, answers) = match final_answer {
         FinalAnswer::Served { whole, answers, .. } => (*whole, answers),
         FinalAnswer::Refused { retry_after, cause } => {
             let why = format!("{cause}; safe to retry");
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -112,9 +112,9 @@
             ("POST", _) => match self.start_query(&request, path) {
                 Ok((reserved, pending)) => {
                     return Box::pin(async move {
-                        let verdict = pending.verdict_before(earlier_deadline).await;
-                        log::verdict(&reserved.id, &verdict);
-                        let response = to_response(&verdict);
+                        let final_answer = pending.verdict_before(earlier_deadline).await;
+                        log::verdict(&reserved.id, &final_answer);
+                        let response = to_response(&final_answer);
                         drop(reserved);
                         response
                     })
@@ -212,8 +212,8 @@
 }
 
 /// Translates a final answer into an HTTP response.
-fn to_response(verdict: &FinalAnswer) -> Response {
-    match verdict {
+fn to_response(final_answer: &FinalAnswer) -> Response {
+    match final_answer {
         FinalAnswer::Served { whole, answers, .. } => {
             let item = |answer: &'_ crate::core::PartAnswer| (answer.shard, answer.value.clone());
             let values: Vec<_> = answers.iter().map(item).collect();
