--- a/src/directory/list.rs
+++ b/src/directory/list.rs
@@ -13,13 +13,13 @@
 
 /// The maximum number of lines in a list: the next power of two above the 57,000 run stores that are planned for.
 /// Several copies of each line are in memory while a list is applied, so the number of lines bounds the memory used.
-pub const MOST_LINES: usize = 65_536;
+pub const MAX_LINES: usize = 65_536;
 /// The maximum average size of a line in an indented list, in bytes. The longest line of the protocol has 468 bytes: 162
 /// for keys, punctuation and blanks, 63 each for name, zone and type (a DNS label; RFC 1035, 2.3.4), 53 for an address
 /// with its port, 8 for the state and 56 for the numbers. The rest is a margin.
-pub const LONGEST_LINE: usize = 512;
-/// The maximum size of a list, in bytes. Together with [`MOST_LINES`] it bounds the memory used while a list is applied.
-pub const MOST_BYTES: usize = MOST_LINES * LONGEST_LINE;
+pub const MAX_LINE_BYTES: usize = 512;
+/// The maximum size of a list, in bytes. Together with [`MAX_LINES`] it bounds the memory used while a list is applied.
+pub const MAX_LIST_BYTES: usize = MAX_LINES * MAX_LINE_BYTES;
 
 /// A list of run stores: an answer of the discovery service, or the `known` list of the configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     /// Whether `endpoints` holds all run stores (`true`) or only those that changed.
     #[serde(default)]
     pub snapshot: bool,
-    /// The run stores, at most [`MOST_LINES`].
+    /// The run stores, at most [`MAX_LINES`].
     #[serde(default, serialize_with = "write", deserialize_with = "read")]
     pub endpoints: Vec<ListedRunStore>,
 }
@@ -123,15 +123,15 @@
     type Value = Vec<ListedRunStore>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "at most {MOST_LINES} lines")
+        write!(f, "at most {MAX_LINES} lines")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Vec<ListedRunStore>, A::Error> {
         let mut zones: BTreeSet<Arc<str>> = BTreeSet::new();
         let mut lines = Vec::new();
         while let Some(line) = seq.next_element::<Line>()? {
-            if lines.len() == MOST_LINES {
-                return Err(A::Error::invalid_length(MOST_LINES + 1, &self));
+            if lines.len() == MAX_LINES {
+                return Err(A::Error::invalid_length(MAX_LINES + 1, &self));
             }
             let zone = zones.get(line.zone.as_ref()).cloned().unwrap_or_else(|| {
                 let zone: Arc<str> = line.zone.as_ref().into();
--- a/src/directory/list/tests.rs
+++ b/src/directory/list/tests.rs
@@ -17,9 +17,9 @@
     };
     let around = of(1);
     let a_line = of(2) - around;
-    assert!(around + a_line * (MOST_LINES - 1) <= MOST_BYTES, "{a_line} bytes a line");
+    assert!(around + a_line * (MAX_LINES - 1) <= MAX_LIST_BYTES, "{a_line} bytes a line");
     assert!(
-        a_line * 4 > LONGEST_LINE * 3,
+        a_line * 4 > MAX_LINE_BYTES * 3,
         "{a_line} bytes a line: the bound is not derived from it any more"
     );
 }
@@ -31,11 +31,11 @@
         let text = format!(r#"{{"endpoints":[{}]}}"#, vec![line; lines].join(","));
         serde_json::from_str::<List>(&text)
     };
-    let most = read(MOST_LINES).unwrap();
-    assert_eq!(most.endpoints.len(), MOST_LINES);
+    let most = read(MAX_LINES).unwrap();
+    assert_eq!(most.endpoints.len(), MAX_LINES);
     let zones = most.endpoints.iter().map(|line| Arc::as_ptr(&line.replica.zone));
     assert_eq!(zones.collect::<std::collections::HashSet<_>>().len(), 1, "zones are shared");
-    let error = read(MOST_LINES + 1).unwrap_err().to_string();
+    let error = read(MAX_LINES + 1).unwrap_err().to_string();
     assert!(error.contains("at most 65536 lines"), "{error}");
 }
 
--- a/src/directory/watch.rs
+++ b/src/directory/watch.rs
@@ -15,7 +15,7 @@
 use crate::config::Config;
 use crate::core::drive::{Directory, Driver};
 use crate::core::DirectoryUpdate;
-use crate::directory::list::{List, MOST_BYTES};
+use crate::directory::list::{List, MAX_LIST_BYTES};
 use crate::http::client::{within, Client};
 use crate::http::parse::Message;
 use crate::http::write;
@@ -165,7 +165,7 @@
 async fn connect_unless_open(address: SocketAddr, open: Option<Client>) -> io::Result<Client> {
     match open {
         Some(open) => Ok(open),
-        None => Client::connect(address, CONNECT_TIMEOUT, MOST_BYTES).await,
+        None => Client::connect(address, CONNECT_TIMEOUT, MAX_LIST_BYTES).await,
     }
 }
 
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -15,7 +15,7 @@
 use ironpaddle::api::{Millis, ReplicaState};
 use ironpaddle::core::drive::{Directory, Driver};
 use ironpaddle::core::{Command, Core, DirectoryUpdate, ListedRunStore};
-use ironpaddle::directory::list::{MOST_BYTES, MOST_LINES};
+use ironpaddle::directory::list::{MAX_LINES, MAX_LIST_BYTES};
 use ironpaddle::directory::watch::Watch;
 use ironpaddle::settings::SiteSettings;
 use proptest::prelude::*;
@@ -187,10 +187,10 @@
 #[test]
 fn a_list_of_57_000_lines_is_taken_and_one_beyond_the_bounds_leaves_it_as_it_was() {
     let whole = || Does::Tells(body(57_000));
-    let too_many = Does::Tells(body(MOST_LINES + 1));
+    let too_many = Does::Tells(body(MAX_LINES + 1));
     assert_eq!(known_after(vec![whole(), too_many]), 57_000, "too many lines");
-    assert_eq!(known_after(vec![whole(), Does::Begins(MOST_BYTES + 1)]), 57_000, "too many bytes");
+    assert_eq!(known_after(vec![whole(), Does::Begins(MAX_LIST_BYTES + 1)]), 57_000, "too many bytes");
     // What is beyond the old list and within the bounds takes its place.
     let fewer = Does::Tells(body(600));
-    assert_eq!(known_after(vec![whole(), fewer, Does::Begins(MOST_BYTES + 1)]), 600);
+    assert_eq!(known_after(vec![whole(), fewer, Does::Begins(MAX_LIST_BYTES + 1)]), 600);
 }
