--- a/benches/list.rs
+++ b/benches/list.rs
@@ -52,7 +52,7 @@
 
 fn news(message: Message) -> DirectoryUpdate {
     let list: List = serde_json::from_slice(&message.body).expect("a list");
-    list.news()
+    list.into_update()
 }
 
 fn core() -> Core {
--- a/src/directory/dns_sd.rs
+++ b/src/directory/dns_sd.rs
@@ -90,7 +90,7 @@
                     return io::Error::new(io::ErrorKind::InvalidData, "no run store is listed");
                 }
                 Ok(list) if *self.last_list.borrow() != list => {
-                    self.driver.apply_directory_update(list.clone().news());
+                    self.driver.apply_directory_update(list.clone().into_update());
                     *self.last_list.borrow_mut() = list;
                 }
                 // Nothing has changed. The empty update tells the core that the directory can be reached.
--- a/src/directory/list.rs
+++ b/src/directory/list.rs
@@ -151,7 +151,7 @@
     }
 
     /// Converts the list to an update for the core.
-    pub fn news(self) -> DirectoryUpdate {
+    pub fn into_update(self) -> DirectoryUpdate {
         if self.snapshot {
             DirectoryUpdate::Full(self.endpoints)
         } else {
--- a/src/directory/watch.rs
+++ b/src/directory/watch.rs
@@ -96,7 +96,7 @@
             match answer {
                 Ok(list) => {
                     self.index.set(Some(list.index));
-                    self.driver.apply_directory_update(list.news());
+                    self.driver.apply_directory_update(list.into_update());
                 }
                 Err(error) => return error,
             }
