--- a/src/directory/watch.rs
+++ b/src/directory/watch.rs
@@ -145,8 +145,8 @@
     get(address, open, &format!("/v1/servers?after={index}&wait_ms={wait}")).await
 }
 
-/// Asks for the whole list. If the call is not answered within [`CALL`], it may hang, or the service may be slow: the call
-/// is made once more on another connection while the first continues, and the first answer of the two is used.
+/// Asks for the whole list. If the call is not answered within [`CALL`], it may hang, or the service may be slow: the
+/// call is made once more on another connection while the first continues, and the first answer of the two is used.
 async fn whole_list(address: SocketAddr, open: Option<Client>) -> io::Result<ResponseAndClient> {
     let call =
         |open| async move { get(address, connect_unless_open(address, open).await?, "/v1/servers").await };
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -12,13 +12,13 @@
     SendAncillaryMessage, SendFlags,
 };
 
-use super::Word;
+use super::Message;
 use crate::net::{self, Stream};
 
 /// The longest accepted line, in bytes: the state includes all entries of the replicated store.
-const MOST_LINE: usize = 64 * 1024 * 1024;
+const MAX_LINE_BYTES: usize = 64 * 1024 * 1024;
 /// The maximum number of sockets that are passed: those for clients and for the replicated store.
-const MOST_SOCKETS: usize = 2;
+const MAX_SOCKETS: usize = 2;
 
 /// A connection to the other process.
 pub struct Link {
@@ -31,8 +31,8 @@
     /// # Errors
     /// Returns an error if the other process belongs to another user, with whom no sockets may be exchanged.
     pub fn new(stream: Async<UnixStream>) -> io::Result<Self> {
-        let other = sockopt::socket_peercred(stream.as_fd())?.uid;
-        if other != rustix::process::geteuid() {
+        let peer_uid = sockopt::socket_peercred(stream.as_fd())?.uid;
+        if peer_uid != rustix::process::geteuid() {
             return Err(io::Error::new(
                 io::ErrorKind::PermissionDenied,
                 "the other process belongs to another user",
@@ -45,8 +45,8 @@
     ///
     /// # Errors
     /// Returns an error if the other process has ended.
-    pub async fn say(&self, word: &Word) -> io::Result<()> {
-        let mut line = serde_json::to_vec(word)?;
+    pub async fn send(&self, message: &Message) -> io::Result<()> {
+        let mut line = serde_json::to_vec(message)?;
         line.push(b'\n');
         Stream::from(&self.stream).write_all(&line).await
     }
@@ -55,10 +55,10 @@
     ///
     /// # Errors
     /// Returns an error if the other process has ended.
-    pub async fn pass(&self, sockets: &[OwnedFd]) -> io::Result<()> {
+    pub async fn send_sockets(&self, sockets: &[OwnedFd]) -> io::Result<()> {
         let borrowed: Vec<_> = sockets.iter().map(AsFd::as_fd).collect();
         let send = |stream: &UnixStream| {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
             let mut control = SendAncillaryBuffer::new(&mut space);
             if !borrowed.is_empty() && !control.push(SendAncillaryMessage::ScmRights(&borrowed)) {
                 return Err(io::ErrorKind::InvalidInput.into());
@@ -72,20 +72,20 @@
     ///
     /// # Errors
     /// Returns an error if the other process has ended.
-    pub async fn take(&self) -> io::Result<Vec<OwnedFd>> {
+    pub async fn receive_sockets(&self) -> io::Result<Vec<OwnedFd>> {
         let receive = |stream: &UnixStream| {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let mut byte = [0];
             let flags = RecvFlags::CMSG_CLOEXEC;
-            let came = recvmsg(stream, &mut [IoSliceMut::new(&mut byte)], &mut control, flags)?;
-            if came.bytes == 0 {
+            let received = recvmsg(stream, &mut [IoSliceMut::new(&mut byte)], &mut control, flags)?;
+            if received.bytes == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             let mut sockets = Vec::new();
             for message in control.drain() {
-                if let RecvAncillaryMessage::ScmRights(passed) = message {
-                    sockets.extend(passed);
+                if let RecvAncillaryMessage::ScmRights(received) = message {
+                    sockets.extend(received);
                 }
             }
             Ok(sockets)
@@ -96,18 +96,18 @@
 
 /// Splits what arrives on a link into lines.
 #[derive(Default)]
-pub struct Lines {
+pub struct LineReader {
     buffer: Vec<u8>,
     /// The length of the part of the buffer that contains no line break.
     searched: usize,
 }
 
-impl Lines {
+impl LineReader {
     /// Receives the next message. Is cancel-safe: if the future is dropped, a partly received line is kept.
     ///
     /// # Errors
     /// Returns an error if the other process has ended or a line cannot be parsed.
-    pub async fn next(&mut self, link: &Link) -> io::Result<Word> {
+    pub async fn next_message(&mut self, link: &Link) -> io::Result<Message> {
         let mut bytes = [0; 8192];
         loop {
             let found = self.buffer[self.searched..].iter().position(|byte| *byte == b'\n');
@@ -118,7 +118,7 @@
                     .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()));
             }
             self.searched = self.buffer.len();
-            if self.buffer.len() > MOST_LINE {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return Err(io::Error::new(io::ErrorKind::InvalidData, "line too long"));
             }
             match Stream::from(&link.stream).read(&mut bytes).await? {
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -26,16 +26,16 @@
 use crate::directory::list::List;
 use crate::http::client::within;
 use crate::store::Entry;
-use link::{Lines, Link};
+use link::{LineReader, Link};
 
 /// The version of the handover protocol. Processes of different versions do not hand over.
-const VERSION: u32 = 1;
+const PROTOCOL_VERSION: u32 = 1;
 /// The time-out for sending or receiving one message or the sockets between two processes on one machine.
-const LIMIT: Duration = Duration::from_secs(1);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The state that the new process receives, apart from the sockets.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct State {
+pub struct HandoverState {
     /// The current list of run stores, with its version at the discovery service that `discovery` names.
     pub list: List,
     /// The address of the discovery service that `list` came from.
@@ -47,19 +47,20 @@
     #[serde(default)]
     pub now: Option<Millis>,
     /// Whether operators have shut clients out.
-    pub shut: bool,
+    #[serde(rename = "shut")]
+    pub shut_by_operator: bool,
     /// Whether the trace recording was on. `None` from an older version.
     #[serde(default)]
     pub recording: Option<bool>,
     /// The entries of the replicated store.
     pub entries: Vec<Entry>,
     /// The resources that the old process uses at this time.
-    pub held: Held,
+    pub held: HeldResources,
 }
 
 /// The resources that a process uses, out of limits that apply to both processes together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldResources {
     /// The number of open queries and parts.
     pub open: usize,
     /// The number of open file descriptors.
@@ -69,7 +70,7 @@
 /// A message between two processes, sent as one line of JSON.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum Message {
     /// The new process asks for the handover.
     Hello {
         /// The version of its handover protocol.
@@ -78,19 +79,24 @@
         name: String,
     },
     /// The old process is shutting down and no longer accepts connections, so there is nothing to hand over.
-    Ending,
+    #[serde(rename = "ending")]
+    ShuttingDown,
     /// The old process refuses to hand over, for this reason.
-    No(String),
+    #[serde(rename = "no")]
+    Refused(String),
     /// The old process hands over this state.
-    State(Box<State>),
+    State(Box<HandoverState>),
     /// The new process serves clients.
     Serving,
     /// The old process uses these resources.
-    Held(Held),
+    #[serde(rename = "held")]
+    Resources(HeldResources),
     /// An operator has drained a run store through the sending process.
-    Out(ReplicaId),
+    #[serde(rename = "out")]
+    DrainRunStore(ReplicaId),
     /// An operator has ended the manual drain of a run store through the sending process, at this time.
-    Back(ReplicaId, Millis),
+    #[serde(rename = "back")]
+    UndrainRunStore(ReplicaId, Millis),
 }
 
 /// The operations of the running program that the handover needs.
@@ -100,9 +106,9 @@
     /// Returns copies of the listening sockets, that for clients first; `None` if the process no longer accepts.
     fn sockets(&self) -> Option<Vec<OwnedFd>>;
     /// Returns the state for the new process.
-    fn state(&self) -> State;
+    fn state(&self) -> HandoverState;
     /// Returns the resources in use.
-    fn held(&self) -> Held;
+    fn held(&self) -> HeldResources;
     /// Stops accepting connections and finishes open queries, as the new process serves.
     fn stand_down(&self);
     /// Accepts connections again, as the new process has ended. Does nothing if this process is shutting down.
@@ -110,41 +116,42 @@
     /// Applies a manual drain (`out`), or its end, that an operator requested from the other process at the time `at`.
     fn apply_manual_drain(&self, at: Millis, id: &ReplicaId, out: bool);
     /// Leaves room, under the shared limits, for the resources of the other process; `None` once that has ended.
-    fn leave_room(&self, held: Option<Held>);
+    fn leave_room(&self, held: Option<HeldResources>);
 }
 
 /// Returns the path of the Unix socket on which the running process of an aggregator listens.
-pub fn path(name: &str) -> PathBuf {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || matches!(c, '-' | '.') { c } else { '_' };
-    let name: String = name.chars().map(plain).collect();
+pub fn socket_path(name: &str) -> PathBuf {
+    let to_file_name_char =
+        |c: char| if c.is_ascii_alphanumeric() || matches!(c, '-' | '.') { c } else { '_' };
+    let name: String = name.chars().map(to_file_name_char).collect();
     std::env::temp_dir().join(format!("ironpaddle-{name}.sock"))
 }
 
 /// Sends messages to the other process of a handover, while there is one.
 #[derive(Default)]
-pub struct Wire(RefCell<Option<Sender<Word>>>);
+pub struct Wire(RefCell<Option<Sender<Message>>>);
 
 impl Wire {
     /// Connects the sender to a new channel and returns its receiver.
-    fn open(&self) -> Receiver<Word> {
-        let (sender, words) = async_channel::unbounded();
+    fn open(&self) -> Receiver<Message> {
+        let (sender, receiver) = async_channel::unbounded();
         *self.0.borrow_mut() = Some(sender);
-        words
+        receiver
     }
 
     /// Queues a message for the other process, if there is one.
-    pub fn say(&self, word: Word) {
+    pub fn send(&self, message: Message) {
         if let Some(sender) = &*self.0.borrow() {
             // A failure means that the other process has ended.
-            let _ = sender.try_send(word);
+            let _ = sender.try_send(message);
         }
     }
 }
 
 /// Sends queued messages until one cannot be sent, and returns the error.
-async fn speak(link: &Link, words: &Receiver<Word>) -> io::Error {
-    while let Ok(word) = words.recv().await {
-        if let Err(error) = within(LIMIT, link.say(&word)).await {
+async fn send_messages(link: &Link, messages: &Receiver<Message>) -> io::Error {
+    while let Ok(message) = messages.recv().await {
+        if let Err(error) = within(MESSAGE_TIMEOUT, link.send(&message)).await {
             return error;
         }
     }
@@ -153,18 +160,23 @@
 
 /// Receives and handles messages of the other process until that fails, and returns the error. Calls `serving` when the
 /// new process reports that it serves.
-async fn hear(link: &Link, lines: &mut Lines, process: &dyn Process, mut serving: impl FnMut()) -> io::Error {
+async fn receive_messages(
+    link: &Link,
+    lines: &mut LineReader,
+    process: &dyn Process,
+    mut serving: impl FnMut(),
+) -> io::Error {
     loop {
-        let word = match lines.next(link).await {
-            Ok(word) => word,
+        let message = match lines.next_message(link).await {
+            Ok(message) => message,
             Err(error) => return error,
         };
-        match word {
-            Word::Out(id) => process.apply_manual_drain(0.0, &id, true),
-            Word::Back(id, at) => process.apply_manual_drain(at, &id, false),
-            Word::Held(held) => process.leave_room(Some(held)),
-            Word::Serving => serving(),
-            Word::Hello { .. } | Word::Ending | Word::No(_) | Word::State(_) => {
+        match message {
+            Message::DrainRunStore(id) => process.apply_manual_drain(0.0, &id, true),
+            Message::UndrainRunStore(id, at) => process.apply_manual_drain(at, &id, false),
+            Message::Resources(held) => process.leave_room(Some(held)),
+            Message::Serving => serving(),
+            Message::Hello { .. } | Message::ShuttingDown | Message::Refused(_) | Message::State(_) => {
                 return io::Error::new(io::ErrorKind::InvalidData, "unexpected message");
             }
         }
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -9,22 +9,22 @@
 use async_io::Async;
 use futures_lite::future;
 
-use super::link::{Lines, Link};
-use super::{hear, speak, Process, State, Wire, Word, VERSION};
+use super::link::{LineReader, Link};
+use super::{receive_messages, send_messages, HandoverState, Message, Process, Wire, PROTOCOL_VERSION};
 use crate::http::client::within;
 use crate::log;
 
 /// The time-out for the handover, and for connecting to the running process. Starting the new process waits for it.
-const HANDOVER: Duration = Duration::from_secs(2);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The state and sockets that a running process has handed over, and the connection to it.
-pub struct Taken {
+pub struct Takeover {
     /// Its state.
-    pub state: State,
+    pub state: HandoverState,
     /// Its listening sockets.
     pub sockets: Vec<OwnedFd>,
     link: Link,
-    lines: Lines,
+    lines: LineReader,
 }
 
 /// Asks the running process of an aggregator to hand over; `None` if its socket shows that none runs.
@@ -32,9 +32,9 @@
 /// # Errors
 /// Returns an error if a process runs and does not hand over. It continues to serve, and the new process must not start
 /// beside it.
-pub async fn take(path: &Path, name: &str) -> Result<Option<Taken>, String> {
+pub async fn take_over(path: &Path, name: &str) -> Result<Option<Takeover>, String> {
     let failed = |error: io::Error| format!("the running process does not hand over: {error}");
-    let stream = match within(HANDOVER, Async::<UnixStream>::connect(path)).await {
+    let stream = match within(HANDOVER_TIMEOUT, Async::<UnixStream>::connect(path)).await {
         Ok(stream) => stream,
         // No socket, or a stale one.
         Err(error) if matches!(error.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
@@ -45,34 +45,36 @@
         Err(error) => return Err(failed(error)),
     };
     let link = Link::new(stream).map_err(failed)?;
-    let asked = async {
-        link.say(&Word::Hello { version: VERSION, name: name.to_string() }).await?;
-        let sockets = link.take().await?;
-        let mut lines = Lines::default();
-        Ok((sockets, lines.next(&link).await?, lines))
+    let handover = async {
+        link.send(&Message::Hello { version: PROTOCOL_VERSION, name: name.to_string() }).await?;
+        let sockets = link.receive_sockets().await?;
+        let mut lines = LineReader::default();
+        Ok((sockets, lines.next_message(&link).await?, lines))
     };
-    match within(HANDOVER, asked).await.map_err(failed)? {
-        (sockets, Word::State(state), lines) => Ok(Some(Taken { state: *state, sockets, link, lines })),
-        (_, Word::Ending, _) => Ok(None),
-        (_, Word::No(why), _) => Err(format!("the running process does not hand over: {why}")),
+    match within(HANDOVER_TIMEOUT, handover).await.map_err(failed)? {
+        (sockets, Message::State(state), lines) => Ok(Some(Takeover { state: *state, sockets, link, lines })),
+        (_, Message::ShuttingDown, _) => Ok(None),
+        (_, Message::Refused(why), _) => Err(format!("the running process does not hand over: {why}")),
         _ => Err("the running process does not hand over: unexpected message".into()),
     }
 }
 
 /// Reports that this process serves, and exchanges messages with the old process until that has ended.
-pub async fn follow(with: (Link, Lines), process: &dyn Process, wire: &Wire) {
+pub async fn follow(with: (Link, LineReader), process: &dyn Process, wire: &Wire) {
     let (link, mut lines) = with;
-    let words = wire.open();
-    wire.say(Word::Serving);
-    let why = future::or(hear(&link, &mut lines, process, || {}), speak(&link, &words)).await;
+    let messages = wire.open();
+    wire.send(Message::Serving);
+    let why =
+        future::or(receive_messages(&link, &mut lines, process, || {}), send_messages(&link, &messages))
+            .await;
     log::ended("handover", None, why.kind().into(), why);
     process.leave_room(None);
     log::line("handover: the old process is gone");
 }
 
-impl Taken {
+impl Takeover {
     /// Splits it into the state, the sockets and the connection to the old process.
-    pub fn split(self) -> (State, Vec<OwnedFd>, (Link, Lines)) {
+    pub fn into_parts(self) -> (HandoverState, Vec<OwnedFd>, (Link, LineReader)) {
         (self.state, self.sockets, (self.link, self.lines))
     }
 }
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -10,20 +10,20 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 
-use super::link::{Lines, Link};
-use super::{hear, speak, Process, Wire, Word, LIMIT, VERSION};
+use super::link::{LineReader, Link};
+use super::{receive_messages, send_messages, Message, Process, Wire, MESSAGE_TIMEOUT, PROTOCOL_VERSION};
 use crate::http::client::within;
 use crate::log;
 
 /// The time within which a new process must serve after it was sent the state.
-const PATIENCE: Duration = Duration::from_secs(5);
+const SERVING_TIMEOUT: Duration = Duration::from_secs(5);
 /// The interval at which the new process is sent the resources in use here.
-const TELL_EVERY: Duration = Duration::from_millis(100);
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 /// The pause after a failed accept, for example when no descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts new processes that want to take over, one after the other.
-pub async fn wait(path: &Path, process: Rc<dyn Process>, wire: &Wire) {
+pub async fn serve_handovers(path: &Path, process: Rc<dyn Process>, wire: &Wire) {
     loop {
         let listener = match listen(path) {
             Ok(listener) => listener,
@@ -34,9 +34,9 @@
             }
         };
         let listener = Cell::new(Some(listener));
-        while let Some(waiting) = listener.take() {
-            let stream = waiting.accept().await;
-            listener.set(Some(waiting));
+        while let Some(accepting) = listener.take() {
+            let stream = accepting.accept().await;
+            listener.set(Some(accepting));
             let stream = match stream {
                 Ok((stream, _)) => stream,
                 Err(error) => {
@@ -45,13 +45,13 @@
                     continue;
                 }
             };
-            let offered = match Link::new(stream) {
-                Ok(link) => offer(&link, &*process, wire, &listener).await,
+            let result = match Link::new(stream) {
+                Ok(link) => hand_over(&link, &*process, wire, &listener).await,
                 Err(error) => Err(error),
             };
-            let (Ok(why) | Err(why)) = &offered;
+            let (Ok(why) | Err(why)) = &result;
             log::ended("handover", None, why.kind().into(), why);
-            if offered.is_err() {
+            if result.is_err() {
                 log::line("handover: failed, this process serves on");
             }
         }
@@ -73,56 +73,59 @@
 /// Hands over to a process that has connected and exchanges messages with it; returns how the connection ended, as an
 /// `Err` if the new process never served. Once the new process serves, this one stops listening for further handovers:
 /// the next process asks the new one.
-async fn offer(
+async fn hand_over(
     link: &Link,
     process: &dyn Process,
     wire: &Wire,
     listener: &Cell<Option<Async<UnixListener>>>,
 ) -> io::Result<io::Error> {
-    let mut lines = Lines::default();
-    let hello = within(LIMIT, lines.next(link)).await?;
-    let ours = matches!(&hello, Word::Hello { version: VERSION, name } if *name == process.name());
-    let other = "the other process has another aggregator name or protocol version";
+    let mut lines = LineReader::default();
+    let hello = within(MESSAGE_TIMEOUT, lines.next_message(link)).await?;
+    let is_compatible =
+        matches!(&hello, Message::Hello { version: PROTOCOL_VERSION, name } if *name == process.name());
+    let mismatch = "the other process has another aggregator name or protocol version";
     let sockets = match process.sockets() {
-        Some(sockets) if ours => sockets,
+        Some(sockets) if is_compatible => sockets,
         sockets => {
-            let (word, why) = match sockets {
-                None if ours => (Word::Ending, "this process is shutting down"),
-                _ => (Word::No(other.into()), other),
+            let (message, why) = match sockets {
+                None if is_compatible => (Message::ShuttingDown, "this process is shutting down"),
+                _ => (Message::Refused(mismatch.into()), mismatch),
             };
-            within(LIMIT, link.pass(&[])).await?;
-            within(LIMIT, link.say(&word)).await?;
+            within(MESSAGE_TIMEOUT, link.send_sockets(&[])).await?;
+            within(MESSAGE_TIMEOUT, link.send(&message)).await?;
             return Err(io::Error::other(why));
         }
     };
     // The channel is opened before the state is captured, so that operators' calls made afterwards are sent behind it.
-    let words = wire.open();
-    let state = Word::State(Box::new(process.state()));
-    within(LIMIT, link.pass(&sockets)).await?;
-    within(LIMIT, link.say(&state)).await?;
+    let messages = wire.open();
+    let state = Message::State(Box::new(process.state()));
+    within(MESSAGE_TIMEOUT, link.send_sockets(&sockets)).await?;
+    within(MESSAGE_TIMEOUT, link.send(&state)).await?;
     let serving = Cell::new(false);
-    let heard = hear(link, &mut lines, process, || {
+    let received = receive_messages(link, &mut lines, process, || {
         serving.set(true);
         drop(listener.take());
         process.stand_down();
         log::line("handover: the new process serves");
     });
-    let told = async {
+    let reported = async {
         loop {
-            Timer::after(TELL_EVERY).await;
+            Timer::after(REPORT_INTERVAL).await;
             if serving.get() {
-                wire.say(Word::Held(process.held()));
+                wire.send(Message::Resources(process.held()));
             }
         }
     };
-    let impatient = async {
-        Timer::after(PATIENCE).await;
+    let timed_out = async {
+        Timer::after(SERVING_TIMEOUT).await;
         if serving.get() {
             future::pending().await
         }
         io::ErrorKind::TimedOut.into()
     };
-    let why = future::or(heard, future::or(speak(link, &words), future::or(told, impatient))).await;
+    let why =
+        future::or(received, future::or(send_messages(link, &messages), future::or(reported, timed_out)))
+            .await;
     if serving.get() {
         Ok(why)
     } else {
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -10,10 +10,10 @@
 use crate::api::ReplicaId;
 use crate::core::drive::Driver;
 use crate::counters;
-use crate::handover::{Wire, Word};
+use crate::handover::{Message, Wire};
 use crate::http::door::Door;
 use crate::http::inbox::Arrived;
-use crate::http::parse::{Bad, Message};
+use crate::http::parse::{self, Bad};
 use crate::http::server::{Handler, Limits, Local, Refused, Server};
 use crate::http::target::Target;
 use crate::http::write::Response;
@@ -99,7 +99,11 @@
         if !self.driver.set_manual_drain(at, &id, out) {
             return Response::text(404, "unknown run store");
         }
-        self.wire.say(if out { Word::Out(id.clone()) } else { Word::Back(id.clone(), at) });
+        self.wire.send(if out {
+            Message::DrainRunStore(id.clone())
+        } else {
+            Message::UndrainRunStore(id.clone(), at)
+        });
         let word = if out { "out" } else { "back" };
         log::line(&format!("operator: {} {word}", id.0));
         yes(word)
@@ -139,7 +143,7 @@
     }
 
     /// Returns no time-out, as all calls are answered immediately.
-    fn waits(&self, _: &Message) -> Option<Duration> {
+    fn waits(&self, _: &parse::Message) -> Option<Duration> {
         None
     }
 
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -47,8 +47,8 @@
     let config = Config::load(path)?;
     let name = config.name.clone();
     let operators = program::operators(&config).await?;
-    let meeting = handover::path(&name);
-    let taken = new::take(&meeting, &name).await?.map(new::Taken::split);
+    let meeting = handover::socket_path(&name);
+    let taken = new::take_over(&meeting, &name).await?.map(new::Takeover::into_parts);
     let (inherited, link) = taken.map(|(state, sockets, link)| ((state, sockets), link)).unzip();
     let program = Program::new(path, config, executor.clone(), inherited).await?;
     program.accept();
@@ -109,14 +109,14 @@
 /// Follows the process that this one takes over from, and then waits for one that takes over from it.
 async fn stay_in_step(
     meeting: std::path::PathBuf,
-    link: Option<(handover::link::Link, handover::link::Lines)>,
+    link: Option<(handover::link::Link, handover::link::LineReader)>,
     program: Rc<Program>,
     wire: Rc<Wire>,
 ) {
     if let Some(link) = link {
         new::follow(link, &*program, &wire).await;
     }
-    old::wait(&meeting, program, &wire).await;
+    old::serve_handovers(&meeting, program, &wire).await;
 }
 
 /// Attends to signals until one of them ends the program.
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -24,7 +24,7 @@
 use crate::directory::Reload;
 use crate::front::opensearch::OpenSearch;
 use crate::front::platform::Platform;
-use crate::handover::{Held, Process, State};
+use crate::handover::{HandoverState, HeldResources, Process};
 use crate::http::door::Door;
 use crate::http::server::{Handler, Limits, Server};
 use crate::log;
@@ -60,7 +60,7 @@
 }
 
 /// What another process hands over: its state and its sockets.
-pub type Inherited = (State, Vec<OwnedFd>);
+pub type Inherited = (HandoverState, Vec<OwnedFd>);
 
 impl Program {
     /// The program of a configuration, at the start, or taking over. It does not accept yet.
@@ -115,7 +115,7 @@
             executor.spawn(keep_directory(store.clone(), driver.clone())).detach();
         }
         let door = Rc::new(Door::default());
-        door.by_hand(state.as_ref().is_some_and(|state| state.shut));
+        door.by_hand(state.as_ref().is_some_and(|state| state.shut_by_operator));
         let front: Box<dyn Handler> = match config.api {
             Api::Platform => Box::new(Platform::new(driver.clone(), door.clone())),
             Api::Opensearch => Box::new(OpenSearch::new(driver.clone(), door.clone())),
@@ -196,24 +196,24 @@
         std::iter::once(listener.as_ref()?).chain(store).map(copy).collect()
     }
 
-    fn state(&self) -> State {
+    fn state(&self) -> HandoverState {
         let mut list = List::of(self.driver.directory());
         list.index = self.driver.version().unwrap_or(0);
-        State {
+        HandoverState {
             list,
             discovery: self.reloads.discovery(),
             takeover_state: self.driver.takeover_state(),
             now: Some(self.driver.now()),
-            shut: self.door.is_shut_by_hand(),
+            shut_by_operator: self.door.is_shut_by_hand(),
             recording: self.driver.recording().map(Control::is_on),
             entries: self.store.as_ref().map(|(store, _)| store.entries()).unwrap_or_default(),
             held: self.held(),
         }
     }
 
-    fn held(&self) -> Held {
+    fn held(&self) -> HeldResources {
         let descriptors = OTHER_DESCRIPTORS + self.server.open() + self.driver.connections();
-        Held { open: self.driver.held(), descriptors }
+        HeldResources { open: self.driver.held(), descriptors }
     }
 
     fn stand_down(&self) {
@@ -233,8 +233,8 @@
         self.driver.apply_manual_drain(at, id, out);
     }
 
-    fn leave_room(&self, held: Option<Held>) {
-        let Held { open, descriptors } = held.unwrap_or_default();
+    fn leave_room(&self, held: Option<HeldResources>) {
+        let HeldResources { open, descriptors } = held.unwrap_or_default();
         self.server.set_room(self.config.client_connections(descriptors));
         self.driver.leave_room(open, self.config.store_connections(descriptors));
     }
@@ -276,8 +276,8 @@
 }
 
 /// The list of run stores to begin with, and its version at the discovery service that will be asked.
-fn known_list(config: &Config, state: Option<&State>, store: Option<&Store>) -> (List, Option<u64>) {
-    if let Some(State { list, discovery, .. }) = state {
+fn known_list(config: &Config, state: Option<&HandoverState>, store: Option<&Store>) -> (List, Option<u64>) {
+    if let Some(HandoverState { list, discovery, .. }) = state {
         // Versions are each service's own.
         let version = Some(list.index).filter(|index| *index > 0 && *discovery == config.discovery);
         return (list.clone(), version);
@@ -311,7 +311,7 @@
     config: &Config,
     executor: &Rc<LocalExecutor<'static>>,
     passed: Option<OwnedFd>,
-    state: Option<&State>,
+    state: Option<&HandoverState>,
 ) -> Result<Option<(Rc<Store>, TcpListener)>, String> {
     let Some(place) = &config.store else { return Ok(None) };
     let listener = listen("store.listen", place.listen, passed).await?;
