--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -110,13 +110,13 @@
     /// Returns the resources in use.
     fn held(&self) -> HeldResources;
     /// Stops accepting connections and finishes open queries, as the new process serves.
-    fn stand_down(&self);
+    fn stop_accepting(&self);
     /// Accepts connections again, as the new process has ended. Does nothing if this process is shutting down.
-    fn stand_up(&self);
+    fn resume_accepting(&self);
     /// Applies a manual drain (`out`), or its end, that an operator requested from the other process at the time `at`.
     fn apply_manual_drain(&self, at: Millis, id: &ReplicaId, out: bool);
     /// Leaves room, under the shared limits, for the resources of the other process; `None` once that has ended.
-    fn leave_room(&self, held: Option<HeldResources>);
+    fn reserve_for_peer(&self, held: Option<HeldResources>);
 }
 
 /// Returns the path of the Unix socket on which the running process of an aggregator listens.
@@ -174,7 +174,7 @@
         match message {
             Message::DrainRunStore(id) => process.apply_manual_drain(0.0, &id, true),
             Message::UndrainRunStore(id, at) => process.apply_manual_drain(at, &id, false),
-            Message::Resources(held) => process.leave_room(Some(held)),
+            Message::Resources(held) => process.reserve_for_peer(Some(held)),
             Message::Serving => serving(),
             Message::Hello { .. } | Message::ShuttingDown | Message::Refused(_) | Message::State(_) => {
                 return io::Error::new(io::ErrorKind::InvalidData, "unexpected message");
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -68,7 +68,7 @@
         future::or(receive_messages(&link, &mut lines, process, || {}), send_messages(&link, &messages))
             .await;
     log::ended("handover", None, why.kind().into(), why);
-    process.leave_room(None);
+    process.reserve_for_peer(None);
     log::line("handover: the old process is gone");
 }
 
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -56,7 +56,7 @@
             }
         }
         // The process that took over has ended.
-        process.stand_up();
+        process.resume_accepting();
     }
 }
 
@@ -105,7 +105,7 @@
     let received = receive_messages(link, &mut lines, process, || {
         serving.set(true);
         drop(listener.take());
-        process.stand_down();
+        process.stop_accepting();
         log::line("handover: the new process serves");
     });
     let reported = async {
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -136,7 +136,7 @@
             store,
             accepting: RefCell::default(),
         });
-        program.leave_room(state.map(|state| state.held));
+        program.reserve_for_peer(state.map(|state| state.held));
         Ok(program)
     }
 
@@ -216,12 +216,12 @@
         HeldResources { open: self.driver.held(), descriptors }
     }
 
-    fn stand_down(&self) {
+    fn stop_accepting(&self) {
         drop(self.accepting.take());
         self.door.hand_over(true);
     }
 
-    fn stand_up(&self) {
+    fn resume_accepting(&self) {
         if !self.door.is_leaving() {
             log::line("handover: the new process is gone, this one serves again");
             self.door.hand_over(false);
@@ -233,7 +233,7 @@
         self.driver.apply_manual_drain(at, id, out);
     }
 
-    fn leave_room(&self, held: Option<HeldResources>) {
+    fn reserve_for_peer(&self, held: Option<HeldResources>) {
         let HeldResources { open, descriptors } = held.unwrap_or_default();
         self.server.set_room(self.config.client_connections(descriptors));
         self.driver.leave_room(open, self.config.store_connections(descriptors));
