--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -129,9 +129,9 @@
 
 /// Sends messages to the other process of a handover, while there is one.
 #[derive(Default)]
-pub struct Wire(RefCell<Option<Sender<Message>>>);
+pub struct PeerSender(RefCell<Option<Sender<Message>>>);
 
-impl Wire {
+impl PeerSender {
     /// Connects the sender to a new channel and returns its receiver.
     fn open(&self) -> Receiver<Message> {
         let (sender, receiver) = async_channel::unbounded();
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -10,7 +10,7 @@
 use futures_lite::future;
 
 use super::link::{LineReader, Link};
-use super::{receive_messages, send_messages, HandoverState, Message, Process, Wire, PROTOCOL_VERSION};
+use super::{receive_messages, send_messages, HandoverState, Message, PeerSender, Process, PROTOCOL_VERSION};
 use crate::http::client::within;
 use crate::log;
 
@@ -60,10 +60,10 @@
 }
 
 /// Reports that this process serves, and exchanges messages with the old process until that has ended.
-pub async fn follow(with: (Link, LineReader), process: &dyn Process, wire: &Wire) {
+pub async fn follow(with: (Link, LineReader), process: &dyn Process, peer: &PeerSender) {
     let (link, mut lines) = with;
-    let messages = wire.open();
-    wire.send(Message::Serving);
+    let messages = peer.open();
+    peer.send(Message::Serving);
     let why =
         future::or(receive_messages(&link, &mut lines, process, || {}), send_messages(&link, &messages))
             .await;
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -11,7 +11,9 @@
 use futures_lite::future;
 
 use super::link::{LineReader, Link};
-use super::{receive_messages, send_messages, Message, Process, Wire, MESSAGE_TIMEOUT, PROTOCOL_VERSION};
+use super::{
+    receive_messages, send_messages, Message, PeerSender, Process, MESSAGE_TIMEOUT, PROTOCOL_VERSION,
+};
 use crate::http::client::within;
 use crate::log;
 
@@ -23,7 +25,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts new processes that want to take over, one after the other.
-pub async fn serve_handovers(path: &Path, process: Rc<dyn Process>, wire: &Wire) {
+pub async fn serve_handovers(path: &Path, process: Rc<dyn Process>, peer: &PeerSender) {
     loop {
         let listener = match listen(path) {
             Ok(listener) => listener,
@@ -46,7 +48,7 @@
                 }
             };
             let result = match Link::new(stream) {
-                Ok(link) => hand_over(&link, &*process, wire, &listener).await,
+                Ok(link) => hand_over(&link, &*process, peer, &listener).await,
                 Err(error) => Err(error),
             };
             let (Ok(why) | Err(why)) = &result;
@@ -76,7 +78,7 @@
 async fn hand_over(
     link: &Link,
     process: &dyn Process,
-    wire: &Wire,
+    peer: &PeerSender,
     listener: &Cell<Option<Async<UnixListener>>>,
 ) -> io::Result<io::Error> {
     let mut lines = LineReader::default();
@@ -97,7 +99,7 @@
         }
     };
     // The channel is opened before the state is captured, so that operators' calls made afterwards are sent behind it.
-    let messages = wire.open();
+    let messages = peer.open();
     let state = Message::State(Box::new(process.state()));
     within(MESSAGE_TIMEOUT, link.send_sockets(&sockets)).await?;
     within(MESSAGE_TIMEOUT, link.send(&state)).await?;
@@ -112,7 +114,7 @@
         loop {
             Timer::after(REPORT_INTERVAL).await;
             if serving.get() {
-                wire.send(Message::Resources(process.held()));
+                peer.send(Message::Resources(process.held()));
             }
         }
     };
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -10,7 +10,7 @@
 use crate::api::ReplicaId;
 use crate::core::drive::Driver;
 use crate::counters;
-use crate::handover::{Message, Wire};
+use crate::handover::{Message, PeerSender};
 use crate::http::door::Door;
 use crate::http::inbox::Arrived;
 use crate::http::parse::{self, Bad};
@@ -29,14 +29,14 @@
 pub struct Operator {
     driver: Rc<Driver>,
     door: Rc<Door>,
-    wire: Rc<Wire>,
+    peer: Rc<PeerSender>,
 }
 
 impl Operator {
-    /// Creates a handler that acts on `driver` and `door`, and forwards manual drains over `wire` to the other process
+    /// Creates a handler that acts on `driver` and `door`, and forwards manual drains over `peer` to the other process
     /// during a handover.
-    pub fn new(driver: Rc<Driver>, door: Rc<Door>, wire: Rc<Wire>) -> Self {
-        Operator { driver, door, wire }
+    pub fn new(driver: Rc<Driver>, door: Rc<Door>, peer: Rc<PeerSender>) -> Self {
+        Operator { driver, door, peer }
     }
 
     /// Accepts and answers calls on `listener`.
@@ -99,7 +99,7 @@
         if !self.driver.set_manual_drain(at, &id, out) {
             return Response::text(404, "unknown run store");
         }
-        self.wire.send(if out {
+        self.peer.send(if out {
             Message::DrainRunStore(id.clone())
         } else {
             Message::UndrainRunStore(id.clone(), at)
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -14,7 +14,7 @@
 use futures_lite::future;
 
 use crate::config::Config;
-use crate::handover::{self, new, old, Wire};
+use crate::handover::{self, new, old, PeerSender};
 use crate::http::server::KEEP_IDLE;
 use crate::log;
 use crate::operator::Operator;
@@ -52,7 +52,7 @@
     let (inherited, link) = taken.map(|(state, sockets, link)| ((state, sockets), link)).unzip();
     let program = Program::new(path, config, executor.clone(), inherited).await?;
     program.accept();
-    let wire = Rc::new(Wire::default());
+    let wire = Rc::new(PeerSender::default());
     let others = stay_in_step(meeting, link, program.clone(), wire.clone());
     executor.spawn(others).detach();
     if let Some(listener) = operators {
@@ -111,7 +111,7 @@
     meeting: std::path::PathBuf,
     link: Option<(handover::link::Link, handover::link::LineReader)>,
     program: Rc<Program>,
-    wire: Rc<Wire>,
+    wire: Rc<PeerSender>,
 ) {
     if let Some(link) = link {
         new::follow(link, &*program, &wire).await;
