--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -20,10 +20,10 @@
 use crate::log;
 
 /// The time-out for one call, including its connection.
-const CALL: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The maximum number of concurrent calls. Their descriptors come from the reserve for everything but clients and run
 /// stores.
-const CONNECTIONS: usize = 32;
+const MAX_CONNECTIONS: usize = 32;
 
 /// Handles operators' calls.
 pub struct Operator {
@@ -41,26 +41,32 @@
 
     /// Accepts and answers calls on `listener`.
     pub async fn serve(self, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
-        let limits = Limits { connections: CONNECTIONS, idle: CALL, request: CALL, write: CALL, keep: false };
+        let limits = Limits {
+            connections: MAX_CONNECTIONS,
+            idle: CALL_TIMEOUT,
+            request: CALL_TIMEOUT,
+            write: CALL_TIMEOUT,
+            keep: false,
+        };
         let server = Server::new("operator", executor, Box::new(self), limits, Rc::default());
         server.accept(listener).await;
     }
 
     /// Routes a call by its method and path.
-    fn call(&self, method: &str, target: &str) -> Response {
+    fn route(&self, method: &str, target: &str) -> Response {
         let Some(target) = Target::read(target) else {
             return Response::text(400, "the path contains a malformed percent-escape");
         };
-        let words: Vec<&str> = target.path.iter().map(String::as_str).collect();
-        match (method, &words[..]) {
+        let segments: Vec<&str> = target.path.iter().map(String::as_str).collect();
+        match (method, &segments[..]) {
             // The process is healthy if it answers here. `/healthz` on the clients' address says whether it takes
             // clients.
-            ("GET", ["healthcheck"]) => yes("ready"),
+            ("GET", ["healthcheck"]) => ok("ready"),
             ("GET", ["stats"]) => Response::text(200, &self.stats()),
-            ("PUT", ["run-stores", id, "maint"]) => self.by_hand(id, true),
-            ("PUT", ["run-stores", id, "ready"]) => self.by_hand(id, false),
-            ("PUT", ["healthcheck", "fail"]) => self.turn(true, "draining"),
-            ("PUT", ["healthcheck", "ok"]) => self.turn(false, "ready"),
+            ("PUT", ["run-stores", id, "maint"]) => self.set_manual_drain(id, true),
+            ("PUT", ["run-stores", id, "ready"]) => self.set_manual_drain(id, false),
+            ("PUT", ["healthcheck", "fail"]) => self.set_shut(true, "draining"),
+            ("PUT", ["healthcheck", "ok"]) => self.set_shut(false, "ready"),
             ("GET", ["trace"]) => self.trace(|_| Ok(())),
             ("PUT", ["trace", "start"]) => self.trace(|driver| driver.record(true)),
             ("PUT", ["trace", "stop"]) => self.trace(|driver| driver.record(false)),
@@ -68,9 +74,11 @@
                 driver.rotate();
                 Ok(())
             }),
-            (_, ["trace", "start" | "stop" | "rotate"]) => wrong_method("PUT"),
-            (_, ["healthcheck"] | ["stats"] | ["trace"]) => wrong_method("GET"),
-            (_, ["healthcheck", "fail" | "ok"] | ["run-stores", _, "maint" | "ready"]) => wrong_method("PUT"),
+            (_, ["trace", "start" | "stop" | "rotate"]) => method_not_allowed("PUT"),
+            (_, ["healthcheck"] | ["stats"] | ["trace"]) => method_not_allowed("GET"),
+            (_, ["healthcheck", "fail" | "ok"] | ["run-stores", _, "maint" | "ready"]) => {
+                method_not_allowed("PUT")
+            }
             _ => Response::text(404, "unknown path"),
         }
     }
@@ -80,11 +88,11 @@
     }
 
     /// Applies an action to the trace recording and returns the recording's status as JSON.
-    fn trace(&self, act: impl FnOnce(&Rc<Driver>) -> Result<(), String>) -> Response {
+    fn trace(&self, action: impl FnOnce(&Rc<Driver>) -> Result<(), String>) -> Response {
         let Some(control) = self.driver.recording() else {
             return Response::text(409, "trace recording is not configured (key trace)");
         };
-        if let Err(why) = act(&self.driver) {
+        if let Err(why) = action(&self.driver) {
             return Response::text(500, &why);
         }
         match serde_json::to_vec(&control.standing()) {
@@ -94,7 +102,7 @@
     }
 
     /// Drains a run store manually (`out`) or ends its manual drain, here and in the other process of a handover.
-    fn by_hand(&self, id: &str, out: bool) -> Response {
+    fn set_manual_drain(&self, id: &str, out: bool) -> Response {
         let (at, id) = (self.driver.now(), ReplicaId::from(id));
         if !self.driver.set_manual_drain(at, &id, out) {
             return Response::text(404, "unknown run store");
@@ -104,27 +112,27 @@
         } else {
             Message::UndrainRunStore(id.clone(), at)
         });
-        let word = if out { "out" } else { "back" };
-        log::line(&format!("operator: {} {word}", id.0));
-        yes(word)
+        let status = if out { "out" } else { "back" };
+        log::line(&format!("operator: {} {status}", id.0));
+        ok(status)
     }
 
     /// Shuts clients out or lets them in again.
-    fn turn(&self, shut: bool, word: &str) -> Response {
+    fn set_shut(&self, shut: bool, status: &str) -> Response {
         if !self.door.by_hand(shut) {
             return Response::text(409, "this process is shutting down or has handed over");
         }
-        log::line(&format!("operator: {word}"));
-        yes(word)
+        log::line(&format!("operator: {status}"));
+        ok(status)
     }
 }
 
-fn yes(word: &str) -> Response {
-    Response::text(200, word)
+fn ok(status: &str) -> Response {
+    Response::text(200, status)
 }
 
-fn wrong_method(spoken: &str) -> Response {
-    Response::text(405, &format!("method not allowed: use {spoken}")).with("Allow", spoken)
+fn method_not_allowed(allowed: &str) -> Response {
+    Response::text(405, &format!("method not allowed: use {allowed}")).with("Allow", allowed)
 }
 
 impl Handler for Operator {
@@ -134,7 +142,7 @@
         if method == "PUT" {
             self.driver.note_call(target);
         }
-        let response = self.call(method, target);
+        let response = self.route(method, target);
         Box::pin(async move { response })
     }
 
