--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -26,17 +26,17 @@
 const MAX_CONNECTIONS: usize = 32;
 
 /// Handles operators' calls.
-pub struct Operator {
+pub struct OperatorApi {
     driver: Rc<Driver>,
     door: Rc<Door>,
     peer: Rc<PeerSender>,
 }
 
-impl Operator {
+impl OperatorApi {
     /// Creates a handler that acts on `driver` and `door`, and forwards manual drains over `peer` to the other process
     /// during a handover.
     pub fn new(driver: Rc<Driver>, door: Rc<Door>, peer: Rc<PeerSender>) -> Self {
-        Operator { driver, door, peer }
+        OperatorApi { driver, door, peer }
     }
 
     /// Accepts and answers calls on `listener`.
@@ -135,7 +135,7 @@
     Response::text(405, &format!("method not allowed: use {allowed}")).with("Allow", allowed)
 }
 
-impl Handler for Operator {
+impl Handler for OperatorApi {
     fn handle(&self, request: Arrived, _: Receiver<Instant>) -> Local<Response> {
         let request = request.message;
         let (method, target) = (&request.start.0, &request.start.1);
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -17,7 +17,7 @@
 use crate::handover::{self, new, old, PeerSender};
 use crate::http::server::KEEP_IDLE;
 use crate::log;
-use crate::operator::Operator;
+use crate::operator::OperatorApi;
 use crate::transport::span;
 use program::Program;
 use signals::Told;
@@ -59,7 +59,7 @@
         if let Ok(at) = listener.local_addr() {
             log::line(&format!("operators call {at}"));
         }
-        let operator = Operator::new(program.driver.clone(), program.door.clone(), wire);
+        let operator = OperatorApi::new(program.driver.clone(), program.door.clone(), wire);
         executor.spawn(operator.serve(executor.clone(), listener)).detach();
     }
     if let Some(at) = program.address() {
