--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -17,9 +17,9 @@
 /// The key of the last directory.
 pub const DIRECTORY: &str = "directory";
 /// The maximum number of keys, which bounds the memory that peers can make this process use.
-const MOST_KEYS: usize = 64;
+const MAX_KEYS: usize = 64;
 /// The maximum size of a value, in bytes, for the same reason.
-const MOST_VALUE: usize = 1024 * 1024;
+const MAX_VALUE_BYTES: usize = 1024 * 1024;
 
 /// An entry of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 
 impl Entry {
     /// Returns whether this entry replaces another one with the same key.
-    fn stands_over(&self, other: &Entry) -> bool {
+    fn supersedes(&self, other: &Entry) -> bool {
         (self.version, &self.origin, &self.value) > (other.version, &other.origin, &other.value)
     }
 }
@@ -46,13 +46,13 @@
     origin: String,
     entries: RefCell<BTreeMap<String, Entry>>,
     /// The connections to peers, which are notified of changes.
-    listeners: RefCell<Vec<Sender<()>>>,
+    subscribers: RefCell<Vec<Sender<()>>>,
 }
 
 impl Store {
     /// Creates an empty copy; `origin` is the name of this peer.
     pub fn new(origin: &str) -> Self {
-        Store { origin: origin.to_string(), entries: RefCell::default(), listeners: RefCell::default() }
+        Store { origin: origin.to_string(), entries: RefCell::default(), subscribers: RefCell::default() }
     }
 
     /// Writes an entry unless a newer one is known; returns whether it was written.
@@ -64,16 +64,19 @@
     pub fn merge(&self, entry: Entry) -> bool {
         let mut entries = self.entries.borrow_mut();
         let known = entries.get(&entry.key);
-        let room = known.is_some() || entries.len() < MOST_KEYS;
-        if !room || entry.value.len() > MOST_VALUE || known.is_some_and(|known| !entry.stands_over(known)) {
+        let has_room = known.is_some() || entries.len() < MAX_KEYS;
+        if !has_room
+            || entry.value.len() > MAX_VALUE_BYTES
+            || known.is_some_and(|known| !entry.supersedes(known))
+        {
             return false;
         }
         entries.insert(entry.key.clone(), entry);
         drop(entries);
         // The channels have room for one signal, which stands for any number of changes. Closed ones are removed.
-        self.listeners.borrow_mut().retain(|listener| {
-            let _ = listener.try_send(());
-            !listener.is_closed()
+        self.subscribers.borrow_mut().retain(|subscriber| {
+            let _ = subscriber.try_send(());
+            !subscriber.is_closed()
         });
         true
     }
@@ -89,9 +92,9 @@
     }
 
     /// Returns a channel that is signalled when the store changes.
-    fn listen(&self) -> Receiver<()> {
+    fn subscribe(&self) -> Receiver<()> {
         let (sender, receiver) = async_channel::bounded(1);
-        self.listeners.borrow_mut().push(sender);
+        self.subscribers.borrow_mut().push(sender);
         receiver
     }
 
--- a/src/store/peers.rs
+++ b/src/store/peers.rs
@@ -22,19 +22,19 @@
 use crate::net::Stream;
 
 /// The time-out for connecting.
-const CONNECT: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The pause before a peer is dialled again, or after a failed accept.
-const REDIAL: Duration = Duration::from_millis(500);
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// The interval at which an idle connection sends a ping.
-const PING_EVERY: Duration = Duration::from_millis(1000);
+const PING_INTERVAL: Duration = Duration::from_millis(1000);
 /// The time after which a connection is closed if nothing is received.
-const SILENCE: Duration = Duration::from_millis(4000);
+const READ_TIMEOUT: Duration = Duration::from_millis(4000);
 /// The time-out for writing one batch of lines.
-const WRITE: Duration = Duration::from_millis(4000);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(4000);
 /// The longest accepted line, in bytes: escapes can double the size of a value.
-const MOST_LINE: usize = 3 * super::MOST_VALUE;
+const MAX_LINE_BYTES: usize = 3 * super::MAX_VALUE_BYTES;
 /// The maximum number of accepted connections from peers.
-const MOST_PEERS: usize = 32;
+const MAX_ACCEPTED: usize = 32;
 
 /// A line of the replication protocol.
 #[derive(Serialize, Deserialize)]
@@ -85,21 +85,21 @@
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((_, peer)) if self.accepted.get() >= MOST_PEERS => {
+                Ok((_, peer)) if self.accepted.get() >= MAX_ACCEPTED => {
                     log::ended("peer", Some(peer), Reason::Full, "");
                 }
                 Ok((stream, peer)) => {
                     self.accepted.set(self.accepted.get() + 1);
                     let peers = self.clone();
-                    let task = async move {
-                        peers.talk(stream.into(), peer, &Cell::new(true)).await;
+                    let connection = async move {
+                        peers.replicate(stream.into(), peer, &Cell::new(true)).await;
                         peers.accepted.set(peers.accepted.get() - 1);
                     };
-                    self.executor.spawn(task).detach();
+                    self.executor.spawn(connection).detach();
                 }
                 Err(error) => {
                     log::line(&format!("store: accept failed: {error}"));
-                    Timer::after(REDIAL).await;
+                    Timer::after(RETRY_PAUSE).await;
                 }
             }
         }
@@ -109,23 +109,23 @@
     async fn dial(self: Rc<Self>, peer: SocketAddr) {
         let settled = Cell::new(false);
         loop {
-            if let Ok(stream) = within(CONNECT, Stream::connect(peer)).await {
-                self.talk(stream, peer, &settled).await;
+            if let Ok(stream) = within(CONNECT_TIMEOUT, Stream::connect(peer)).await {
+                self.replicate(stream, peer, &settled).await;
             }
-            self.settle(&settled);
-            Timer::after(REDIAL).await;
+            self.mark_settled(&settled);
+            Timer::after(RETRY_PAUSE).await;
         }
     }
 
     /// Counts a peer as settled, at most once.
-    fn settle(&self, settled: &Cell<bool>) {
+    fn mark_settled(&self, settled: &Cell<bool>) {
         if !settled.replace(true) {
             self.settled.set(self.settled.get() + 1);
         }
     }
 
     /// Replicates over a connection until it ends, and logs why it ended.
-    async fn talk(&self, stream: Stream, peer: SocketAddr, settled: &Cell<bool>) {
+    async fn replicate(&self, stream: Stream, peer: SocketAddr, settled: &Cell<bool>) {
         let read = async { self.read(stream.clone(), settled).await };
         let write = async { self.write(stream.clone()).await };
         let reason = match future::or(read, write).await {
@@ -142,13 +142,13 @@
         let mut buffer = Vec::new();
         let mut bytes = vec![0; 16 * 1024];
         loop {
-            let count = within(SILENCE, stream.read(&mut bytes)).await?;
+            let count = within(READ_TIMEOUT, stream.read(&mut bytes)).await?;
             if count == 0 {
                 return Ok(Reason::PeerClosed);
             }
             let searched = buffer.len();
             buffer.extend_from_slice(&bytes[..count]);
-            if buffer.len() > MOST_LINE {
+            if buffer.len() > MAX_LINE_BYTES {
                 return Ok(Reason::Malformed);
             }
             let Some(last) = buffer[searched..].iter().rposition(|byte| *byte == b'\n') else { continue };
@@ -157,7 +157,7 @@
                     Line::Entry(entry) => {
                         self.store.merge(entry);
                     }
-                    Line::Synced => self.settle(settled),
+                    Line::Synced => self.mark_settled(settled),
                     Line::Ping => {}
                 }
             }
@@ -167,7 +167,7 @@
 
     /// Sends entries that are new to a peer, and pings.
     async fn write(&self, mut stream: Stream) -> io::Result<Reason> {
-        let changed = self.store.listen();
+        let changed = self.store.subscribe();
         let mut sent: BTreeMap<String, Entry> = BTreeMap::new();
         let mut synced = false;
         loop {
@@ -186,12 +186,12 @@
                 serde_json::to_writer(&mut text, line)?;
                 text.push(b'\n');
             }
-            within(WRITE, stream.write_all(&text)).await?;
-            let wait = async {
+            within(WRITE_TIMEOUT, stream.write_all(&text)).await?;
+            let change = async {
                 let _ = changed.recv().await;
             };
-            future::or(wait, async {
-                Timer::after(PING_EVERY).await;
+            future::or(change, async {
+                Timer::after(PING_INTERVAL).await;
             })
             .await;
         }
--- a/src/store/tests.rs
+++ b/src/store/tests.rs
@@ -22,10 +22,10 @@
 #[test]
 fn what_peers_can_make_it_hold_is_bounded() {
     let store = Store::new("x");
-    for key in 0..MOST_KEYS {
+    for key in 0..MAX_KEYS {
         assert!(store.put(&key.to_string(), 1, String::new()));
     }
     assert!(!store.put("one more", 1, String::new()));
     assert!(store.put("0", 2, String::new()), "known keys still change");
-    assert!(!store.put("0", 3, "v".repeat(MOST_VALUE + 1)));
+    assert!(!store.put("0", 3, "v".repeat(MAX_VALUE_BYTES + 1)));
 }
