--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -29,7 +29,7 @@
 use crate::http::server::{Handler, Limits, Server};
 use crate::log;
 use crate::settings::SiteSettings;
-use crate::store::peers::Peers;
+use crate::store::peers::Replication;
 use crate::store::{self, Store};
 use crate::trace::control::Control;
 use crate::transport;
@@ -319,7 +319,7 @@
     if let Ok(at) = listener.local_addr() {
         log::line(&format!("store meets peers on {at}"));
     }
-    let peers = Peers::start(store.clone(), executor.clone(), listener.clone(), &place.peers);
+    let peers = Replication::start(store.clone(), executor.clone(), listener.clone(), &place.peers);
     if let Some(state) = state {
         for entry in &state.entries {
             store.merge(entry.clone());
--- a/src/store/peers.rs
+++ b/src/store/peers.rs
@@ -46,7 +46,7 @@
 }
 
 /// The replication of one store.
-pub struct Peers {
+pub struct Replication {
     store: Rc<Store>,
     executor: Rc<LocalExecutor<'static>>,
     /// The number of listed peers whose first round has arrived, or with whom the first attempt failed.
@@ -55,7 +55,7 @@
     accepted: Cell<usize>,
 }
 
-impl Peers {
+impl Replication {
     /// Starts replication: accepts peers at a listener and dials those that are listed.
     pub fn start(
         store: Rc<Store>,
@@ -63,7 +63,7 @@
         listener: TcpListener,
         peers: &[SocketAddr],
     ) -> Rc<Self> {
-        let replication = Rc::new(Peers {
+        let replication = Rc::new(Replication {
             store,
             executor: executor.clone(),
             settled: Cell::new(0),
