--- a/src/config.rs
+++ b/src/config.rs
@@ -18,12 +18,12 @@
 
 /// Descriptors reserved for everything but clients and run stores: standard streams, the reactor, listeners, discovery
 /// and operators' calls.
-const SPARE_DESCRIPTORS: usize = 64;
+const RESERVED_DESCRIPTORS: usize = 64;
 /// The minimum of `limits.sockets`.
-const LEAST_DESCRIPTORS: usize = 128;
+const MIN_DESCRIPTORS: usize = 128;
 /// The minimum number of connections to clients and to run stores, however many descriptors another process of this
 /// aggregator uses.
-const LEAST_CONNECTIONS: usize = 8;
+const MIN_CONNECTIONS: usize = 8;
 
 /// The configuration of an aggregator.
 #[derive(Debug, Clone, Deserialize)]
@@ -69,7 +69,7 @@
 
 /// Keys that the file may omit at a reload: `seed` and `known` apply only at the start, and `discovery` and `dns_sd`
 /// can replace each other.
-const MAY_GO: [&str; 4] = ["seed", "known", "discovery", "dns_sd"];
+const OPTIONAL_ON_RELOAD: [&str; 4] = ["seed", "known", "discovery", "dns_sd"];
 
 /// The DNS server and the service that list the run stores.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -185,7 +185,7 @@
     pub fn load(path: &Path) -> Result<Self, String> {
         let text = fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
         let mut config =
-            Config::parse(&text).map_err(|why| format!("{}: {}", path.display(), with_line(&text, why)))?;
+            Config::parse(&text).map_err(|why| format!("{}: {}", path.display(), add_line(&text, why)))?;
         if let (None, Ok(address)) = (config.operator, env::var("GW_OPERATOR")) {
             let address =
                 address.parse().map_err(|_| format!("key GW_OPERATOR: {address} is not a socket address"))?;
@@ -200,7 +200,7 @@
     /// # Errors
     /// Returns a message that names the missing key.
     pub fn all_in(&self, later: &Config) -> Result<(), String> {
-        match missing(&self.set, &later.set) {
+        match first_missing_key(&self.set, &later.set) {
             Some(key) => Err(format!("key {key}: is missing, and was set before")),
             None => Ok(()),
         }
@@ -210,13 +210,14 @@
     /// address of discovery, and the server, service and refresh time of `dns_sd`. `seed` and `known` are not reported
     /// either, as they apply only at the start.
     pub fn needs_restart(&self, new: &Config) -> Vec<&'static str> {
-        let peers = |config: &Config| config.store.as_ref().map(|store| (store.listen, store.peers.clone()));
+        let store_addresses =
+            |config: &Config| config.store.as_ref().map(|store| (store.listen, store.peers.clone()));
         let changed = [
             ("name", self.name != new.name),
             ("listen", self.listen != new.listen),
             ("operator", self.operator != new.operator),
             ("dns_sd", self.dns_sd.is_some() != new.dns_sd.is_some()),
-            ("store", peers(self) != peers(new)),
+            ("store", store_addresses(self) != store_addresses(new)),
             ("trace", self.trace != new.trace),
             ("limits", self.limits != new.limits),
             ("api", self.api != new.api),
@@ -229,11 +230,11 @@
     /// # Errors
     /// Returns a message that names the faulty key.
     pub fn parse(text: &str) -> Result<Self, String> {
-        let mut config: Config = read(text, "")?;
+        let mut config: Config = parse_json(text, "")?;
         config.check()?;
-        config.set = read(text, "")?;
+        config.set = parse_json(text, "")?;
         if let Value::Object(set) = &mut config.set {
-            set.retain(|key, _| !MAY_GO.contains(&key.as_str()));
+            set.retain(|key, _| !OPTIONAL_ON_RELOAD.contains(&key.as_str()));
         }
         if let Some(settings) = &config.settings {
             config.settings(settings.get())?;
@@ -243,8 +244,8 @@
 
     /// Validates all keys but `settings`.
     fn check(&self) -> Result<(), String> {
-        if self.limits.sockets < LEAST_DESCRIPTORS {
-            return Err(format!("key limits.sockets: must be {LEAST_DESCRIPTORS} or more"));
+        if self.limits.sockets < MIN_DESCRIPTORS {
+            return Err(format!("key limits.sockets: must be {MIN_DESCRIPTORS} or more"));
         }
         if !self.seed.is_empty() && u64::from_str_radix(&self.seed, 16).is_err() {
             return Err("key seed: must be up to 16 hex digits".into());
@@ -258,13 +259,13 @@
             _ => {}
         }
         if let Some(trace) = &self.trace {
-            for (key, value, least) in [
+            for (key, value, min) in [
                 ("segment_mb", trace.segment_mb, 0.1),
                 ("segment_s", trace.segment_s, 1.0),
                 ("keep_mb", trace.keep_mb, trace.segment_mb),
             ] {
-                if !(least..=1e9).contains(&value) {
-                    return Err(format!("key trace.{key}: must be {least} to 1000000000"));
+                if !(min..=1e9).contains(&value) {
+                    return Err(format!("key trace.{key}: must be {min} to 1000000000"));
                 }
             }
         }
@@ -285,7 +286,7 @@
     /// # Errors
     /// Returns a message that names the faulty key.
     pub fn settings(&self, text: &str) -> Result<SiteSettings, String> {
-        let site: SiteSettings = read(text, "settings.")?;
+        let site: SiteSettings = parse_json(text, "settings.")?;
         if self.api == Api::Opensearch && site.domain.shards.is_none_or(|shards| shards == 0) {
             return Err(
                 "key settings.domain.shards: the OpenSearch-style API needs the number of shards, 1 or more"
@@ -296,22 +297,22 @@
             return Err("key settings.domain.class_fetch: a second step is not supported over sockets".into());
         }
         for (at, class) in site.request_classes.iter().enumerate() {
-            for (key, sound) in [
+            for (key, valid) in [
                 ("aim_ms", class.aim_ms > 0.0),
                 ("deadline_ms", class.deadline_ms() > 0.0),
                 ("window_ms", class.window_ms.is_none_or(|window| window >= 0.0)),
                 ("value", class.value.is_none_or(|value| value >= 0.0)),
             ] {
-                if !sound {
+                if !valid {
                     return Err(format!("key settings.request_classes[{at}].{key}: is out of range"));
                 }
             }
         }
         let (caps, domain, rules) = (&site.caps, &site.domain, &site.rules);
-        let sound = |value: Option<f64>| value.is_none_or(|value| value >= 0.0);
+        let is_not_negative = |value: Option<f64>| value.is_none_or(|value| value >= 0.0);
         // Sums of weights may exceed 1 by a rounding error.
-        let share = |shares: &[f64]| shares.iter().all(|share| (0.0..=1.001).contains(share));
-        for (key, sound) in [
+        let are_shares = |shares: &[f64]| shares.iter().all(|share| (0.0..=1.001).contains(share));
+        for (key, valid) in [
             ("caps.connect_timeout_ms", caps.connect_timeout_ms() > 0.0),
             ("caps.keepalive_ms", caps.keepalive_ms() > 0.0),
             ("caps.max_attempts", caps.max_attempts() > 0),
@@ -321,18 +322,18 @@
             ("domain.cells", domain.cells > 0),
             ("domain.width", (1..=domain.cells.max(1)).contains(&domain.width)),
             ("domain.bundle_max", domain.bundle_max() > 0),
-            ("domain.least_share", share(&domain.least_share)),
-            ("domain.complete_from", share(&domain.complete_from)),
-            ("rules.ask_every_ms", sound(rules.ask_every_ms)),
-            ("rules.cold_from", sound(rules.cold_from)),
-            ("rules.warm_within_ms", sound(rules.warm_within_ms)),
-            ("rules.fall_multiple", sound(rules.fall_multiple)),
-            ("rules.overload_for_ms", sound(rules.overload_for_ms)),
-            ("rules.resend_span_ms", sound(rules.resend_span_ms)),
+            ("domain.least_share", are_shares(&domain.least_share)),
+            ("domain.complete_from", are_shares(&domain.complete_from)),
+            ("rules.ask_every_ms", is_not_negative(rules.ask_every_ms)),
+            ("rules.cold_from", is_not_negative(rules.cold_from)),
+            ("rules.warm_within_ms", is_not_negative(rules.warm_within_ms)),
+            ("rules.fall_multiple", is_not_negative(rules.fall_multiple)),
+            ("rules.overload_for_ms", is_not_negative(rules.overload_for_ms)),
+            ("rules.resend_span_ms", is_not_negative(rules.resend_span_ms)),
             ("balancers", site.balancers != Some(0)),
             ("tick_ms", site.tick_ms.is_none_or(|tick| tick > 0.0)),
         ] {
-            if !sound {
+            if !valid {
                 return Err(format!("key settings.{key}: is out of range"));
             }
         }
@@ -349,40 +350,42 @@
     /// descriptors. The server accepts an eighth more in order to refuse them, which is why only 8/9 of the remaining
     /// descriptors are available.
     pub fn client_connections(&self, elsewhere: usize) -> usize {
-        let rest = self.descriptors(elsewhere);
-        let left = rest.saturating_sub(self.store_connections(elsewhere)) * 8 / 9;
-        left.min(rest * 2 / 3).max(LEAST_CONNECTIONS)
+        let available = self.descriptors(elsewhere);
+        let for_clients = available.saturating_sub(self.store_connections(elsewhere)) * 8 / 9;
+        for_clients.min(available * 2 / 3).max(MIN_CONNECTIONS)
     }
 
     /// Returns the maximum number of connections to run stores: a fifth of the descriptors, and up to half if many run
     /// stores are known. Two are planned for each run store: one in use, and one that is being replaced.
     pub fn store_connections(&self, elsewhere: usize) -> usize {
-        let rest = self.descriptors(elsewhere);
+        let available = self.descriptors(elsewhere);
         let wanted = self.known.endpoints.len() * 2;
-        wanted.min(rest / 2).max(rest / 5).max(LEAST_CONNECTIONS)
+        wanted.min(available / 2).max(available / 5).max(MIN_CONNECTIONS)
     }
 
     /// Returns the descriptors available for clients and run stores.
     fn descriptors(&self, elsewhere: usize) -> usize {
-        self.limits.sockets.saturating_sub(SPARE_DESCRIPTORS + elsewhere)
+        self.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS + elsewhere)
     }
 }
 
 /// Returns the first key that is set in `before` and not in `after`. The length of lists may change, but each entry of
 /// a list must set all keys that every entry of the list before set.
-fn missing(before: &Value, after: &Value) -> Option<String> {
+fn first_missing_key(before: &Value, after: &Value) -> Option<String> {
     match (before, after) {
         (Value::Null, _) => None,
         (Value::Object(before), Value::Object(after)) => before.iter().find_map(|(key, value)| {
-            let under = missing(value, after.get(key).unwrap_or(&Value::Null))?;
-            Some(if under.is_empty() { key.clone() } else { format!("{key}.{under}") })
+            let rest = first_missing_key(value, after.get(key).unwrap_or(&Value::Null))?;
+            Some(if rest.is_empty() { key.clone() } else { format!("{key}.{rest}") })
         }),
         (Value::Array(before), Value::Array(after)) => {
             let first = before.first().cloned().unwrap_or_default();
-            let common = before.iter().skip(1).fold(first, in_both);
-            let (at, under) =
-                after.iter().enumerate().find_map(|(at, entry)| Some((at, missing(&common, entry)?)))?;
-            Some(if under.is_empty() { format!("{at}") } else { format!("{at}.{under}") })
+            let common = before.iter().skip(1).fold(first, common_keys);
+            let (at, rest) = after
+                .iter()
+                .enumerate()
+                .find_map(|(at, entry)| Some((at, first_missing_key(&common, entry)?)))?;
+            Some(if rest.is_empty() { format!("{at}") } else { format!("{at}.{rest}") })
         }
         (_, Value::Null) | (Value::Object(_) | Value::Array(_), _) => Some(String::new()),
         _ => None,
@@ -390,7 +393,7 @@
 }
 
 /// Returns the first of two entries of a list, reduced to the keys that both set.
-fn in_both(one: Value, other: &Value) -> Value {
+fn common_keys(one: Value, other: &Value) -> Value {
     match (one, other) {
         (Value::Object(one), Value::Object(other)) => {
             one.into_iter().filter(|(key, _)| other.get(key).is_some_and(|value| !value.is_null())).collect()
@@ -402,7 +405,7 @@
 
 /// Adds to a message the line of the key that it names. The parser's own line number is removed: `settings` is parsed
 /// by itself, so lines there are counted from its first one.
-fn with_line(text: &str, why: String) -> String {
+fn add_line(text: &str, why: String) -> String {
     let named = why.strip_prefix("key ").and_then(|rest| rest.split_once(": "));
     let Some((line, (key, what))) = named.and_then(|named| Some((line_of(text, named.0)?, named))) else {
         return why;
@@ -414,12 +417,16 @@
 /// Returns the line on which the value of a key begins; if the key does not exist, the line of its closest ancestor.
 fn line_of(text: &str, key: &str) -> Option<usize> {
     let mut value: &RawValue = serde_json::from_str(text).ok()?;
-    for step in key.split(['.', '[']).map(|step| step.trim_end_matches(']')).filter(|step| !step.is_empty()) {
+    for segment in key
+        .split(['.', '['])
+        .map(|segment| segment.trim_end_matches(']'))
+        .filter(|segment| !segment.is_empty())
+    {
         let keys = serde_json::from_str::<BTreeMap<String, &RawValue>>(value.get());
         let entries = || serde_json::from_str::<Vec<&RawValue>>(value.get()).ok();
         let next = match keys {
-            Ok(keys) => keys.get(step).copied(),
-            Err(_) => entries().and_then(|entries| entries.get(step.parse::<usize>().ok()?).copied()),
+            Ok(keys) => keys.get(segment).copied(),
+            Err(_) => entries().and_then(|entries| entries.get(segment.parse::<usize>().ok()?).copied()),
         };
         let Some(next) = next else { break };
         value = next;
@@ -428,11 +435,11 @@
     Some(before.matches('\n').count() + 1)
 }
 
-/// Parses JSON. Errors name the key, with the prefix `under`.
-fn read<'a, T: Deserialize<'a>>(text: &'a str, under: &str) -> Result<T, String> {
+/// Parses JSON. Errors name the key, prefixed with `prefix`.
+fn parse_json<'a, T: Deserialize<'a>>(text: &'a str, prefix: &str) -> Result<T, String> {
     let mut json = serde_json::Deserializer::from_str(text);
     serde_path_to_error::deserialize(&mut json)
-        .map_err(|error| format!("key {under}{}: {}", error.path(), error.inner()))
+        .map_err(|error| format!("key {prefix}{}: {}", error.path(), error.inner()))
 }
 
 #[cfg(test)]
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -13,7 +13,7 @@
     assert_eq!((config.limits.sockets, config.api, config.seed()), (1024, Api::Platform, 0));
     for elsewhere in [0, 300, 900] {
         let own = config.client_connections(elsewhere) + config.store_connections(elsewhere);
-        assert!(own + SPARE_DESCRIPTORS + elsewhere <= 1024, "{own} beside {elsewhere}");
+        assert!(own + RESERVED_DESCRIPTORS + elsewhere <= 1024, "{own} beside {elsewhere}");
     }
     assert!(config.client_connections(5000) > 0, "however much the other holds");
 }
@@ -33,7 +33,7 @@
         assert!(stores >= 200, "{stores} of {sockets}");
         // A third of the descriptors may be held by clients for requests.
         assert!(clients >= sockets / 3, "{clients} of {sockets}");
-        assert!(clients + clients / 8 + stores + SPARE_DESCRIPTORS <= sockets);
+        assert!(clients + clients / 8 + stores + RESERVED_DESCRIPTORS <= sockets);
     }
     let few = with(1024, 14);
     assert_eq!((few.client_connections(0), few.store_connections(0)), (640, 192), "as it was");
--- a/src/front/opensearch/merge.rs
+++ b/src/front/opensearch/merge.rs
@@ -86,6 +86,7 @@
 
 /// The merged `hits` object of an answer.
 #[derive(Serialize)]
+#[serde(rename = "Merged")]
 pub struct MergedHits {
     #[serde(skip_serializing_if = "Option::is_none")]
     total: Option<Total>,
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -35,6 +35,7 @@
 
 /// The state that the new process receives, apart from the sockets.
 #[derive(Debug, Serialize, Deserialize)]
+#[serde(rename = "State")]
 pub struct HandoverState {
     /// The current list of run stores, with its version at the discovery service that `discovery` names.
     pub list: List,
@@ -60,6 +61,7 @@
 
 /// The resources that a process uses, out of limits that apply to both processes together.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename = "Held")]
 pub struct HeldResources {
     /// The number of open queries and parts.
     pub open: usize,
@@ -69,7 +71,7 @@
 
 /// A message between two processes, sent as one line of JSON.
 #[derive(Debug, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
+#[serde(rename = "Word", rename_all = "snake_case")]
 pub enum Message {
     /// The new process asks for the handover.
     Hello {
