--- a/src/config.rs
+++ b/src/config.rs
@@ -199,7 +199,7 @@
     ///
     /// # Errors
     /// Returns a message that names the missing key.
-    pub fn all_in(&self, later: &Config) -> Result<(), String> {
+    pub fn check_no_key_removed(&self, later: &Config) -> Result<(), String> {
         match first_missing_key(&self.set, &later.set) {
             Some(key) => Err(format!("key {key}: is missing, and was set before")),
             None => Ok(()),
@@ -237,7 +237,7 @@
             set.retain(|key, _| !OPTIONAL_ON_RELOAD.contains(&key.as_str()));
         }
         if let Some(settings) = &config.settings {
-            config.settings(settings.get())?;
+            config.parse_settings(settings.get())?;
         }
         Ok(config)
     }
@@ -285,7 +285,7 @@
     ///
     /// # Errors
     /// Returns a message that names the faulty key.
-    pub fn settings(&self, text: &str) -> Result<SiteSettings, String> {
+    pub fn parse_settings(&self, text: &str) -> Result<SiteSettings, String> {
         let site: SiteSettings = parse_json(text, "settings.")?;
         if self.api == Api::Opensearch && site.domain.shards.is_none_or(|shards| shards == 0) {
             return Err(
@@ -351,13 +351,13 @@
     /// descriptors are available.
     pub fn client_connections(&self, elsewhere: usize) -> usize {
         let available = self.descriptors(elsewhere);
-        let for_clients = available.saturating_sub(self.store_connections(elsewhere)) * 8 / 9;
+        let for_clients = available.saturating_sub(self.run_store_connections(elsewhere)) * 8 / 9;
         for_clients.min(available * 2 / 3).max(MIN_CONNECTIONS)
     }
 
     /// Returns the maximum number of connections to run stores: a fifth of the descriptors, and up to half if many run
     /// stores are known. Two are planned for each run store: one in use, and one that is being replaced.
-    pub fn store_connections(&self, elsewhere: usize) -> usize {
+    pub fn run_store_connections(&self, elsewhere: usize) -> usize {
         let available = self.descriptors(elsewhere);
         let wanted = self.known.endpoints.len() * 2;
         wanted.min(available / 2).max(available / 5).max(MIN_CONNECTIONS)
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -12,7 +12,7 @@
     let config = parse(&format!(r#""discovery":"127.0.0.1:1",{SETTINGS}"#)).unwrap();
     assert_eq!((config.limits.sockets, config.api, config.seed()), (1024, Api::Platform, 0));
     for elsewhere in [0, 300, 900] {
-        let own = config.client_connections(elsewhere) + config.store_connections(elsewhere);
+        let own = config.client_connections(elsewhere) + config.run_store_connections(elsewhere);
         assert!(own + RESERVED_DESCRIPTORS + elsewhere <= 1024, "{own} beside {elsewhere}");
     }
     assert!(config.client_connections(5000) > 0, "however much the other holds");
@@ -29,14 +29,14 @@
     };
     for sockets in [512, 544, 640, 1024] {
         let config = with(sockets, 200);
-        let (clients, stores) = (config.client_connections(0), config.store_connections(0));
+        let (clients, stores) = (config.client_connections(0), config.run_store_connections(0));
         assert!(stores >= 200, "{stores} of {sockets}");
         // A third of the descriptors may be held by clients for requests.
         assert!(clients >= sockets / 3, "{clients} of {sockets}");
         assert!(clients + clients / 8 + stores + RESERVED_DESCRIPTORS <= sockets);
     }
     let few = with(1024, 14);
-    assert_eq!((few.client_connections(0), few.store_connections(0)), (640, 192), "as it was");
+    assert_eq!((few.client_connections(0), few.run_store_connections(0)), (640, 192), "as it was");
 }
 
 #[test]
@@ -112,10 +112,13 @@
         (file(one, "", ""), Some("settings.caps.max_attempts")),
     ] {
         let fault = fault.map(|key| format!("key {key}: is missing, and was set before"));
-        assert_eq!(old.all_in(&new).err(), fault);
+        assert_eq!(old.check_no_key_removed(&new).err(), fault);
     }
     let bare = parse(r#""discovery":"127.0.0.1:1","store":{"listen":"127.0.0.1:1","peers":[]}"#);
-    assert_eq!(old.all_in(&bare.unwrap()).err().unwrap(), "key settings: is missing, and was set before");
+    assert_eq!(
+        old.check_no_key_removed(&bare.unwrap()).err().unwrap(),
+        "key settings: is missing, and was set before"
+    );
 }
 
 #[test]
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -101,7 +101,7 @@
                 driver.record(true).map_err(|why| format!("key trace.dir: {why}"))?;
             }
         }
-        let limits = transport::Limits::of(&site, config.store_connections(0));
+        let limits = transport::Limits::of(&site, config.run_store_connections(0));
         let stores: Rc<dyn RunStores> = match config.api {
             Api::Platform => Rc::new(Frames::new(driver.clone(), limits)),
             Api::Opensearch => Rc::new(Searches::new(driver.clone(), limits)),
@@ -236,7 +236,7 @@
     fn reserve_for_peer(&self, held: Option<HeldResources>) {
         let HeldResources { open, descriptors } = held.unwrap_or_default();
         self.server.set_room(self.config.client_connections(descriptors));
-        self.driver.leave_room(open, self.config.store_connections(descriptors));
+        self.driver.leave_room(open, self.config.run_store_connections(descriptors));
     }
 }
 
@@ -347,10 +347,10 @@
         }
         if let Some(entry) = store.get(store::SETTINGS) {
             log::line(&format!("settings of version {} from {}", entry.version, entry.origin));
-            return config.settings(&entry.value);
+            return config.parse_settings(&entry.value);
         }
     }
-    config.settings(own.ok_or("key settings: is missing, and no peer holds any")?)
+    config.parse_settings(own.ok_or("key settings: is missing, and no peer holds any")?)
 }
 
 /// Writes the directory to the store whenever it has changed.
--- a/src/service/reload.rs
+++ b/src/service/reload.rs
@@ -56,7 +56,7 @@
 
     fn take_up(&self) -> Result<(), String> {
         let new = Config::load(&self.path)?;
-        self.last.borrow().all_in(&new)?;
+        self.last.borrow().check_no_key_removed(&new)?;
         let site = settle_settings(&new, self.store.as_deref())?;
         // All that may be at fault has been looked at; from here on it is taken.
         self.driver.apply_settings(&site).map_err(|why| format!("key settings: {why}"))?;
