--- a/src/log.rs
+++ b/src/log.rs
@@ -93,15 +93,15 @@
 }
 
 /// A callback for connections that end, with the kind of the connection, the peer, the reason's code and the note.
-type Watcher = Box<dyn Fn(&str, &str, &str, &str)>;
+type ConnectionObserver = Box<dyn Fn(&str, &str, &str, &str)>;
 
 thread_local! {
-    static WATCHER: RefCell<Option<Watcher>> = const { RefCell::new(None) };
+    static OBSERVER: RefCell<Option<ConnectionObserver>> = const { RefCell::new(None) };
 }
 
 /// Sets or removes the callback that is invoked when a connection of this thread ends.
-pub fn watch(watcher: Option<Watcher>) {
-    WATCHER.with_borrow_mut(|known| *known = watcher);
+pub fn watch(observer: Option<ConnectionObserver>) {
+    OBSERVER.with_borrow_mut(|current| *current = observer);
 }
 
 /// The format of log lines.
@@ -115,12 +115,12 @@
 }
 
 /// Formats an event as its message only, as the text of a message already contains the fields.
-struct Bare;
+struct MessageOnly;
 
 /// Writes the field `message` of an event and keeps the result.
-struct Message<'a, 'b>(&'a mut Writer<'b>, fmt::Result);
+struct MessageVisitor<'a, 'b>(&'a mut Writer<'b>, fmt::Result);
 
-impl Visit for Message<'_, '_> {
+impl Visit for MessageVisitor<'_, '_> {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         if field.name() == "message" {
             self.1 = write!(self.0, "{value:?}");
@@ -129,10 +129,10 @@
 }
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>, N: for<'a> FormatFields<'a> + 'static> FormatEvent<S, N>
-    for Bare
+    for MessageOnly
 {
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut out: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut message = Message(&mut out, Ok(()));
+        let mut message = MessageVisitor(&mut out, Ok(()));
         event.record(&mut message);
         message.1?;
         writeln!(out)
@@ -156,7 +156,9 @@
     // The process goes on if the log cannot be written, and such errors are not logged.
     let layer = tracing_subscriber::fmt::layer().with_writer(out).log_internal_errors(false);
     Ok(match format {
-        Format::Text => Box::new(Registry::default().with(layer.event_format(Bare).with_filter(targets))),
+        Format::Text => {
+            Box::new(Registry::default().with(layer.event_format(MessageOnly).with_filter(targets)))
+        }
         Format::Json => {
             let layer = layer.json().flatten_event(true).with_current_span(false).with_span_list(false);
             Box::new(Registry::default().with(layer.with_filter(targets)))
@@ -200,9 +202,9 @@
 pub fn ended(kind: &str, peer: Option<SocketAddr>, reason: Reason, note: impl fmt::Display) {
     let peer = peer.map_or_else(|| "-".to_string(), |peer| peer.to_string());
     let code = reason.code();
-    WATCHER.with_borrow(|watcher| {
-        if let Some(watcher) = watcher {
-            watcher(kind, &peer, code, &note.to_string());
+    OBSERVER.with_borrow(|observer| {
+        if let Some(observer) = observer {
+            observer(kind, &peer, code, &note.to_string());
         }
     });
     tracing::info!(
