--- a/crates/lab/src/aggregators.rs
+++ b/crates/lab/src/aggregators.rs
@@ -79,7 +79,7 @@
         }
         std::process::exit(1);
     });
-    ironpaddle::log::begin(ironpaddle::log::Format::Text, "info")?;
+    ironpaddle::log::init(ironpaddle::log::Format::Text, "info")?;
     ironpaddle::service::run(config)
 }
 
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -94,6 +94,6 @@
 }
 
 fn serve(serve: Serve) -> Result<Found, String> {
-    log::begin(serve.log_format, &serve.log_filter)?;
+    log::init(serve.log_format, &serve.log_filter)?;
     config::path(serve.config).and_then(|path| service::run(&path)).map(|()| Found::Well)
 }
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -110,7 +110,7 @@
                         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
                         return Box::pin(async move {
                             let final_answer = pending.verdict_before(earlier_deadline).await;
-                            log::verdict(opaque_id.as_deref().unwrap_or("-"), &final_answer);
+                            log::query_ended(opaque_id.as_deref().unwrap_or("-"), &final_answer);
                             let took = arrived_at.elapsed().as_millis() as u64;
                             with_opaque_id(to_response(&final_answer, &search, &shards, took), opaque_id)
                         });
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -113,7 +113,7 @@
                 Ok((reserved, pending)) => {
                     return Box::pin(async move {
                         let final_answer = pending.verdict_before(earlier_deadline).await;
-                        log::verdict(&reserved.id, &final_answer);
+                        log::query_ended(&reserved.id, &final_answer);
                         let response = to_response(&final_answer);
                         drop(reserved);
                         response
--- a/src/log.rs
+++ b/src/log.rs
@@ -100,7 +100,7 @@
 }
 
 /// Sets or removes the callback that is invoked when a connection of this thread ends.
-pub fn watch(observer: Option<ConnectionObserver>) {
+pub fn set_connection_observer(observer: Option<ConnectionObserver>) {
     OBSERVER.with_borrow_mut(|current| *current = observer);
 }
 
@@ -170,7 +170,7 @@
 ///
 /// # Errors
 /// Returns a message if the filter cannot be parsed.
-pub fn begin(format: Format, filter: &str) -> Result<(), String> {
+pub fn init(format: Format, filter: &str) -> Result<(), String> {
     let subscriber = subscriber(format, filter, io::stderr)?;
     let _ = tracing::subscriber::set_global_default(subscriber);
     Ok(())
@@ -182,19 +182,19 @@
 }
 
 /// Logs a line about a query, with the id that its client gave it.
-pub fn about(query: &str, text: &str) {
+pub fn query(query: &str, text: &str) {
     tracing::info!(target: "ironpaddle", query, "{text}");
 }
 
 /// Logs the end of a query, at level debug because of their number.
-pub fn verdict(query: &str, verdict: &FinalAnswer) {
-    let how = match verdict {
+pub fn query_ended(query: &str, final_answer: &FinalAnswer) {
+    let how = match final_answer {
         FinalAnswer::Served { whole: true, .. } => "whole",
         FinalAnswer::Served { whole: false, .. } => "partial",
         FinalAnswer::Refused { .. } => "refused",
         FinalAnswer::Failed { .. } => "failed",
     };
-    let cause = verdict.cause().map_or("-", Cause::code);
+    let cause = final_answer.cause().map_or("-", Cause::code);
     tracing::debug!(target: "ironpaddle::query", query, how, cause, "query {query} {how} cause={cause}");
 }
 
--- a/src/log/tests.rs
+++ b/src/log/tests.rs
@@ -23,7 +23,7 @@
     tracing::subscriber::with_default(subscriber, || {
         line("draining");
         ended("client", Some(([127, 0, 0, 1], 9).into()), Reason::Done, "requests=1");
-        verdict("c1", &FinalAnswer::Refused { retry_after: 1.0, cause: Cause::NoList });
+        query_ended("c1", &FinalAnswer::Refused { retry_after: 1.0, cause: Cause::NoList });
     });
     let bytes = kept.0.lock().unwrap().clone();
     String::from_utf8(bytes).unwrap()
--- a/src/trace/control.rs
+++ b/src/trace/control.rs
@@ -64,7 +64,7 @@
         let trace_writer = TraceWriter::new(self.source.clone(), self.keep.limits, self.segment.get());
         core.record(clock(), Some(trace_writer));
         let closed = self.closed.clone();
-        log::watch(Some(Box::new(move |kind, peer, code, note| {
+        log::set_connection_observer(Some(Box::new(move |kind, peer, code, note| {
             let mut closed = closed.borrow_mut();
             if closed.len() < MOST_CLOSED {
                 closed.push((clock(), kind.into(), peer.into(), code.into(), note.into()));
@@ -83,7 +83,7 @@
         if let Some(recorder) = &mut *self.recorder.borrow_mut() {
             recorder.finish();
         }
-        log::watch(None);
+        log::set_connection_observer(None);
     }
 
     /// Has a new segment begun.
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -374,7 +374,7 @@
                     load: None,
                 },
                 Err(why) => {
-                    log::about(&call.query, &format!("search {} shard {}: {why}", call.query, call.shard));
+                    log::query(&call.query, &format!("search {} shard {}: {why}", call.query, call.shard));
                     CallEnd::bare(Outcome::Errored)
                 }
             },
