--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -8,14 +8,14 @@
 }
 
 #[test]
-fn what_is_not_said_has_a_default() {
+fn missing_keys_have_defaults() {
     let config = parse(&format!(r#""discovery":"127.0.0.1:1",{SETTINGS}"#)).unwrap();
     assert_eq!((config.limits.sockets, config.api, config.seed()), (1024, Api::Platform, 0));
     for elsewhere in [0, 300, 900] {
         let own = config.client_connections(elsewhere) + config.run_store_connections(elsewhere);
         assert!(own + RESERVED_DESCRIPTORS + elsewhere <= 1024, "{own} beside {elsewhere}");
     }
-    assert!(config.client_connections(5000) > 0, "however much the other holds");
+    assert!(config.client_connections(5000) > 0, "at least the minimum, whatever the other process uses");
 }
 
 #[test]
@@ -31,12 +31,16 @@
         let config = with(sockets, 200);
         let (clients, stores) = (config.client_connections(0), config.run_store_connections(0));
         assert!(stores >= 200, "{stores} of {sockets}");
-        // A third of the descriptors may be held by clients for requests.
+        // At least a third of the descriptors must remain for clients.
         assert!(clients >= sockets / 3, "{clients} of {sockets}");
         assert!(clients + clients / 8 + stores + RESERVED_DESCRIPTORS <= sockets);
     }
     let few = with(1024, 14);
-    assert_eq!((few.client_connections(0), few.run_store_connections(0)), (640, 192), "as it was");
+    assert_eq!(
+        (few.client_connections(0), few.run_store_connections(0)),
+        (640, 192),
+        "unchanged with few run stores"
+    );
 }
 
 #[test]
@@ -73,7 +77,7 @@
         ),
     ] {
         let message = parse(&rest).map(|_| ()).unwrap_err();
-        assert!(message.starts_with(key), "{key} is not named: {message}");
+        assert!(message.starts_with(key), "expected {key}, got: {message}");
     }
 }
 
@@ -81,7 +85,7 @@
 fn a_reload_names_the_keys_that_need_a_restart() {
     let old = parse(&format!(r#""discovery":"127.0.0.1:1",{SETTINGS}"#)).unwrap();
     let moved = parse(&format!(r#""discovery":"127.0.0.1:2",{SETTINGS}"#)).unwrap();
-    assert_eq!(old.needs_restart(&moved), [""; 0], "a reload takes up another address of discovery");
+    assert_eq!(old.needs_restart(&moved), [""; 0], "a reload applies another address of discovery");
     let other = SETTINGS.replace("1.0", "2.0");
     let changed =
         parse(&format!(r#""dns_sd":{{"server":"127.0.0.1:1","service":"_a._tcp"}},"seed":"7",{other}"#));
@@ -89,7 +93,7 @@
 }
 
 #[test]
-fn a_reload_from_which_a_key_is_missing_is_cut_short() {
+fn a_reload_with_a_missing_key_is_refused() {
     let class = |rest: &str| format!(r#"{{"name":"a","aim_ms":1.0,"repeat":"read_like"{rest}}}"#);
     let file = |classes: &[String], caps: &str, domain: &str| {
         let classes = classes.join(",");
@@ -122,7 +126,7 @@
 }
 
 #[test]
-fn the_operators_file_is_sound() {
+fn the_example_file_for_operators_is_valid() {
     let config = Config::parse(include_str!("../../deploy/operator.json")).unwrap();
     assert_eq!(config.api, Api::Opensearch);
     assert!(config.store.is_some() && config.dns_sd.is_some());
--- a/src/directory/dns/tests.rs
+++ b/src/directory/dns/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A response with a PTR whose target ends in a pointer to the question's name.
+/// Returns a response with a PTR record whose target ends in a compression pointer to the question's name.
 fn response() -> Vec<u8> {
     let mut bytes = encode_query(9, &parse_name("_run-store._tcp.test"), RecordType::Ptr).unwrap();
     (bytes[2], bytes[7]) = (0x84, 1);
@@ -17,17 +17,17 @@
 }
 
 #[test]
-fn what_is_cut_or_leads_in_circles_is_malformed() {
+fn truncated_responses_and_pointer_loops_are_malformed() {
     let whole = response();
     for length in 0..whole.len() {
         assert_eq!(decode_response(&whole[..length]), None, "{length} bytes");
     }
-    let mut circle = whole.clone();
-    let last = circle.len() - 1;
-    circle[last] = last as u8 - 5;
-    assert_eq!(decode_response(&circle), None);
-    let mut asked = whole;
-    asked[2] = 0;
-    assert_eq!(decode_response(&asked), None, "a query is no response");
+    let mut pointer_loop = whole.clone();
+    let last = pointer_loop.len() - 1;
+    pointer_loop[last] = last as u8 - 5;
+    assert_eq!(decode_response(&pointer_loop), None);
+    let mut query = whole;
+    query[2] = 0;
+    assert_eq!(decode_response(&query), None, "a query is not a response");
     assert_eq!(encode_query(1, &["x".repeat(64)], RecordType::Srv), None);
 }
--- a/src/directory/dns_sd/tests.rs
+++ b/src/directory/dns_sd/tests.rs
@@ -2,7 +2,7 @@
 use crate::api::ReplicaState;
 
 #[test]
-fn a_text_record_tells_a_run_stores_line() {
+fn a_txt_record_describes_a_run_store() {
     let address = SocketAddr::from(([127, 0, 0, 1], 80));
     let texts = |texts: &[&str]| texts.iter().map(|text| text.as_bytes().to_vec()).collect::<Vec<_>>();
     let listed =
@@ -13,7 +13,7 @@
     assert_eq!(
         listed_run_store("s-1", address, &texts(&["zone=z"])),
         None,
-        "without a group it holds no shard"
+        "a run store without a group holds no shard"
     );
     assert_eq!(listed_run_store("s-1", address, &texts(&["group=many"])), None);
 }
--- a/src/directory/list/tests.rs
+++ b/src/directory/list/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use serde_json::json;
 
-/// The longest names that the DNS has, the longest address, and the longest numbers.
+/// Returns a line with the longest DNS labels, the longest address and the longest numbers.
 fn longest() -> serde_json::Value {
     let label = "x".repeat(63);
     let address = "[ffff:ffff:ffff:ffff:ffff:ffff:255.255.255.255]:65535";
@@ -11,16 +11,16 @@
 
 #[test]
 fn the_longest_list_fits_in_its_bytes_however_it_is_indented() {
-    let of = |lines: usize| {
+    let size_of = |lines: usize| {
         let list = json!({"index": u64::MAX, "snapshot": true, "endpoints": vec![longest(); lines]});
         serde_json::to_string_pretty(&list).unwrap().len()
     };
-    let around = of(1);
-    let a_line = of(2) - around;
-    assert!(around + a_line * (MAX_LINES - 1) <= MAX_LIST_BYTES, "{a_line} bytes a line");
+    let first_line = size_of(1);
+    let further_line = size_of(2) - first_line;
+    assert!(first_line + further_line * (MAX_LINES - 1) <= MAX_LIST_BYTES, "{further_line} bytes a line");
     assert!(
-        a_line * 4 > MAX_LINE_BYTES * 3,
-        "{a_line} bytes a line: the bound is not derived from it any more"
+        further_line * 4 > MAX_LINE_BYTES * 3,
+        "{further_line} bytes a line: the bound is no longer derived from the longest line"
     );
 }
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_back() {
+fn a_list_is_written_as_it_was_read() {
     let text = concat!(
         r#"{"index":3,"snapshot":true,"endpoints":["#,
         r#"{"name":"s-\u00e9","address":"[::1]:80","zone":"a","group":7,"status":"ready","weight":0.5,"since_ms":9.0},"#,
