--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -13,7 +13,10 @@
     assert_eq!((config.limits.sockets, config.api, config.seed()), (1024, Api::Platform, 0));
     for elsewhere in [0, 300, 900] {
         let own = config.client_connections(elsewhere) + config.run_store_connections(elsewhere);
-        assert!(own + RESERVED_DESCRIPTORS + elsewhere <= 1024, "{own} beside {elsewhere}");
+        assert!(
+            own + RESERVED_DESCRIPTORS + elsewhere <= 1024,
+            "{own} here and {elsewhere} in the other process"
+        );
     }
     assert!(config.client_connections(5000) > 0, "at least the minimum, whatever the other process uses");
 }
--- a/src/directory/list.rs
+++ b/src/directory/list.rs
@@ -15,8 +15,8 @@
 /// Several copies of each line are in memory while a list is applied, so the number of lines bounds the memory used.
 pub const MAX_LINES: usize = 65_536;
 /// The maximum average size of a line in an indented list, in bytes. The longest line of the protocol has 468 bytes:
-/// 162 for keys, punctuation and blanks, 63 each for name, zone and type (a DNS label; RFC 1035, 2.3.4), 53 for an address
-/// with its port, 8 for the state and 56 for the numbers. The rest is a margin.
+/// 162 for keys, punctuation and blanks, 63 each for name, zone and type (a DNS label; RFC 1035, 2.3.4), 53 for an
+/// address with its port, 8 for the state and 56 for the numbers. The rest is a margin.
 pub const MAX_LINE_BYTES: usize = 512;
 /// The maximum size of a list, in bytes. With [`MAX_LINES`] it bounds the memory used while a list is applied.
 pub const MAX_LIST_BYTES: usize = MAX_LINES * MAX_LINE_BYTES;
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -44,10 +44,12 @@
         OpenSearch { driver, door, last_query_no: Cell::new(0) }
     }
 
+    /// Returns the total number of shards.
     fn shards(&self) -> u32 {
         self.driver.shards().unwrap_or(1)
     }
 
+    /// Counts a request that cannot be used and returns the error for it.
     fn reject(&self, index: &str, RequestError(status, error_type, why): RequestError) -> Response {
         self.driver.not_taken(index);
         error(status, error_type, &why)
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -81,6 +81,7 @@
         Platform { driver, door, open_ids: Rc::default() }
     }
 
+    /// Reads a query, reserves its id and passes it to the core.
     fn start_query(&self, request: &Arrived, path: &str) -> Result<(ReservedId, Pending), Response> {
         let class = class_of(path);
         let query = read_query(request, class, self.driver.is_keyed(class))
@@ -96,6 +97,7 @@
         }
     }
 
+    /// Counts a request that cannot be used and returns the error for it.
     fn reject(&self, class: &str, status: u16, why: &str) -> Response {
         self.driver.not_taken(class);
         Response::text(status, why)
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -60,8 +60,8 @@
 }
 
 /// Reports that this process serves, and exchanges messages with the old process until that has ended.
-pub async fn follow(with: (Link, LineReader), process: &dyn Process, peer: &PeerSender) {
-    let (link, mut lines) = with;
+pub async fn follow(connection: (Link, LineReader), process: &dyn Process, peer: &PeerSender) {
+    let (link, mut lines) = connection;
     let messages = peer.open();
     peer.send(Message::Serving);
     let why =
