--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -14,7 +14,7 @@
 use crate::http::client::within;
 use crate::log;
 
-/// The time-out for the handover, and for connecting to the running process. Starting the new process waits for it.
+/// The time-out for connecting to the running process, and for its handover. Calls to the new process wait meanwhile.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The state and sockets that a running process has handed over, and the connection to it.
