--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -176,8 +176,7 @@
     if !body.slices.iter().all(|slice| is_valid_hint(slice) && is_valid_term(slice)) {
         return Err(format!(
             "micros must be finite and not negative, and a term at most {MAX_NAME_BYTES} bytes long"
-        )
-        .into());
+        ));
     }
     let part = |slice: Slice| PartRequest {
         shard: slice.slice,
