--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! The client's side: one call at a time on a connection that is kept.
+//! An HTTP/1.1 client that sends one request at a time on a persistent connection.
 
 use std::io;
 use std::net::{Shutdown, SocketAddr};
@@ -10,16 +10,16 @@
 use super::parse::{Kind, Message, Parser};
 use crate::net::Stream;
 
-/// A connection to a server.
+/// A client connection to a server.
 pub struct Client {
     stream: Stream,
     most_body: usize,
 }
 
-/// Ends a wait after its time, as an error of kind `TimedOut`.
+/// Runs a future with a timeout.
 ///
 /// # Errors
-/// The wait's own, or `TimedOut`.
+/// Returns the future's own error, or an error of kind `TimedOut` if the timeout expires first.
 pub async fn within<T>(
     limit: Duration,
     wait: impl std::future::Future<Output = io::Result<T>>,
@@ -32,19 +32,19 @@
 }
 
 impl Client {
-    /// Connects within a time; responses may have bodies of so many bytes.
+    /// Connects within `limit`. Responses may have bodies of at most `most_body` bytes.
     ///
     /// # Errors
-    /// If it is refused or not up in time.
+    /// Returns an error if the connection is refused or not established in time.
     pub async fn connect(to: SocketAddr, limit: Duration, most_body: usize) -> io::Result<Self> {
         let stream = within(limit, Stream::connect(to)).await?;
         Ok(Client { stream, most_body })
     }
 
-    /// Writes a request. Until this has returned, the server has not had all of it.
+    /// Writes a request. Until this returns `Ok`, the server cannot have received the whole request.
     ///
     /// # Errors
-    /// If the connection breaks before the last byte is written.
+    /// Returns an error if the connection breaks before the last byte is written.
     pub async fn write(&mut self, request: &[u8]) -> io::Result<()> {
         self.stream.write_all(request).await
     }
@@ -52,16 +52,16 @@
     /// Reads the response.
     ///
     /// # Errors
-    /// If the connection breaks or ends too early, or the response cannot be read.
+    /// Returns an error if the connection breaks or ends early, or if the response is malformed.
     pub async fn read(&mut self) -> io::Result<Message> {
         let mut parser = Parser::new(Kind::Response(self.most_body));
         let mut bytes = [0; 8192];
         loop {
             match parser.next_message() {
-                // A provisional response is not the answer.
+                // Skip informational (1xx) responses.
                 Ok(Some(message)) if message.start.1.starts_with('1') => continue,
                 Ok(Some(mut message)) => {
-                    // What comes after an answer belongs to nothing: the next answer must not be read from it.
+                    // Bytes after the response belong to no request and must not be read as the next response.
                     message.keep_alive &= parser.buffered() == 0;
                     return Ok(message);
                 }
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Ends this side of the connection once something says so, while the other side is still read.
+    /// Returns a future that shuts down the write side once `told` completes. The read side stays open.
     pub fn ends_when(
         &self,
         told: impl std::future::Future<Output = ()>,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Ends this side of the connection, and waits until the server has ended its own.
+    /// Shuts down the write side, then discards input until the server closes its side.
     pub async fn linger(&mut self) {
         let mut bytes = [0; 8192];
         if self.stream.shutdown(Shutdown::Write).is_ok() {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Ends when the server closes the idle connection, or sends what nobody asked for.
+    /// Completes when the server closes the idle connection or sends unsolicited data.
     pub async fn idle(&mut self) {
         let _ = self.stream.read(&mut [0]).await;
     }
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -1,4 +1,5 @@
-//! A client's connection: one request at a time, a timer for each wait, and an answer to each request that was read.
+//! A client connection of the HTTP server: requests are answered one at a time, every wait has a timeout, and every
+//! request that was read gets an answer.
 
 use std::io;
 use std::net::Shutdown;
@@ -15,70 +16,75 @@
 use crate::log::Reason;
 use crate::net::Stream;
 
-/// After a last answer, the time in which the client may end its own side, so that a reset does not overtake the answer.
+/// How long the server waits after the last response for the client to close its side. Closing at once could send a
+/// reset that makes the client discard the response.
 const LINGER: Duration = Duration::from_millis(500);
-/// The most that is read away then: a client with 60 MB to send would keep the one thread busy.
+/// The most bytes that are read and discarded while waiting for the client to close. Without the limit, a client that
+/// sends 60 MB would keep the single thread busy.
 const MOST_LINGER: usize = 256 * 1024;
-/// What is read at once.
+/// Size of the read buffer in bytes.
 const CHUNK: usize = 8192;
 
-/// A connection that was accepted.
+/// An accepted client connection.
 pub struct Connection<'s> {
     server: &'s Server,
     stream: Stream,
     inbox: Inbox,
     requests: u64,
-    /// When it was accepted.
+    /// When the connection was accepted.
     since: Instant,
-    /// A time before which it had not come: what is there as it is accepted may have waited since then.
+    /// The earliest time at which the connection can have arrived. Bytes that are already there when it is accepted
+    /// may have waited since then.
     came: Instant,
 }
 
-/// What a wait for a request brought.
+/// The outcome of waiting for the next request.
 enum Next {
     Request(Arrived),
     Bad(Bad),
     End(Reason),
 }
 
-/// What becomes of what a client still sends after its last answer.
+/// How to treat input that the client sends after its last response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Rest {
-    /// It stays unread: what is read and not answered is lost, and what is not read the client sends anew.
+    /// Leave it unread. A request that is read but not answered would be lost, while a client retries one that was
+    /// never read.
     Unread,
-    /// The request that was answered before it was whole is read away, and nothing behind it.
+    /// Discard the rest of the request that was answered before it was complete, and nothing after it.
     OneRequest,
-    /// It is no request, as framing is lost: it is read away.
+    /// Discard it: framing is lost, so it cannot contain requests.
     Unreadable,
 }
 
-/// How a client leaves that waits for an answer.
+/// Why the client of a request in progress will not get its answer.
 enum Left {
     Gone,
-    /// It sends more than any request holds, so that its end could not be seen behind that.
+    /// The client sent more than the largest permitted request, so its disconnect could not be detected behind that
+    /// data.
     Flooding,
 }
 
 impl<'s> Connection<'s> {
-    /// A connection of a server that was accepted just now, and had not come before some time.
+    /// Creates the state of a connection that was just accepted and arrived no earlier than `came`.
     pub fn new(server: &'s Server, stream: Stream, came: Instant) -> Self {
         Connection { server, stream, inbox: Inbox::default(), requests: 0, since: Instant::now(), came }
     }
 
-    /// How many requests were taken up on it.
+    /// Returns the number of requests whose processing was started.
     pub fn requests(&self) -> u64 {
         self.requests
     }
 
-    /// How long it has been there.
+    /// Returns the time since the connection was accepted.
     pub fn age(&self) -> Duration {
         self.since.elapsed()
     }
 
-    /// Serves it to its end.
+    /// Serves requests until the connection ends, and returns the reason for its end.
     ///
     /// # Errors
-    /// If it breaks.
+    /// Returns an error if the connection breaks.
     pub async fn serve(&mut self) -> io::Result<Reason> {
         self.read_what_waited().await;
         loop {
@@ -108,12 +114,12 @@
                 self.linger(Rest::Unread).await;
                 return Ok(Reason::Shutdown);
             }
-            // Requests that are answered at once may come in any number: others have their turn between them.
+            // Pipelined requests that are answered immediately must not starve other connections.
             future::yield_now().await;
         }
     }
 
-    /// Turns a connection away of which there is one too many.
+    /// Rejects a connection that exceeds the connection limit.
     pub async fn refuse(&mut self) -> Reason {
         let response = self.server.handler.refuse(Refused::Full);
         let _ = self.write(&response.bytes(false, true)).await;
@@ -121,7 +127,8 @@
         Reason::Full
     }
 
-    /// The answer to a request, unless its client leaves. It comes by the time at which a request behind it is due.
+    /// Returns the response to a request, unless the client leaves first. The handler is told if a pipelined request
+    /// has an earlier deadline, and then answers by that time.
     async fn answer(&mut self, request: Arrived) -> Result<Response, Left> {
         let (sooner, told) = async_channel::unbounded();
         let answer = self.server.handler.handle(request, told);
@@ -129,7 +136,8 @@
         future::or(async { Ok(answer.await) }, async { Err(left.await) }).await
     }
 
-    /// Whether the connection is kept after an answer. Behind a shut door that is so only for what has come by now.
+    /// Returns whether to keep the connection open after a response. While the server accepts no clients, it is kept
+    /// only if input has already arrived.
     async fn goes_on(&mut self) -> bool {
         if self.server.door.is_open() {
             return true;
@@ -141,8 +149,8 @@
         !self.inbox.is_empty()
     }
 
-    /// Reads what came while the connection waited to be accepted. Its time counts from when it can have come first: a
-    /// run store is told no more than its client has left.
+    /// Reads input that arrived before the connection was accepted, and dates it to the earliest time at which it can
+    /// have arrived. That way no run store gets a timeout that exceeds the client's remaining time.
     async fn read_what_waited(&mut self) {
         let mut bytes = [0; CHUNK];
         if let Some(Ok(count @ 1..)) = future::poll_once(self.stream.read(&mut bytes)).await {
@@ -150,7 +158,7 @@
         }
     }
 
-    /// Reads what has come by now, and waits for nothing.
+    /// Reads input that is already available, without waiting.
     async fn read_what_came(&mut self) {
         let mut bytes = [0; CHUNK];
         while !self.inbox.is_full() {
@@ -161,7 +169,7 @@
         }
     }
 
-    /// Reads what comes before some time; says how much.
+    /// Reads once, waiting until `until` at most, and returns the number of bytes read.
     async fn read_before(&mut self, until: Instant) -> io::Result<usize> {
         let mut bytes = [0; CHUNK];
         let count = before(until, self.stream.read(&mut bytes)).await.unwrap_or(Ok(0))?;
@@ -169,13 +177,13 @@
         Ok(count)
     }
 
-    /// Takes in bytes, of which the last came at some time.
+    /// Adds received bytes to the inbox. `at` is the arrival time of the last one.
     fn take_in(&mut self, bytes: &[u8], at: Instant) {
         let handler = &self.server.handler;
         self.inbox.push(bytes, at, |request| handler.waits(request));
     }
 
-    /// Answers what cannot be read, and ends the connection, as framing is lost.
+    /// Responds to malformed input and closes the connection, as framing is lost.
     async fn turn_down(&mut self, bad: Bad) -> io::Result<Reason> {
         let response = self.server.handler.bad(bad);
         self.write(&response.bytes(false, true)).await?;
@@ -184,7 +192,7 @@
         Ok(if slow { Reason::TooSlow } else { Reason::Malformed })
     }
 
-    /// Turns down the request that was being answered, and all that comes behind it for a moment.
+    /// Rejects the request in progress and, for up to [`LINGER`], every request pipelined after it.
     async fn turn_down_flood(&mut self) -> io::Result<Reason> {
         let response = self.server.handler.bad(Bad::Flood);
         self.write(&response.bytes(true, true)).await?;
@@ -212,7 +220,7 @@
         Ok(Reason::Malformed)
     }
 
-    /// Refuses the requests that were read behind the last one.
+    /// Refuses the requests that were read after the last one to be answered.
     async fn refuse_in_hand(&mut self) -> io::Result<()> {
         while let Ok(Some(request)) = self.inbox.next_request() {
             let response = self.server.handler.refuse(Refused::AfterLast);
@@ -252,7 +260,7 @@
         }
     }
 
-    /// Reads while the connection stands idle, when it may be closed at any time.
+    /// Reads while the connection is idle. The server may close an idle connection at any time.
     async fn read_idle(&mut self, bytes: &mut [u8]) -> io::Result<Result<usize, Reason>> {
         let asked = self.requests > 0;
         let place = self.server.stand_idle(asked);
@@ -263,7 +271,7 @@
         future::or(read, async { Ok(Err(place.closed().await)) }).await
     }
 
-    /// Writes all; `false` if the client reads too slowly.
+    /// Writes all bytes. Returns `false` if the client reads too slowly.
     async fn write(&mut self, bytes: &[u8]) -> io::Result<bool> {
         let limit = Instant::now() + self.server.limits.write;
         match before(limit, self.stream.write_all(bytes)).await {
@@ -272,7 +280,7 @@
         }
     }
 
-    /// Ends this side, and waits a moment for the client to end its own.
+    /// Shuts down the write side, then waits briefly for the client to close its side.
     async fn linger(&mut self, rest: Rest) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let ended = async {
@@ -286,7 +294,7 @@
         before(Instant::now() + LINGER, ended).await;
     }
 
-    /// Reads away the request that has begun, or the next one, and not a byte behind it.
+    /// Discards the partially received request, or the next one, and not a byte after it.
     async fn read_one_away(&mut self) {
         let mut bytes = [0; CHUNK];
         while let Ok(count @ 1..) = self.stream.peek(&mut bytes).await {
@@ -298,7 +306,7 @@
         }
     }
 
-    /// Reads away what is no request.
+    /// Discards input that cannot be parsed as requests.
     async fn read_away(&mut self) {
         let mut bytes = [0; CHUNK];
         let mut left = MOST_LINGER;
@@ -311,7 +319,8 @@
         }
     }
 
-    /// Waits until the client has closed. What it has sent instead hides that, and is not read.
+    /// Waits until the client closes the connection. If unread input is pending, the close cannot be detected and
+    /// this waits forever.
     async fn client_closed(&mut self) {
         if let Ok(1..) = self.stream.peek(&mut [0]).await {
             future::pending().await
@@ -319,7 +328,7 @@
     }
 }
 
-/// The outcome of something, if it comes before some time.
+/// Runs a future until a deadline. Returns `None` if the deadline passes first.
 async fn before<T>(limit: Instant, outcome: impl std::future::Future<Output = T>) -> Option<T> {
     future::or(async { Some(outcome.await) }, async {
         Timer::at(limit).await;
@@ -328,11 +337,11 @@
     .await
 }
 
-/// Ends when the client leaves. What it sends meanwhile waits in the inbox, up to a whole request, and tells by when the
-/// answer has to be there.
+/// Completes when the client leaves. Input that arrives meanwhile is kept in the inbox, up to the size of one
+/// request. Each time a pipelined request has an earlier deadline, that time is sent to `sooner`.
 ///
-/// A client that ends its own side alone has left as well: the protocol has no use for half a connection, and one
-/// that is gone looks the same until something is written to it.
+/// A client that shuts down only its write side counts as gone: HTTP/1.1 has no use for a half-closed connection, and
+/// a client that has closed entirely looks the same until something is written to it.
 async fn watch(
     handler: &dyn Handler,
     stream: &mut Stream,
--- a/src/http/door.rs
+++ b/src/http/door.rs
@@ -1,16 +1,18 @@
-//! Whether clients may come: one state for the server's connections, the fronts' health and whoever shuts it.
+//! Tracks whether clients are accepted: one state shared by the server's connections, the fronts' health checks and
+//! the code that closes the gate.
 
 use std::cell::Cell;
 
 use async_channel::{Receiver, Sender};
 
-/// Shut, it lets clients finish: each answer is its connection's last, and idle connections soon close.
+/// Controls whether clients are accepted. While it is closed, clients finish their requests: each response is the
+/// last on its connection, and idle connections are closed soon.
 pub struct Door {
-    /// Operators want no clients for now.
+    /// Operators have closed the gate.
     by_hand: Cell<bool>,
-    /// Another process of this aggregator takes clients in.
+    /// Another process of this aggregator accepts the clients.
     handed_over: Cell<bool>,
-    /// The program is to end.
+    /// The process is shutting down.
     leaving: Cell<bool>,
     changed: (Sender<()>, Receiver<()>),
 }
@@ -27,27 +29,28 @@
 }
 
 impl Door {
-    /// Whether connections may go on after their answers.
+    /// Returns whether connections are kept open after a response.
     pub fn is_open(&self) -> bool {
         !(self.by_hand.get() || self.handed_over.get() || self.leaving.get())
     }
 
-    /// Whether clients may come to this aggregator, be it to another process of it.
+    /// Returns whether this aggregator accepts clients, in this process or in the one that took over.
     pub fn takes_clients(&self) -> bool {
         !self.by_hand.get() && (self.handed_over.get() || !self.leaving.get())
     }
 
-    /// Whether operators have shut it.
+    /// Returns whether operators have closed the gate.
     pub fn is_shut_by_hand(&self) -> bool {
         self.by_hand.get()
     }
 
-    /// Whether the program is to end.
+    /// Returns whether the process is shutting down.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get()
     }
 
-    /// Shuts or opens it by hand; `false` if this process has no clients to take in, now or any more.
+    /// Closes or opens the gate on behalf of an operator. Returns `false`, without effect, if the process is shutting
+    /// down or has handed its clients over.
     pub fn by_hand(&self, shut: bool) -> bool {
         let may = !self.leaving.get() && !self.handed_over.get();
         if may {
@@ -56,12 +59,12 @@
         may
     }
 
-    /// Another process takes clients in, or does no longer.
+    /// Records whether another process accepts the clients.
     pub fn hand_over(&self, to_other: bool) {
         self.set(&self.handed_over, to_other);
     }
 
-    /// The program is to end.
+    /// Closes the gate for good because the process is shutting down.
     pub fn leave(&self) {
         self.set(&self.leaving, true);
     }
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Waits until it has changed and is shut, for whatever reason. One task at a time may wait.
+    /// Waits until the state changes to closed, for any reason. Only one task at a time may wait.
     pub async fn shut(&self) {
         loop {
             let _ = self.changed.1.recv().await;
--- a/src/http/inbox.rs
+++ b/src/http/inbox.rs
@@ -1,43 +1,44 @@
-//! Requests that were read from a connection and wait for their turn, each with the time of its last byte.
+//! Requests that were read from a connection and wait to be answered, each with the arrival time of its last byte.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use super::parse::{Bad, Kind, Message, Parser, MOST_BODY};
 
-/// A request that was read whole.
+/// A completely received request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrived {
     /// The request.
     pub message: Message,
-    /// When its last byte was read: its client's time counts from then.
+    /// When its last byte was read. The client's timeout counts from then.
     pub at: Instant,
-    /// When its client stops waiting, if it says so.
+    /// When the client stops waiting, if the request states a timeout.
     pub due: Option<Instant>,
 }
 
 impl Arrived {
-    /// Whether its answer carries a body, which a client of `HEAD` would take for the next answer.
+    /// Returns whether the response has a body. A client would take a body in the response to `HEAD` for the next
+    /// response.
     pub fn has_body_in_answer(&self) -> bool {
         self.message.start.0 != "HEAD"
     }
 
-    /// How long it has waited for its turn.
+    /// Returns how long the request has waited to be processed.
     pub fn waited(&self) -> Duration {
         self.at.elapsed()
     }
 }
 
-/// What was read from a connection and is not answered yet.
+/// Input of a connection that was read and is not yet answered.
 #[derive(Debug)]
 pub struct Inbox {
     parser: Parser,
     whole: VecDeque<Arrived>,
-    /// When the first byte came of the request that is not whole.
+    /// When the first byte of the incomplete request arrived.
     begun: Option<Instant>,
-    /// Why nothing more can be read behind the whole ones.
+    /// Why nothing after the complete requests can be parsed.
     bad: Option<Bad>,
-    /// Bytes that came after that.
+    /// Number of bytes received after that error.
     unreadable: usize,
 }
 
@@ -54,7 +55,7 @@
 }
 
 impl Inbox {
-    /// Takes in bytes that were read just now. `waits` tells how long the client of a request waits for its answer.
+    /// Adds bytes that arrived at `now`. `waits` returns how long the client of a request waits for its response.
     pub fn push(&mut self, bytes: &[u8], now: Instant, waits: impl Fn(&Message) -> Option<Duration>) {
         if self.bad.is_some() {
             self.unreadable += bytes.len();
@@ -82,10 +83,10 @@
         }
     }
 
-    /// The next request, if one is whole.
+    /// Takes the next complete request.
     ///
     /// # Errors
-    /// Says what cannot be read, once all that came before has been handed out.
+    /// Returns the parse error once all requests before it have been taken.
     pub fn next_request(&mut self) -> Result<Option<Arrived>, Bad> {
         match (self.whole.pop_front(), self.bad) {
             (Some(request), _) => Ok(Some(request)),
@@ -94,39 +95,39 @@
         }
     }
 
-    /// The earliest time at which a client stops waiting whose request is in hand.
+    /// Returns the earliest deadline among the complete requests.
     pub fn earliest_due(&self) -> Option<Instant> {
         self.whole.iter().filter_map(|request| request.due).min()
     }
 
-    /// Whether there is something to answer without reading more.
+    /// Returns whether there is a request to answer or an error to report without reading more.
     pub fn has_whole(&self) -> bool {
         !self.whole.is_empty() || self.bad.is_some()
     }
 
-    /// When a request began to come that is not whole, if there is one.
+    /// Returns when the incomplete request began to arrive, if there is one.
     pub fn begun(&self) -> Option<Instant> {
         self.begun
     }
 
-    /// Whether a request has begun to come and is not whole.
+    /// Returns whether a request was received partially.
     pub fn is_inside(&self) -> bool {
         self.begun.is_some()
     }
 
-    /// Whether nothing was read that is not answered.
+    /// Returns whether there is no input left to answer.
     pub fn is_empty(&self) -> bool {
         !self.has_whole() && !self.is_inside()
     }
 
-    /// Whether it holds more than any one request may have.
+    /// Returns whether the buffered input exceeds the largest permitted request.
     pub fn is_full(&self) -> bool {
         let whole: usize = self.whole.iter().map(|request| request.message.size()).sum();
         whole + self.parser.buffered() + self.unreadable > MOST_BODY
     }
 
-    /// Takes in bytes of the request that has begun, or of the next one: once it is whole, or cannot be read, how many
-    /// of the bytes stand behind it.
+    /// Adds bytes of the partially received request, or of the next one. Once that request is complete or malformed,
+    /// returns how many of the bytes follow it.
     pub fn bytes_behind_first(&mut self, bytes: &[u8]) -> Option<usize> {
         self.parser.push(bytes);
         match self.parser.next_message() {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Whether the client of the request that has begun waits for `100 Continue`.
+    /// Returns whether the client of the partially received request waits for `100 Continue`.
     pub fn expects_continue(&self) -> bool {
         self.parser.expects_continue()
     }
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: parser, writer, limits, the server's connections and the client's calls.
+//! HTTP/1.1: the parser, the message writer, the server with its limits and connections, and the client.
 
 pub mod client;
 pub mod connection;
--- a/src/http/parse.rs
+++ b/src/http/parse.rs
@@ -1,27 +1,27 @@
-//! The parser: message heads and bodies from bytes that arrive piece by piece. It does no input.
+//! An incremental HTTP/1.1 parser. It takes bytes as they arrive and performs no I/O itself.
 
 use std::fmt;
 
-/// The most bytes of a message head.
+/// Maximum size of a message head, in bytes.
 pub const MOST_HEAD: usize = 16 * 1024;
-/// The most bytes of a request's body.
+/// Maximum size of a request body, in bytes.
 pub const MOST_BODY: usize = 64 * 1024;
-/// The most bytes of one chunk's size line, or of a trailer line.
+/// Maximum size of a chunk size line or of the trailers, in bytes.
 const MOST_CHUNK_LINE: usize = 1024;
 const MOST_HEADERS: usize = 100;
 
-/// Why a message cannot be read. Framing is lost: the connection has to close.
+/// Why a message was rejected. Framing is lost, so the connection has to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Bad {
-    /// The first line is not one of HTTP/1.
+    /// The first line is not a valid HTTP/1 request or status line.
     StartLine,
-    /// The version is not 1.0 or 1.1.
+    /// The version is neither 1.0 nor 1.1.
     Version,
     /// A header line is malformed, or there are too many.
     Header,
     /// The head is too long.
     HeadTooLong,
-    /// The length is malformed, or stated twice in different ways.
+    /// The content length is malformed, repeated with different values, or combined with a transfer coding.
     Length,
     /// The transfer coding is not `chunked`.
     Coding,
@@ -29,14 +29,14 @@
     Chunk,
     /// The body is too long.
     BodyTooLong,
-    /// The rest of the request did not come in time.
+    /// The rest of the request did not arrive in time.
     TooSlow,
-    /// More came behind a request, before its answer, than any request holds.
+    /// Before a request was answered, more data followed it than the largest permitted request holds.
     Flood,
 }
 
 impl Bad {
-    /// The status that tells a client so.
+    /// Returns the HTTP status for this error.
     pub fn status(self) -> u16 {
         match self {
             Bad::HeadTooLong => 431,
@@ -52,42 +52,42 @@
 impl fmt::Display for Bad {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Bad::StartLine => "the first line is not one of HTTP/1.1",
-            Bad::Version => "only HTTP/1.0 and HTTP/1.1 are spoken",
+            Bad::StartLine => "the first line is not valid HTTP/1.1",
+            Bad::Version => "only HTTP/1.0 and HTTP/1.1 are supported",
             Bad::Header => "a header line is malformed",
             Bad::HeadTooLong => "the head is too long",
             Bad::Length => "the length of the body is malformed",
-            Bad::Coding => "the only transfer coding is chunked",
+            Bad::Coding => "the only supported transfer coding is chunked",
             Bad::Chunk => "a chunk of the body is malformed",
             Bad::BodyTooLong => "the body is too long",
-            Bad::TooSlow => "the request did not come in time",
-            Bad::Flood => "too much was sent behind a request that is not answered yet",
+            Bad::TooSlow => "the request did not arrive in time",
+            Bad::Flood => "too much data follows a request that is not answered yet",
         })
     }
 }
 
-/// The header lines of a message; names in lower case.
+/// The headers of a message, with names in lower case.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The first value under a name, which is given in lower case.
+    /// Returns the first value of a header. `name` must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// All values under a name, which is given in lower case.
+    /// Returns all values of a header. `name` must be in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         self.0.iter().filter(move |(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// Whether a list under a name holds a token.
+    /// Returns whether a comma-separated header contains a token, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case(token))
     }
 }
 
-/// How a body is framed.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Framing {
     Length(usize),
@@ -95,11 +95,12 @@
     UntilClose,
 }
 
-/// A message's first line, in three words.
+/// The three parts of a message's first line: method, target and version of a request, or version, status code and
+/// reason phrase of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Start(pub String, pub String, pub String);
 
-/// A whole message.
+/// A complete message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// The first line.
@@ -113,7 +114,7 @@
 }
 
 impl Message {
-    /// The bytes of its text, without what separates them.
+    /// Returns the total length of the message's parts in bytes, without separators.
     pub fn size(&self) -> usize {
         let start = self.start.0.len() + self.start.1.len() + self.start.2.len();
         let headers: usize = self.headers.0.iter().map(|(name, value)| name.len() + value.len()).sum();
@@ -121,12 +122,12 @@
     }
 }
 
-/// Which side's messages are read.
+/// Which kind of messages to parse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Requests, under the limits on requests.
+    /// Requests, with the limits that apply to them.
     Request,
-    /// Responses, with bodies of so many bytes at most.
+    /// Responses, with bodies of at most this many bytes.
     Response(usize),
 }
 
@@ -136,38 +137,38 @@
     Body(Box<(Message, Framing)>),
 }
 
-/// Reads message after message of one connection.
+/// Parses consecutive messages of one connection.
 #[derive(Debug)]
 pub struct Parser {
     kind: Kind,
     state: State,
     buffer: Vec<u8>,
-    /// How far the buffer was searched for the head's end.
+    /// How many bytes of the buffer were already searched for the end of the head.
     searched: usize,
 }
 
 impl Parser {
-    /// A parser at the start of a connection.
+    /// Creates a parser for a new connection.
     pub fn new(kind: Kind) -> Self {
         Parser { kind, state: State::Head, buffer: Vec::new(), searched: 0 }
     }
 
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether a message has begun and is not whole.
+    /// Returns whether a message was received partially.
     pub fn is_inside(&self) -> bool {
         !self.buffer.is_empty() || matches!(self.state, State::Body(_))
     }
 
-    /// The number of bytes that wait to be read.
+    /// Returns the number of bytes that are not parsed yet.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether the client of the message that has begun waits for `100 Continue`.
+    /// Returns whether the client waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
         match &self.state {
             State::Body(inside) => {
@@ -177,10 +178,10 @@
         }
     }
 
-    /// The next message, once it is whole.
+    /// Returns the next message once it is complete.
     ///
     /// # Errors
-    /// Says what cannot be read; nothing more can be read after that.
+    /// Returns why the input is malformed. Nothing after that can be parsed.
     pub fn next_message(&mut self) -> Result<Option<Message>, Bad> {
         loop {
             match std::mem::replace(&mut self.state, State::Head) {
@@ -199,7 +200,7 @@
         }
     }
 
-    /// The connection has ended: the message that ends with it, if there is one.
+    /// Handles the end of the connection: returns the message whose body ends with it, if there is one.
     pub fn finish(&mut self) -> Option<Message> {
         match std::mem::replace(&mut self.state, State::Head) {
             State::Body(inside) if inside.1 == Framing::UntilClose => Some(inside.0),
@@ -215,7 +216,7 @@
     }
 
     fn head(&mut self) -> Result<Option<(Message, Framing)>, Bad> {
-        // Empty lines before a request are to be passed over.
+        // Empty lines before a request are skipped (RFC 9112, section 2.2).
         let blank = self.buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
         if blank > 0 {
             self.buffer.drain(..blank);
@@ -249,7 +250,7 @@
         let framing = self.framing(&start, &headers)?;
         let keep_alive = keep_alive && framing != Framing::UntilClose;
         let body = match (self.kind, framing) {
-            // A long answer is held once: grown by doubling, its body would have room for up to twice its bytes.
+            // Reserve the exact size: growing by doubling would allocate up to twice the bytes of a long response.
             (Kind::Response(_), Framing::Length(length)) => Vec::with_capacity(length),
             _ => Vec::new(),
         };
@@ -261,7 +262,7 @@
         let mut lengths = of("content-length").map(|(_, value)| value.as_str());
         let coded = of("transfer-encoding").next().is_some();
         if coded {
-            // Two framings at once are how requests are smuggled past a front.
+            // A message with two kinds of framing may be a request smuggling attempt.
             if lengths.next().is_some() {
                 return Err(Bad::Length);
             }
@@ -290,7 +291,7 @@
         Ok(if bare { Framing::Length(0) } else { Framing::UntilClose })
     }
 
-    /// Moves what is there into the body; says whether it is whole.
+    /// Moves available bytes into the body. Returns whether the body is complete.
     fn body(&mut self, (message, framing): &mut (Message, Framing)) -> Result<bool, Bad> {
         match framing {
             Framing::Length(length) => {
@@ -328,7 +329,7 @@
             if size == 0 {
                 return self.trailers(end + 1);
             }
-            // A chunk is taken once all of it and its line end are here.
+            // A chunk is consumed once it is complete, including its line end.
             let after = end + 1 + size;
             let tail = match (self.buffer.get(after), self.buffer.get(after + 1)) {
                 (Some(b'\n'), _) => 1,
@@ -341,7 +342,7 @@
         }
     }
 
-    /// Passes over what follows the last chunk, up to the empty line.
+    /// Skips the trailers after the last chunk, up to and including the empty line.
     fn trailers(&mut self, from: usize) -> Result<bool, Bad> {
         let mut at = from;
         while let Some(length) = self.buffer[at..].iter().position(|byte| *byte == b'\n') {
@@ -395,7 +396,7 @@
 fn header(line: &str) -> Result<(String, String), Bad> {
     let (name, value) = line.split_once(':').ok_or(Bad::Header)?;
     let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-    // A name with a blank before the colon, or a folded line, is read in different ways by different programs.
+    // Implementations disagree on names with a space before the colon and on folded lines, so reject both.
     if name.is_empty() || !name.bytes().all(token) || value.bytes().any(|b| b < b' ' && b != b'\t') {
         return Err(Bad::Header);
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,5 +1,5 @@
-//! A listening server: connections are accepted within the limit on descriptors, and idle ones make room for others.
-//! What happens on each is in [`super::connection`].
+//! An HTTP server: accepts connections up to a limit and closes idle ones to make room for others.
+//! [`super::connection`] handles each connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,104 +24,106 @@
 use crate::log::{self, Reason};
 use crate::net::{Fault, Stream};
 
-/// A future on the one thread.
+/// A boxed future that runs on the single thread.
 pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// What answers requests. Its future is dropped if the client leaves.
+/// Answers requests. The future of a request is dropped if its client leaves.
 pub trait Handler {
-    /// Answers a request, by an earlier time if one is told meanwhile: then a request behind it is due.
+    /// Answers a request. `sooner` delivers earlier times by which to answer, because a pipelined request has an
+    /// earlier deadline.
     fn handle(&self, request: Arrived, sooner: Receiver<Instant>) -> Local<Response>;
-    /// How long the client of a request waits from its last byte on, if that is known.
+    /// Returns how long the client waits for the response after the last byte of its request, if that is known.
     fn waits(&self, request: &Message) -> Option<Duration>;
-    /// The answer to what cannot be read.
+    /// Returns the response to input that was rejected.
     fn bad(&self, bad: Bad) -> Response;
-    /// The answer to what is not taken up at all, for some reason: trying again is harmless.
+    /// Returns the response to a request that is not processed at all, so that the client can safely retry it.
     fn refuse(&self, why: Refused) -> Response;
 }
 
-/// Why a request is not taken up at all.
+/// Why a request is not processed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refused {
-    /// Its connection is one too many.
+    /// The connection exceeds the connection limit.
     Full,
-    /// It came behind one that was to be the last on its connection.
+    /// It was pipelined after the last request to be answered on its connection.
     AfterLast,
 }
 
 impl Refused {
-    /// The reason in words.
+    /// Returns the reason as text for the response.
     pub fn text(self) -> &'static str {
         match self {
             Refused::Full => "too many connections",
-            Refused::AfterLast => "the request before was to be the last on this connection",
+            Refused::AfterLast => "the connection closes after the previous request",
         }
     }
 }
 
-/// How long things may take, and how many there may be.
+/// Timeouts and limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Connections that are served at once. An eighth more is borne, to be told that there is no room.
+    /// Maximum number of connections that are served at once. An eighth more are accepted, only to be refused.
     pub connections: usize,
-    /// Idle time between requests.
+    /// How long a connection may be idle between requests.
     pub idle: Duration,
-    /// From a request's first byte to its last; for the first request, from its connection on.
+    /// Time from the first byte of a request to its last. For the first request, it counts from the accept.
     pub request: Duration,
-    /// Writing an answer.
+    /// Time for writing a response.
     pub write: Duration,
-    /// Whether a connection may carry another request.
+    /// Whether a connection may carry more than one request.
     pub keep: bool,
 }
 
 impl Limits {
-    /// The usual times, for so many connections. A client that sends nothing of use is owed an error or a close
-    /// within 3 s of its connecting, and one that has asked may keep its connection for longer.
+    /// Returns the default timeouts with a limit on connections. A client that sends no valid request gets an error
+    /// or a close within 3 s of connecting; one that has made a request may keep its connection for longer.
     pub fn for_connections(connections: usize) -> Self {
         let millis = Duration::from_millis;
         Limits { connections, idle: millis(2000), request: millis(2200), write: millis(3000), keep: true }
     }
 }
 
-/// Once the door is shut, the front still sends new connections for a while, and clients use those they have:
-/// one that has stood idle for so long is not about to be used.
+/// After the gate closes, clients are still routed here for a while, and connected ones use the connections they
+/// have. A connection that was idle for this long is unlikely to be used again.
 pub const KEEP_IDLE: Duration = Duration::from_millis(500);
-/// The time in which the first byte of a client that means to ask has come.
+/// Time in which the first byte of a client that intends to make a request is expected.
 const FIRST_BYTE: Duration = Duration::from_millis(500);
-/// Connections kept without a request may take one in so many of the room.
+/// Connections that are idle after a request may occupy at most one part in this many of the connection limit.
 const KEPT_SHARE: usize = 4;
-/// The first place in the order of idle connections of one that has asked.
+/// The smallest key of a connection that has made a request, in the order of idle connections.
 const ASKED: (bool, u64) = (true, 0);
-/// The wait after an accept that failed, for want of descriptors for example. All that wait behind it wait as well.
+/// Delay after a failed accept, for example when no descriptor was left. The other connections in the queue wait as
+/// well.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// The log tells of such failures once in so long.
+/// Minimum interval between log lines about failed accepts.
 const SAY_FAILED: Duration = Duration::from_secs(1);
 
-/// A listening server.
+/// An HTTP server.
 pub struct Server {
-    /// Whose connections these are, for the log.
+    /// The kind of its connections, for the log.
     kind: &'static str,
     executor: Rc<LocalExecutor<'static>>,
     pub(super) handler: Box<dyn Handler>,
     pub(super) limits: Limits,
-    /// Connections that are served at once, which may be fewer for a while than the limits say.
+    /// Maximum number of connections served at once. It may be lower for a while than the configured limit.
     room: Cell<usize>,
     open: Cell<usize>,
     last: Cell<u64>,
-    /// Whether nothing more is read, as the process is about to end.
+    /// Whether to read nothing more because the process is about to end.
     ending: Cell<bool>,
-    /// When the listener's queue was seen empty last: what waits there has come since.
+    /// When the accept queue was last seen empty. The connections in it have arrived since then.
     queue_empty: Cell<Instant>,
-    /// When the log told last of an accept that failed.
+    /// When a failed accept was last logged.
     said_failed: Cell<Option<Instant>>,
     pub(super) door: Rc<Door>,
-    /// Connections that stand idle, those that never asked first and then longest first.
+    /// Idle connections: first those without any request, then the others, each group from the longest idle.
     idle: RefCell<BTreeMap<(bool, u64), Idle>>,
-    /// Signalled when a connection has ended.
+    /// Signals that a connection has ended.
     ended: (Sender<()>, Receiver<()>),
 }
 
 impl Server {
-    /// A server that answers by a handler.
+    /// Creates a server that answers requests with `handler`.
     pub fn new(
         kind: &'static str,
         executor: Rc<LocalExecutor<'static>>,
@@ -146,23 +148,24 @@
         })
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Nothing more is read behind the requests that are in hand: the process ends once these are answered.
+    /// Reads nothing after the requests that were already received. The process ends once these are answered.
     pub fn stop_reading(&self) {
         self.ending.set(true);
     }
 
-    /// Whether nothing more is read.
+    /// Returns whether reading has stopped.
     pub(super) fn is_ending(&self) -> bool {
         self.ending.get()
     }
 
-    /// The one drain, by hand or before the end: whenever the door is shut, connections that stand idle get a
-    /// moment in which they are still used, and are closed. Those that come later have the same moment each.
+    /// Drains idle connections, whether the gate was closed by an operator or for shutdown: after the gate closes,
+    /// idle connections can still be used for a moment and are then closed. Connections that arrive later get the
+    /// same time each.
     pub async fn drain(self: Rc<Self>) {
         loop {
             self.door.shut().await;
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Closes the connections that have stood idle for some time.
+    /// Closes the connections that have been idle for at least `stood`.
     fn close_idle(&self, stood: Duration) {
         self.idle.borrow_mut().retain(|_, (since, close)| {
             let keep = since.elapsed() < stood;
@@ -184,14 +187,14 @@
         });
     }
 
-    /// Serves so many connections at once from now on.
+    /// Sets the maximum number of connections served at once.
     pub fn set_room(&self, connections: usize) {
         self.room.set(connections);
-        // Whoever waits for room looks again.
+        // Wake the accept loop, which may be waiting for capacity.
         let _ = self.ended.0.try_send(());
     }
 
-    /// Accepts connections for good.
+    /// Accepts connections forever.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             self.has_room().await;
@@ -207,7 +210,7 @@
         }
     }
 
-    /// Accepts what has come by now: what waits in the listener's queue would be reset with it.
+    /// Accepts the connections that are already in the accept queue; closing the listener would reset them.
     pub async fn accept_rest(self: &Rc<Self>, listener: &TcpListener) {
         loop {
             self.has_room().await;
@@ -218,8 +221,9 @@
         }
     }
 
-    /// An accepted connection that is dropped unanswered would be a lost query. What is over the limit waits in
-    /// the listener's queue instead; refusals are brief, so room comes soon.
+    /// Waits until another connection may be accepted. Dropping an accepted connection without an answer would lose a
+    /// query, so connections above the limit wait in the accept queue instead. Refusals are brief, so capacity is
+    /// soon available.
     async fn has_room(&self) {
         while self.open.get() >= self.room.get() + self.room.get() / 8 {
             let _ = self.ended.1.recv().await;
@@ -230,13 +234,13 @@
         match came {
             Ok((stream, peer)) => {
                 self.welcome(stream, peer);
-                // Its first bytes are looked at before the next connection may push it out.
+                // Let the new connection read its first bytes before the next accept may evict it.
                 future::yield_now().await;
             }
             Err(error) => {
                 self.say_failed(&error);
                 match Fault::of(&error) {
-                    // No descriptor is left: connections wait in the queue until one is.
+                    // No descriptor is left: connections wait in the accept queue until one is free.
                     Fault::Room => {
                         self.close_longest_idle(FIRST_BYTE);
                         Timer::after(ACCEPT_PAUSE).await;
@@ -244,7 +248,7 @@
                     Fault::Machine => {
                         Timer::after(ACCEPT_PAUSE).await;
                     }
-                    // That connection came to nothing, and the next one may be there.
+                    // Only this connection failed, and the next one may be waiting.
                     Fault::Connection => future::yield_now().await,
                 }
             }
@@ -258,12 +262,14 @@
         }
     }
 
-    /// Makes room; says whether a connection stood idle. One that never asked has to have stood for some time, unless
-    /// such are many.
+    /// Closes one idle connection to make room. Returns whether there was one. A connection without any request is
+    /// closed only if it was idle for [`FIRST_BYTE`], if there are many of these, or, where no other connection is
+    /// idle, if it was idle for `stood_for`.
     ///
-    /// Silent connections by the hundred must not push out those of clients who ask, so that one which has long
-    /// said nothing goes first, or any once they hold half of the room. But a new one is silent until its first
-    /// request has come: where clients keep theirs, the longest kept makes room for it.
+    /// Hundreds of silent connections must not evict those of clients that make requests, so a connection that has
+    /// long been silent is closed first, or any silent one once they occupy more than half of the limit. But a new
+    /// connection is silent until its first request has arrived: if the others are kept open by clients with earlier
+    /// requests, the longest idle of those is closed instead.
     fn close_longest_idle(&self, stood_for: Duration) -> bool {
         let mut idle = self.idle.borrow_mut();
         let silent = idle.range(..ASKED).next().map(|(key, (since, _))| (*key, since.elapsed()));
@@ -278,8 +284,8 @@
         close.is_some_and(|(_, close)| close.try_send(Reason::Full).is_ok())
     }
 
-    /// Closes the connection kept longest where clients keep too many: those who ask once and stay would hold the
-    /// room that others need for their requests.
+    /// Closes the connection that has been idle longest after a request, if too many of these are open. Clients that
+    /// make one request and stay connected would otherwise take the capacity that others need.
     fn close_kept(&self) {
         let mut idle = self.idle.borrow_mut();
         if idle.range(ASKED..).count() > self.room.get() / KEPT_SHARE {
@@ -291,7 +297,8 @@
     }
 
     fn welcome(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr) {
-        // From its first write on: what the system holds back goes with a connection that is reset.
+        // Disable Nagle's algorithm before the first write: bytes that it holds back are lost if the connection is
+        // reset.
         let stream = Stream::from(stream);
         let _ = stream.set_nodelay();
         let refused = self.open.get() >= self.room.get() && !self.close_longest_idle(Duration::ZERO);
@@ -314,10 +321,10 @@
     }
 }
 
-/// Since when a connection stands idle, and how to close it.
+/// When a connection became idle, and the channel that closes it.
 type Idle = (Instant, Sender<Reason>);
 
-/// A connection's place among those that stand idle, until this is dropped.
+/// The registration of an idle connection, removed when this is dropped.
 pub(super) struct IdlePlace<'s> {
     server: &'s Server,
     key: (bool, u64),
@@ -325,7 +332,7 @@
 }
 
 impl IdlePlace<'_> {
-    /// Waits until the server closes the connection.
+    /// Waits until the server closes the connection, and returns the reason.
     pub(super) async fn closed(&self) -> Reason {
         self.closed.recv().await.unwrap_or(Reason::Shutdown)
     }
@@ -338,7 +345,7 @@
 }
 
 impl Server {
-    /// A connection stands idle from now on, and may be closed at any time.
+    /// Registers a connection as idle. From now on the server may close it at any time.
     pub(super) fn stand_idle(&self, asked: bool) -> IdlePlace<'_> {
         let (close, closed) = async_channel::bounded(1);
         self.last.set(self.last.get() + 1);
@@ -348,7 +355,7 @@
         IdlePlace { server: self, key, closed }
     }
 
-    /// How long a connection may stand idle.
+    /// Returns how long a connection may be idle.
     pub(super) fn idle_limit(&self, asked: bool) -> Duration {
         match asked {
             _ if !self.door.is_open() => KEEP_IDLE,
--- a/src/http/target.rs
+++ b/src/http/target.rs
@@ -1,16 +1,16 @@
-//! Request targets: path and query string, percent-decoded.
+//! Parses request targets into a path and query parameters, percent-decoded.
 
-/// The path's parts and the parameters of a request target.
+/// The path segments and query parameters of a request target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// The parts of the path between slashes.
+    /// The path segments, without empty ones.
     pub path: Vec<String>,
-    /// The parameters, in their order.
+    /// The query parameters, in their order.
     pub parameters: Vec<(String, String)>,
 }
 
 impl Target {
-    /// Reads a target; `None` if an escape in it is malformed.
+    /// Parses a target. Returns `None` if a percent escape in it is malformed.
     pub fn read(target: &str) -> Option<Self> {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         let path = path.split('/').filter(|part| !part.is_empty()).map(|part| decode(part, false));
--- a/src/http/write.rs
+++ b/src/http/write.rs
@@ -1,36 +1,36 @@
-//! The writer: messages to bytes.
+//! Serializes HTTP messages.
 
 use std::fmt::Write;
 
 /// A response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Headers beside those of framing.
+    /// The headers, without those that frame the body.
     pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
-    /// A response with a body of a type.
+    /// Creates a response with a body of a content type.
     pub fn new(status: u16, kind: &str, body: impl Into<Vec<u8>>) -> Self {
         Response { status, headers: vec![("Content-Type", kind.to_string())], body: body.into() }
     }
 
-    /// A response in plain words.
+    /// Creates a plain-text response.
     pub fn text(status: u16, text: &str) -> Self {
         Response::new(status, "text/plain; charset=utf-8", format!("{text}\n"))
     }
 
-    /// With one more header.
+    /// Adds a header.
     pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Self {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// With advice on when to come back, if there is any.
+    /// Adds a `Retry-After` header in seconds, if `millis` is positive.
     pub fn retry_after(self, millis: f64) -> Self {
         if millis > 0.0 {
             self.with("Retry-After", (millis.ceil() / 1000.0).to_string())
@@ -39,7 +39,8 @@
         }
     }
 
-    /// The bytes on the wire; a `HEAD` request gets no body, as the client would take it for the next answer.
+    /// Serializes the response. `body` is `false` for the response to a `HEAD` request, whose client would take a
+    /// body for the next response.
     pub fn bytes(&self, keep_alive: bool, body: bool) -> Vec<u8> {
         let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, phrase(self.status));
         for (name, value) in &self.headers {
@@ -58,7 +59,7 @@
     }
 }
 
-/// The bytes of a request. Values must hold no line ends; callers check what comes from outside.
+/// Serializes a request. Values must not contain line ends; callers validate those that come from outside.
 pub fn request(method: &str, target: &str, host: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut head = format!("{method} {target} HTTP/1.1\r\nHost: {host}\r\n");
     for (name, value) in headers {
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,7 +1,8 @@
-//! TCP connections whose calls fail only where the connection is at fault, and what the errors of calls say.
+//! Non-blocking TCP streams that retry transient errors, and the classification of socket errors.
 //!
-//! An interrupted call, or one for which the system has no memory just now, says nothing of the connection: it is made
-//! again. Ended by it, a connection would take along what was read from it and is owed an answer.
+//! A call that was interrupted, or for which the kernel had no memory, does not mean that the connection is broken,
+//! so it is retried. Closing the connection instead would lose requests that were already read from it and still need
+//! an answer.
 
 use std::future::Future;
 use std::io;
@@ -15,22 +16,22 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use rustix::io::Errno;
 
-/// The wait after a call for which the system had no memory.
+/// Delay before retrying a call that failed because the kernel was out of memory.
 const LACK_PAUSE: Duration = Duration::from_millis(5);
 
-/// What the error of a call that makes or accepts a connection says.
+/// Classifies an error from connecting or accepting a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// This process or machine has no descriptor or memory for one more connection.
+    /// This process or machine has no file descriptor or memory for another connection.
     Room,
-    /// This machine cannot make connections just now, whoever the peer is.
+    /// This machine cannot make connections at the moment, regardless of the peer.
     Machine,
-    /// It is the fault of that one connection, or of its peer.
+    /// The error concerns only this connection or its peer.
     Connection,
 }
 
 impl Fault {
-    /// What an error says, by socket(2), connect(2) and accept(2).
+    /// Classifies an error according to socket(2), connect(2) and accept(2).
     pub fn of(error: &io::Error) -> Fault {
         match Errno::from_io_error(error) {
             Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => Fault::Room,
@@ -49,15 +50,15 @@
     }
 }
 
-/// Whether the system had no memory for a call on an open connection.
+/// Returns whether a call on an open connection failed because the kernel was out of memory.
 fn is_lack_of_memory(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Makes a call until it succeeds or fails for good.
+/// Repeats a call until it succeeds or fails with an error that is not transient.
 ///
 /// # Errors
-/// The call's own, if it is neither an interruption nor want of memory.
+/// Returns the call's error, unless the call was interrupted or the kernel was out of memory.
 pub async fn again<T, F: Future<Output = io::Result<T>>>(mut call: impl FnMut() -> F) -> io::Result<T> {
     loop {
         match call().await {
@@ -70,7 +71,7 @@
     }
 }
 
-/// A connection. Clones are the same connection.
+/// A stream that retries transient errors. Clones share the same connection.
 #[derive(Debug)]
 pub struct Stream<S = TcpStream> {
     inner: S,
@@ -78,12 +79,12 @@
     writing: Pause,
 }
 
-/// The wait before a call is made again.
+/// The delay before a failed call is retried, while one is running.
 #[derive(Debug, Default)]
 struct Pause(Option<Timer>);
 
 impl Pause {
-    /// Makes a call until it succeeds, would block, or fails for good.
+    /// Polls a call until it succeeds, would block, or fails with an error that is not transient.
     fn call<S: Unpin, T>(
         &mut self,
         inner: &mut S,
@@ -117,29 +118,29 @@
 }
 
 impl Stream {
-    /// Connects.
+    /// Connects to an address and disables Nagle's algorithm.
     ///
     /// # Errors
-    /// If that fails; see [`Fault::of`].
+    /// Returns the connection error; [`Fault::of`] classifies it.
     pub async fn connect(to: SocketAddr) -> io::Result<Self> {
         let inner = TcpStream::connect(to).await?;
-        // What the system holds back goes with a connection that is reset.
+        // Bytes that Nagle's algorithm holds back are lost if the connection is reset.
         inner.set_nodelay(true)?;
         Ok(inner.into())
     }
 
-    /// Has what is written sent at once.
+    /// Disables Nagle's algorithm, so that written data is sent at once.
     ///
     /// # Errors
-    /// If the connection is gone.
+    /// Returns an error if the connection is closed.
     pub fn set_nodelay(&self) -> io::Result<()> {
         self.inner.set_nodelay(true)
     }
 
-    /// Looks at what would be read next, and leaves it unread.
+    /// Reads the next bytes without consuming them.
     ///
     /// # Errors
-    /// If the connection has broken.
+    /// Returns an error if the connection is broken.
     pub async fn peek(&self, bytes: &mut [u8]) -> io::Result<usize> {
         loop {
             match self.inner.peek(bytes).await {
@@ -152,10 +153,10 @@
         }
     }
 
-    /// Ends this side, or both.
+    /// Shuts down one or both directions of the connection.
     ///
     /// # Errors
-    /// If the connection is gone.
+    /// Returns an error if the connection is closed.
     pub fn shutdown(&self, side: Shutdown) -> io::Result<()> {
         self.inner.shutdown(side)
     }
