--- a/src/transport/frames/codec.rs
+++ b/src/transport/frames/codec.rs
@@ -1,19 +1,19 @@
-//! The frames of the platform's run stores, to and from bytes. It does no input.
+//! Encodes and decodes the frames of the platform's run stores. It performs no I/O.
 
 use std::rc::Rc;
 
 use crate::api::LoadReport;
 
-/// The most bytes of a frame from a run store. The answer to a client holds at most 64 KiB, so no value that is
-/// of use is longer; what is announced as longer is refused before a byte of it is kept.
+/// Maximum length of a frame from a run store, in bytes. The response to a client holds at most 64 KiB, so no longer
+/// value is of use. A longer frame is rejected as soon as its length is known, before any of it is kept.
 pub const MOST_FRAME: usize = 65 * 1024;
 
 /// A frame from a run store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Frame {
-    /// `5`: the end of a part.
+    /// `5`: a part has ended.
     End {
-        /// The part's id.
+        /// The id of the part.
         part: String,
         /// How it ended.
         end: End,
@@ -22,45 +22,46 @@
         /// The value.
         value: Rc<[u8]>,
     },
-    /// `3`: the answer to a probe. Whatever it says, all that was written before that probe has been read.
+    /// `3`: the answer to a probe. Whether it reports success or not, the run store has read everything written
+    /// before that probe.
     Probed,
-    /// `4`: the answer to a probe for load.
+    /// `4`: the answer to a load probe.
     Load {
         /// Whether it succeeded.
         ok: bool,
         /// The load report, if there was one.
         load: Option<LoadReport>,
     },
-    /// `X`: the frame before could not be used.
+    /// `X`: the run store could not use the previous frame.
     Unusable(String),
 }
 
 /// How a part ended at its run store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// `S`
+    /// `S`: it was served.
     Served,
-    /// `E`
+    /// `E`: it failed.
     Error,
-    /// `B`
+    /// `B`: it was rejected.
     TurnedAway,
 }
 
-/// One part of a call.
+/// A part of a call.
 pub struct Part<'a> {
-    /// Its id.
+    /// The id of the part.
     pub id: &'a str,
-    /// Its shard.
+    /// The shard.
     pub shard: u32,
-    /// How many milliseconds its answer is waited for.
+    /// How long the answer is awaited, in milliseconds.
     pub wait: u64,
-    /// The query's key, in a keyed class. It holds no comma, blank or line end, which would end it.
+    /// The query's key, in a keyed class. It must not contain commas, blanks or line ends, which delimit the field.
     pub key: Option<&'a str>,
-    /// The query's text.
+    /// The text of the query.
     pub text: &'a [u8],
 }
 
-/// A call of some parts.
+/// Encodes a call with one or more parts.
 pub fn call<'a>(parts: impl Iterator<Item = Part<'a>>) -> Vec<u8> {
     let mut rest = Vec::new();
     for Part { id, shard, wait, key, text } in parts {
@@ -71,17 +72,17 @@
     frame(b'1', &rest)
 }
 
-/// A part is given up.
+/// Encodes a frame that cancels a part.
 pub fn give_up(part: &str) -> Vec<u8> {
     frame(b'2', part.as_bytes())
 }
 
-/// A probe.
+/// Encodes a probe.
 pub fn probe() -> Vec<u8> {
     frame(b'3', &[])
 }
 
-/// A probe for load.
+/// Encodes a load probe.
 pub fn load_probe() -> Vec<u8> {
     frame(b'4', &[])
 }
@@ -94,15 +95,15 @@
     bytes
 }
 
-/// Takes the first frame off a buffer, once it is whole.
+/// Takes the first frame from a buffer once it is complete.
 ///
 /// # Errors
-/// Says what cannot be read; nothing more can be read after that.
+/// Returns why the frame is malformed. Nothing after it can be decoded.
 pub fn next(buffer: &mut Vec<u8>) -> Result<Option<Frame>, String> {
     let Some(length) = buffer.first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_le_bytes(*length) as usize;
     if length == 0 || length > MOST_FRAME {
-        return Err(format!("a frame of {length} bytes"));
+        return Err(format!("invalid frame length: {length} bytes"));
     }
     let Some(bytes) = buffer.get(4..4 + length) else { return Ok(None) };
     let frame = read(bytes[0], &bytes[1..])?;
@@ -119,29 +120,30 @@
             Ok(Frame::Load { ok, load: if ok { report(&text(rest)) } else { None } })
         }
         b'5' => {
-            let cut = rest.iter().position(|byte| *byte == b'\n').ok_or("an end without its line")?;
+            let cut =
+                rest.iter().position(|byte| *byte == b'\n').ok_or("part-end frame without a header line")?;
             let line = text(&rest[..cut]);
-            // The report is all that is left: one that cannot be read does not spoil the answer.
+            // The load report is the rest of the line. A report that cannot be parsed does not invalidate the answer.
             let words: Vec<&str> = line.splitn(4, ' ').collect();
             let [part, end, _score, load] = words[..] else {
-                return Err(format!("an end with the line {line:?}"));
+                return Err(format!("malformed header line of a part-end frame: {line:?}"));
             };
             let end = match end {
                 "S" => End::Served,
                 "E" => End::Error,
                 "B" => End::TurnedAway,
-                _ => return Err(format!("an end of the kind {end:?}")),
+                _ => return Err(format!("unknown part status {end:?}")),
             };
             let value = rest[cut + 1..].into();
             Ok(Frame::End { part: part.to_string(), end, load: report(load), value })
         }
         b'X' => Ok(Frame::Unusable(text(rest))),
-        other => Err(format!("a frame of the letter {:?}", other as char)),
+        other => Err(format!("unknown frame type {:?}", other as char)),
     }
 }
 
-/// Reads `name=number` pairs; unknown names are passed over. `None` if there is no report that can be read.
-/// Run stores use the names of the settings or the short ones.
+/// Parses a load report of `name=number` pairs and ignores unknown names. Returns `None` if no known value can be
+/// parsed. Run stores use either the names of the settings or the short ones.
 fn report(text: &str) -> Option<LoadReport> {
     let mut load = LoadReport::default();
     for (name, value) in text.split(',').filter_map(|pair| pair.split_once('=')) {
--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -1,10 +1,10 @@
-//! The state of one connection to a run store, without input or output.
+//! The state of one connection to a run store, without I/O.
 //!
-//! A call is queued, then being written, then written, and ends once. Whether it may have run turns on the
-//! last byte of its frame: up to there it never ran, from there on it may have.
+//! A call is queued, then being written, then written, and ends exactly once. Whether it may have run depends on the
+//! last byte of its frame: before that byte is written the call cannot have run, afterwards it may have.
 //!
-//! A call that is given up may have to be proved over. The run store reads frames in their order: once it has answered
-//! a probe that was written behind the frame which gives the call up, it has read that frame.
+//! A caller may need proof that a call it gave up is over. The run store reads frames in order: once it has answered
+//! a probe that was written after the cancel frame, it has read the cancel frame.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -13,15 +13,15 @@
 use crate::api::{LoadReport, Millis, Outcome};
 use crate::core::{Call, CallEnd, CallNo};
 
-/// Ids of parts that are over which are remembered, so that a late or second answer is known from a spoilt one.
+/// Number of finished parts whose ids are remembered, to tell a late or repeated answer from a malformed one.
 const MOST_PAST: usize = 512;
-/// Silence after which a call that is given up makes its connection suspect: the machine may have vanished.
+/// After this long without input, giving up a call makes its connection suspect: the machine may have disappeared.
 const SILENCE: Duration = Duration::from_millis(1500);
 
-/// Silence of so many usual answers, with something out, looks like a connection that has fallen silent. One that
-/// is only slow costs a further connection by that, as what is out on it is still waited for.
+/// A connection with outstanding calls is treated as silent after this many average response times without input. If
+/// it is merely slow, this costs one more connection, as its outstanding calls are still awaited.
 const SILENT_OF_USUAL: u32 = 3;
-/// The weight of an answer in the usual time of answers is one in so many.
+/// The moving average of response times gives a new one a weight of one part in this many.
 const USUAL_OF: u32 = 8;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,19 +29,20 @@
     Queued,
     Writing,
     Written(Instant),
-    /// It is given up and waited for until that is proved to be known; the run store is being told.
+    /// Given up, and awaited until the run store provably knows. The cancel frame is queued or written, but no probe
+    /// after it is being written yet.
     Told,
-    /// The same, and the probe behind is being written, or is.
+    /// Same, and the probe after the cancel frame is being written or was written.
     Asked,
 }
 
 impl Stage {
-    /// Whether the run store has it whole, and may answer it.
+    /// Returns whether the call was written completely, so that the run store may answer it.
     fn is_out(self) -> bool {
         !matches!(self, Stage::Queued | Stage::Writing)
     }
 
-    /// Whether it is only waited for until it is proved to be over.
+    /// Returns whether the call was given up and is only awaited until it is provably over.
     fn is_told(self) -> bool {
         matches!(self, Stage::Told | Stage::Asked)
     }
@@ -51,9 +52,9 @@
 struct Held {
     call: Call,
     stage: Stage,
-    /// Given up while it was being written, and whether that is to be proved.
+    /// Set if the call was given up while being written: whether it needs proof that it is over.
     given_up: Option<bool>,
-    /// Whether it was queued on an earlier connection, which ended.
+    /// Whether the call was queued before on a connection that ended.
     moved: bool,
 }
 
@@ -62,7 +63,7 @@
     Call(CallNo),
     GiveUp(String),
     Probe(CallNo),
-    /// A probe that proves calls to be over; they are named once it is being written.
+    /// A probe whose answer proves calls to be over. The calls are listed when writing begins.
     Proof(Vec<CallNo>),
 }
 
@@ -75,37 +76,37 @@
     Probe(CallNo, bool, Option<LoadReport>),
 }
 
-/// What came on a connection: what ended by it, in order, and what spoilt it, if anything did. What stands before
-/// the spoilt frame holds.
+/// What was read from a connection: what ended, in order, and the error if a frame was malformed. Frames before the
+/// malformed one are valid.
 pub type Came = (Vec<Ended>, Result<(), String>);
 
 /// The state of a connection.
 #[derive(Debug)]
 pub struct Link {
-    /// Parts that share a frame at most.
+    /// Maximum number of parts in one frame.
     bundle: usize,
     queue: VecDeque<Item>,
     calls: BTreeMap<CallNo, Held>,
-    /// Probes that are written, oldest first; `None` for one that is given up.
+    /// Written probes, oldest first, with the time of writing; `None` for one that was given up.
     probes: VecDeque<(Option<CallNo>, Instant)>,
-    /// Probes that are written and prove calls to be over, oldest first, each with its calls.
+    /// Written probes that prove calls to be over, oldest first, each with its calls and the time of writing.
     proofs: VecDeque<(Vec<CallNo>, Instant)>,
     /// Whether such probes may be sent.
     may_prove: bool,
     writing: Vec<Item>,
-    /// Parts that were answered or given up here, oldest first, and whether an answer has come.
+    /// Parts that were answered or given up, oldest first, and whether an answer has arrived.
     past: VecDeque<(String, bool)>,
     buffer: Vec<u8>,
-    /// Since when the buffer holds the beginning of a frame.
+    /// When the incomplete frame at the start of the buffer began to arrive.
     inside: Option<Instant>,
     heard: Instant,
     suspect: bool,
-    /// How long answers take, smoothed.
+    /// Moving average of response times.
     usual: Duration,
 }
 
 impl Link {
-    /// A connection's state at its start; answers are taken to need some usual time until some have come.
+    /// Creates the state of a new connection. `usual` is the assumed response time until answers arrive.
     pub fn new(bundle: usize, now: Instant, usual: Duration) -> Self {
         Link {
             bundle: bundle.max(1),
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Says whether probes may be sent that prove calls to be over.
+    /// Sets whether probes that prove calls to be over may be sent.
     pub fn set_may_prove(&mut self, may_prove: bool) {
         self.may_prove = may_prove;
         if !may_prove {
@@ -132,8 +133,9 @@
         }
     }
 
-    /// When this side is to be shut, as nothing is out but what is given up: the run store's end proves that to be over.
-    /// It is tried once no probe will prove it, or none has in the usual time of answers.
+    /// Returns when to shut down the write side because only calls that were given up are outstanding: the run store
+    /// closing its side proves them over. This is tried if no probe can prove it, or if none was answered within the
+    /// average response time.
     pub fn shuts_at(&self) -> Option<Instant> {
         let only = !self.calls.is_empty()
             && self.calls.values().all(|held| held.stage.is_told())
@@ -145,23 +147,23 @@
         only.then(|| since.unwrap_or(self.heard))
     }
 
-    /// Calls on it that have not ended.
+    /// Returns the number of calls that have not ended.
     pub fn load(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether nothing is out or to be written.
+    /// Returns whether nothing is outstanding, queued or being written.
     pub fn is_idle(&self) -> bool {
         self.calls.is_empty() && self.queue.is_empty() && self.writing.is_empty() && self.probes.is_empty()
     }
 
-    /// Whether it fell silent with something out, for good as far as can be told.
+    /// Returns whether the connection stayed silent with something outstanding for so long that it is presumed dead.
     pub fn is_suspect(&self) -> bool {
         self.suspect
     }
 
-    /// Whether nothing new should go on it, as something has long been out and nothing comes, or as what has begun
-    /// to come may be noise that would swallow an answer.
+    /// Returns whether to put no new call on the connection: a written call has long been outstanding without any
+    /// input, or a partial frame that nothing awaits may be garbage that would swallow an answer.
     pub fn is_silent(&self, now: Instant) -> bool {
         let written = self.calls.values().filter_map(|held| match held.stage {
             Stage::Written(at) => Some(at),
@@ -172,17 +174,17 @@
         self.suspect || unasked || since.is_some_and(|since| now - since >= self.usual * SILENT_OF_USUAL)
     }
 
-    /// When something was last heard on it.
+    /// Returns when input last arrived.
     pub fn heard(&self) -> Instant {
         self.heard
     }
 
-    /// How long answers usually take on it.
+    /// Returns the moving average of response times.
     pub fn usual(&self) -> Duration {
         self.usual
     }
 
-    /// Since when a frame has been coming in that is not whole. One that never ends swallows all that follows.
+    /// Returns when the incomplete frame began to arrive. A frame that never ends blocks everything after it.
     pub fn inside_since(&self) -> Option<Instant> {
         self.inside
     }
@@ -192,7 +194,7 @@
         self.hold(call, false);
     }
 
-    /// Queues a call that an earlier connection had not begun to write.
+    /// Queues a call that was still queued when an earlier connection ended.
     pub fn push_again(&mut self, call: Call) {
         self.hold(call, true);
     }
@@ -202,7 +204,8 @@
         self.calls.insert(call.no, Held { call, stage: Stage::Queued, given_up: None, moved });
     }
 
-    /// Takes the calls that no byte was written of, to go on another connection; each goes but once.
+    /// Takes the calls of which nothing was written, to send them on another connection. Each call is moved only
+    /// once.
     pub fn take_queued(&mut self) -> Vec<Call> {
         let queued = |held: &Held| held.stage == Stage::Queued && !held.moved;
         let nos: Vec<CallNo> =
@@ -218,19 +221,19 @@
         self.past.push_back((part, answered));
     }
 
-    /// Whether an answer is waited for: of a call, or of a probe.
+    /// Returns whether an answer to a call or a probe is outstanding.
     fn is_awaited(&self) -> bool {
         !self.proofs.is_empty()
             || !self.probes.is_empty()
             || self.calls.values().any(|held| held.stage.is_out())
     }
 
-    /// Queues a probe.
+    /// Queues a load probe.
     pub fn push_probe(&mut self, no: CallNo) {
         self.queue.push_back(Item::Probe(no));
     }
 
-    /// Takes back the calls that have not begun to be written and may not begin any more: they waited for too long.
+    /// Ends the queued calls that have waited too long and may no longer be sent.
     pub fn expire(&mut self, now: Millis) -> Vec<Ended> {
         let late = |held: &Held| held.stage == Stage::Queued && held.call.is_late(now);
         let nos: Vec<CallNo> = self.calls.iter().filter(|(_, held)| late(held)).map(|(no, _)| *no).collect();
@@ -238,7 +241,7 @@
         nos.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
     }
 
-    /// The next frame to write. It counts as being written until [`Link::written`].
+    /// Returns the next frame to write. It counts as being written until [`Link::written`] is called.
     pub fn next_frame(&mut self, wait: impl Fn(&Call) -> u64) -> Option<Vec<u8>> {
         let first = loop {
             match self.queue.pop_front()? {
@@ -249,7 +252,7 @@
                         *no
                     };
                     let calls: Vec<CallNo> = told.map(asked).collect();
-                    // All that it was for may have ended meanwhile.
+                    // All calls that needed this probe may have ended meanwhile.
                     if !calls.is_empty() {
                         break Item::Proof(calls);
                     }
@@ -287,7 +290,7 @@
         }
     }
 
-    /// The calls of the frame that is being written.
+    /// Returns the calls of the frame that is being written.
     pub fn writing(&self) -> impl Iterator<Item = &Call> {
         self.writing.iter().filter_map(|item| match item {
             Item::Call(no) => self.calls.get(no).map(|held| &held.call),
@@ -295,7 +298,7 @@
         })
     }
 
-    /// The last byte of the frame is written; says how many attempts that makes.
+    /// Records that the last byte of the frame was written. Returns the number of attempts in it.
     pub fn written(&mut self, now: Instant) -> usize {
         let mut attempts = 0;
         for item in std::mem::take(&mut self.writing) {
@@ -307,7 +310,7 @@
                     attempts += 1;
                     let Some(held) = self.calls.get_mut(&no) else { continue };
                     held.stage = Stage::Written(now);
-                    // Given up while it was being written: the run store is told now that it has it.
+                    // It was given up while being written, and can be cancelled only now that the run store has it.
                     match held.given_up {
                         Some(true) => self.tell(no),
                         Some(false) => self.drop_written(no),
@@ -319,7 +322,8 @@
         attempts
     }
 
-    /// Takes bytes in; says what ended, and what cannot be read: the connection has to close then.
+    /// Processes received bytes. Returns what ended, and an error if a frame is malformed, after which the connection
+    /// must be closed.
     pub fn read(&mut self, bytes: &[u8], now: Instant) -> Came {
         self.heard = now;
         self.buffer.extend_from_slice(bytes);
@@ -336,13 +340,15 @@
                 Frame::End { part, end, load, value } => {
                     let out = |held: &&Held| held.call.part == part && held.stage.is_out();
                     let Some(no) = self.calls.values().find(out).map(|held| held.call.no) else {
-                        // An answer to what was given up, or a second one, concerns nobody. An answer to what
-                        // was never asked here stands for one that was: that one never comes.
+                        // A late answer to a part that was given up, or a second answer, is ignored. An answer to a
+                        // part that was never sent here must replace one that was, which will never arrive.
                         if let Some(past) = self.past.iter_mut().find(|past| past.0 == part) {
                             past.1 = true;
                             continue;
                         }
-                        return Err(format!("an end of the part {part:?}, which is not out here"));
+                        return Err(format!(
+                            "answer to part {part:?}, which is not outstanding on this connection"
+                        ));
                     };
                     if let Some(Held { stage: Stage::Written(at), .. }) = self.calls.remove(&no) {
                         self.usual = (self.usual * (USUAL_OF - 1) + (self.heard - at)) / USUAL_OF;
@@ -369,19 +375,19 @@
                         ended.push(Ended::Probe(no, ok, load));
                     }
                 }
-                Frame::Unusable(why) => return Err(format!("the run store could not use a frame: {why}")),
+                Frame::Unusable(why) => return Err(format!("the run store rejected a frame: {why}")),
             }
         }
-        // With nothing out, these bytes belong to nothing, and the next answer would be read as their rest. But the
-        // answer to what was given up may come yet, and in pieces.
+        // With nothing outstanding, these bytes belong to no answer, and the next answer would be read as their
+        // continuation. However, a late answer to a part that was given up may still arrive, in several pieces.
         let late = self.past.iter().any(|(_, answered)| !answered);
         if !self.buffer.is_empty() && !late && !self.is_awaited() {
-            return Err("bytes that nobody waits for".into());
+            return Err("unexpected bytes while no answer is outstanding".into());
         }
         Ok(())
     }
 
-    /// Stops waiting for a call; says whether it was here.
+    /// Stops waiting for a call. Returns whether it was on this connection.
     pub fn give_up(&mut self, no: CallNo, now: Instant) -> bool {
         let Some(held) = self.calls.get_mut(&no) else { return false };
         match held.stage {
@@ -394,7 +400,7 @@
                 self.note_silence(at, now);
                 self.drop_written(no);
             }
-            // The run store is being told already.
+            // The cancel frame is already queued or written.
             Stage::Told | Stage::Asked => {
                 let part = held.call.part.clone();
                 self.calls.remove(&no);
@@ -404,8 +410,8 @@
         true
     }
 
-    /// Gives up a call that ends once it is proved to be over: at once if it has not begun to be written, and by its
-    /// answer, by that to a probe, or with the connection if it has.
+    /// Gives up a call that ends only once it is provably over: at once if none of it was written; otherwise with its
+    /// answer, the answer to a later probe, or the end of the connection.
     pub fn call_back(&mut self, no: CallNo, now: Instant) -> Option<Ended> {
         let held = self.calls.get_mut(&no)?;
         match held.stage {
@@ -427,7 +433,7 @@
         self.suspect |= self.heard < written && now - written >= SILENCE;
     }
 
-    /// The run store is told that a written call is given up, and the call is forgotten.
+    /// Queues the cancel frame of a written call and forgets the call.
     fn drop_written(&mut self, no: CallNo) {
         if let Some(Held { call: Call { part, .. }, .. }) = self.calls.remove(&no) {
             self.queue.push_back(Item::GiveUp(part.clone()));
@@ -435,7 +441,8 @@
         }
     }
 
-    /// The same, but the call stays until that is proved to have been read. One probe serves all that stands before it.
+    /// Queues the cancel frame of a written call, but keeps the call until the run store has provably read that
+    /// frame. One probe serves all cancel frames before it.
     fn tell(&mut self, no: CallNo) {
         let Some(held) = self.calls.get_mut(&no) else { return };
         held.stage = Stage::Told;
@@ -449,7 +456,7 @@
         }
     }
 
-    /// Stops waiting for a probe; says whether it was here.
+    /// Stops waiting for a probe. Returns whether it was on this connection.
     pub fn give_up_probe(&mut self, no: CallNo) -> bool {
         let queued = self.queue.len();
         self.queue.retain(|item| *item != Item::Probe(no));
@@ -463,7 +470,7 @@
         found
     }
 
-    /// Takes back what has not begun to be written. Nothing new is sent, also no probe.
+    /// Ends all queued calls. Sends no further calls or probes.
     pub fn retire(&mut self) -> Vec<Ended> {
         self.set_may_prove(false);
         self.queue.retain(|item| matches!(item, Item::GiveUp(_)));
@@ -473,7 +480,7 @@
         nos.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
     }
 
-    /// Nothing more is written: the ends of all that was not written whole.
+    /// Stops writing, and ends every probe and every call that was not written completely.
     pub fn sever(&mut self) -> Vec<Ended> {
         let mut ended = Vec::new();
         for item in self.queue.drain(..).chain(std::mem::take(&mut self.writing)) {
@@ -491,8 +498,8 @@
         ended
     }
 
-    /// The connection is no more: the ends of all that was on it. If an answer was spoilt, what is out has been
-    /// taken by a run store that lives, and failed there.
+    /// Ends everything on the connection because the connection has ended. If an answer was malformed, the run store
+    /// is alive and received the outstanding calls, which failed there.
     pub fn broken(&mut self, spoilt: bool) -> Vec<Ended> {
         let mut ended = self.sever();
         for (no, held) in std::mem::take(&mut self.calls) {
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's run stores: frames on pooled connections, many parts at once on each.
+//! The transport to the platform's run stores: binary frames on pooled connections, each of which carries many parts
+//! at once.
 
 pub mod codec;
 pub mod link;
@@ -24,11 +25,12 @@
 use crate::transport::{connect_failed, span, At, Limits, NO_SOCKET_PAUSE};
 use link::{Ended, Link};
 
-/// The longest a frame may take to be written. A run store that reads nothing for so long is no use.
+/// Timeout for writing a frame. A run store that reads nothing for this long is unusable.
 const WRITE_LIMIT: Duration = Duration::from_secs(2);
-/// Connections to one run store at once, silent ones included: one that answers on none is not met by a storm.
+/// Maximum number of connections to one run store, unresponsive ones included, so that a run store that answers on
+/// none of them is not flooded with connections.
 const MOST_AT_ONE: usize = 4;
-/// Before any answer, the usual time of answers is this share of the time in which a connection comes up.
+/// Before the first answer, the average response time is assumed to be this share of the connect timeout.
 const FIRST_USUAL: f64 = 0.4;
 
 #[derive(Default)]
@@ -40,21 +42,21 @@
 
 /// Why there is no connection for a call.
 enum Lack {
-    /// There may be no more of them for now.
+    /// The connection limit is reached.
     Room,
-    /// The run store takes nothing new, or it is not known where it listens.
+    /// The run store accepts nothing new, or its address is unknown.
     Place,
 }
 
-/// How a call is put on a connection.
+/// How to queue a call on a connection.
 type Push = fn(&mut Link, Call);
 
-/// The transport.
+/// The transport with binary frames.
 pub struct Frames {
     driver: Rc<Driver>,
     limits: Cell<Limits>,
     places: RefCell<BTreeMap<ReplicaId, Place>>,
-    /// Calls for which there is no room for a connection yet, oldest first.
+    /// Calls that wait until a connection may be opened, oldest first.
     waiting: RefCell<VecDeque<(Call, Push)>>,
     open: Cell<usize>,
 }
@@ -63,9 +65,9 @@
     link: RefCell<Link>,
     /// Wakes the writer.
     signal: (Sender<()>, Receiver<()>),
-    /// Why to close it once nothing is out.
+    /// The reason to close the connection once it is idle.
     closing: Cell<Option<Reason>>,
-    /// Ends it at once, also with something out.
+    /// Ends the connection at once, even with calls outstanding.
     cut: (Sender<Reason>, Receiver<Reason>),
 }
 
@@ -81,7 +83,7 @@
 }
 
 impl Frames {
-    /// A transport that reports to a driver.
+    /// Creates a transport that reports to a driver.
     pub fn new(driver: Rc<Driver>, limits: Limits) -> Rc<Self> {
         Rc::new(Frames {
             driver,
@@ -92,11 +94,12 @@
         })
     }
 
-    /// A connection with room, or a new one, or what is lacking for it.
+    /// Returns a connection with free capacity, opens a new one, or returns why neither is possible.
     ///
-    /// While one is coming up, what follows waits for it: a run store that has just started meets one new
-    /// connection of this aggregator, not one for each part. A connection may fall silent by itself: what follows
-    /// goes on a new one, and the router learns from answers on that one what is lost on the old.
+    /// While a connection is being established, further calls wait for it, so that a run store that has just started
+    /// gets one new connection from this aggregator rather than one for each part. A single connection may become
+    /// unresponsive: further calls then use a new one, and the answers there show the router which calls on the old
+    /// one are lost.
     fn connection(self: &Rc<Self>, replica: &ReplicaId) -> Result<Rc<Connection>, Lack> {
         let mut places = self.places.borrow_mut();
         let place = places.get_mut(replica).filter(|place| !place.retired).ok_or(Lack::Place)?;
@@ -131,18 +134,18 @@
         Ok(connection)
     }
 
-    /// The life of a connection, from before it is up to its line in the log.
+    /// Runs a connection, from connecting to its final log line.
     async fn keep(self: Rc<Self>, replica: ReplicaId, address: SocketAddr, connection: Rc<Connection>) {
         let reason = self.talk(address, &connection).await;
         let says_nothing = !matches!(reason, Reason::ConnectFailed | Reason::ConnectTimeout);
-        // From here on nothing is put on it; only then is what it carried ended.
+        // No call can be put on the connection after this, so the calls on it can be ended.
         if let Some(place) = self.places.borrow_mut().get_mut(&replica) {
             place.connections.retain(|known| !Rc::ptr_eq(known, &connection));
         }
         self.forget(&replica);
         self.open.set(self.open.get() - 1);
-        // Run stores close connections between requests as they like. What had not begun to be written goes on
-        // another connection: that this one ended is no sign that the run store cannot be reached.
+        // Run stores may close connections between requests at any time. Calls that are still queued move to another
+        // connection, as the end of this one does not mean that the run store is unreachable.
         let queued = if says_nothing { connection.link.borrow_mut().take_queued() } else { Vec::new() };
         let ended = connection.link.borrow_mut().broken(reason == Reason::Protocol);
         log::ended(
@@ -153,7 +156,7 @@
         );
         self.report(ended);
         if reason == Reason::NoSocket {
-            // What is queued waits for one, as it waits for room.
+            // Queued calls wait until a connection can be made, as they do when the connection limit is reached.
             queued.into_iter().for_each(|call| self.wait_for_room((call, Link::push)));
             Timer::after(NO_SOCKET_PAUSE).await;
         } else {
@@ -162,7 +165,7 @@
         self.put_waiting();
     }
 
-    /// Keeps nothing of a run store that is retired and has no connection left: most never come back.
+    /// Drops the state of a retired run store without connections. Most never come back.
     fn forget(&self, replica: &ReplicaId) {
         let mut places = self.places.borrow_mut();
         if places.get(replica).is_some_and(|place| place.retired && place.connections.is_empty()) {
@@ -170,8 +173,9 @@
         }
     }
 
-    /// Puts a call on a connection. Where there may be no more of them, one that stands idle makes room, as soon as one
-    /// does: that this aggregator holds many connections says nothing of the run store, which is not even asked.
+    /// Queues a call on a connection. If the connection limit is reached, an idle connection is closed to make room,
+    /// as soon as there is one. That this aggregator holds many connections says nothing about the run store, which
+    /// has not even been contacted.
     fn put(self: &Rc<Self>, call: Call, push: Push) {
         if let Some(left) = self.try_put(call, push) {
             self.close_longest_idle();
@@ -179,7 +183,7 @@
         }
     }
 
-    /// A call waits until a connection may be had, as long as one may take to come up.
+    /// Lets a call wait for a connection, for at most the connect timeout.
     fn wait_for_room(self: &Rc<Self>, (call, push): (Call, Push)) {
         let no = call.no;
         self.waiting.borrow_mut().push_back((call, push));
@@ -193,7 +197,7 @@
         self.driver.executor().spawn(given_up).detach();
     }
 
-    /// Puts a call on a connection, or hands it back if there is no room for one.
+    /// Queues a call on a connection, or returns it if the connection limit is reached.
     fn try_put(self: &Rc<Self>, call: Call, push: Push) -> Option<(Call, Push)> {
         match self.connection(&call.replica) {
             Ok(connection) => {
@@ -206,7 +210,7 @@
         None
     }
 
-    /// There may be room for what waits.
+    /// Retries the waiting calls after capacity may have become available.
     fn put_waiting(self: &Rc<Self>) {
         for (call, push) in self.waiting.take() {
             let left = self.try_put(call, push);
@@ -214,7 +218,7 @@
         }
     }
 
-    /// Takes calls from those that wait; says which.
+    /// Removes the waiting calls that match, and returns their numbers.
     fn take_waiting(&self, which: impl Fn(&Call) -> bool) -> Vec<CallNo> {
         let mut waiting = self.waiting.borrow_mut();
         let taken = waiting.iter().filter(|(call, _)| which(call)).map(|(call, _)| call.no).collect();
@@ -242,7 +246,7 @@
         };
         let read = async { self.read(stream.clone(), connection).await.unwrap_or(Reason::Reset) };
         let write = async { self.write(stream.clone(), connection).await.unwrap_or(Reason::Reset) };
-        // Reading comes first: an end that has come is seen before anything is written after it.
+        // Poll the reader first, so that the end of the connection is noticed before anything more is written.
         let reason = future::or(future::or(read, write), cut()).await;
         let by_run_store = matches!(reason, Reason::PeerClosed | Reason::Reset);
         if !by_run_store && !self.limits.get().copies {
@@ -251,8 +255,8 @@
         reason
     }
 
-    /// Ends this side of a connection, and waits until the run store has ended its own or nothing is out any more: that
-    /// it was closed here does not say that the run store has read so.
+    /// Shuts down the write side, then waits until the run store closes its side or nothing is outstanding. Closing
+    /// the connection alone would not show that the run store has noticed.
     async fn linger(self: &Rc<Self>, mut stream: Stream, connection: &Connection, reason: Reason) {
         connection.closing.set(Some(reason));
         let (queued, ended) = {
@@ -291,7 +295,7 @@
         loop {
             let begun = connection.link.borrow().inside_since();
             let read = async { stream.read(&mut bytes).await.map(Some) };
-            // A frame that has begun and does not end keeps back all that is out here.
+            // An incomplete frame that never ends blocks the answers to all outstanding calls.
             let stuck = async {
                 match begun {
                     Some(at) => Timer::at(at + self.limits.get().connect).await,
@@ -300,7 +304,7 @@
                 Ok(None)
             };
             let Some(count) = future::or(read, stuck).await? else {
-                log::line("frames: a frame that does not end");
+                log::line("frames: timed out waiting for the rest of a frame");
                 return Ok(Reason::Protocol);
             };
             if count == 0 {
@@ -325,14 +329,15 @@
             let frame = connection.link.borrow_mut().next_frame(wait);
             if let Some(frame) = frame {
                 let written = async { stream.write_all(&frame).await.map(|()| true) };
-                // What is late for the frame's last byte is late for the part: it counts from there on.
+                // A part may run only from the last byte of its frame on, so that byte must be written before the
+                // earliest time limit of the parts.
                 let by = connection.link.borrow().writing().map(|call| call.allowed_until).reduce(f64::min);
                 let by = by.map_or(WRITE_LIMIT, |by| span(by - begun).min(WRITE_LIMIT));
                 let limit = async {
                     Timer::after(by).await;
                     Ok(false)
                 };
-                // A frame that is written in half spoils the connection.
+                // A partially written frame makes the connection unusable.
                 let written = future::or(written, limit).await;
                 let all = matches!(written, Ok(true));
                 connection.link.borrow().writing().for_each(|call| self.driver.progress(call, begun, all));
@@ -426,7 +431,7 @@
             }
             Err(lack) => {
                 if matches!(lack, Lack::Room) {
-                    // The next probe finds room.
+                    // The next probe will find a free connection.
                     self.close_longest_idle();
                 }
                 self.driver.probe_ended(no, false, None);
@@ -489,7 +494,7 @@
         let at = Some((address, started));
         let moved = self.places.borrow().get(replica).is_some_and(|place| place.at != at);
         if moved {
-            // Connections to an earlier process of that name are dead, whether they know it or not.
+            // Connections to an earlier process of that run store are dead, even if no error has shown it yet.
             self.each(replica, |connection| {
                 let _ = connection.cut.0.try_send(Reason::Retired);
                 connection.close(Reason::Retired);
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Transports to run stores: connections, pooled, and what travels on them.
+//! Transports to run stores: pooled connections and the wire protocols on them.
 
 pub mod frames;
 pub mod opensearch;
@@ -12,33 +12,33 @@
 use crate::net::Fault;
 use crate::settings::SiteSettings;
 
-/// What transports keep to.
+/// Limits and settings of a transport.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// How long a connection may take to come up.
+    /// How long it may take to establish a connection.
     pub connect: Duration,
-    /// After this time idle, run stores close connections.
+    /// Run stores close connections after this idle time.
     pub keep_alive: Duration,
-    /// Calls on one connection at once, where a wire can carry several.
+    /// Maximum number of concurrent calls on one connection, where the protocol supports several.
     pub streams: usize,
-    /// Parts in one call, where a wire can carry several.
+    /// Maximum number of parts in one call, where the protocol supports several.
     pub bundle: usize,
-    /// Connections in all.
+    /// Maximum number of connections in all.
     pub connections: usize,
-    /// Whether a part may be out twice. Where not, a connection that is ended here is read on until the run store has
-    /// ended it too: only then is it sure to have noticed.
+    /// Whether several attempts of a part may run at once. If not, a connection closed by this side is read until the
+    /// run store closes it too: only then is the run store certain to have noticed.
     pub copies: bool,
     /// Whether run stores may be probed.
     pub probes: bool,
 }
 
-/// Where a run store listens, and since when its process runs.
+/// The address of a run store, and when its process started.
 type At = (SocketAddr, Option<Millis>);
 
-/// The pause after this machine could make no connection.
+/// Delay after this machine failed to create a connection.
 const NO_SOCKET_PAUSE: Duration = Duration::from_millis(50);
 
-/// Why a connection could not be made.
+/// Returns the reason for the log when a connection could not be made.
 fn connect_failed(error: &io::Error) -> Reason {
     match (error.kind(), Fault::of(error)) {
         (io::ErrorKind::TimedOut, _) => Reason::ConnectTimeout,
@@ -47,12 +47,12 @@
     }
 }
 
-/// The share of the idle time after which run stores close that a connection is kept here: to close first is
-/// to never write to one that is being closed.
+/// Connections are closed after this share of the idle time after which run stores close them. Closing first avoids
+/// writing to a connection that is being closed.
 const IDLE_SHARE: f64 = 0.8;
 
 impl Limits {
-    /// What settings say of connections, of which there may be so many.
+    /// Takes the limits from the settings, with a maximum number of connections.
     pub fn of(site: &SiteSettings, connections: usize) -> Self {
         Limits {
             connect: span(site.caps.connect_timeout_ms()),
@@ -70,7 +70,7 @@
     }
 }
 
-/// A span of the settings as a duration.
+/// Converts a time in milliseconds, as in the settings, to a duration.
 pub fn span(millis: Millis) -> Duration {
     Duration::from_secs_f64(millis.clamp(0.0, 1e9) / 1000.0)
 }
--- a/src/transport/opensearch/answer.rs
+++ b/src/transport/opensearch/answer.rs
@@ -1,37 +1,37 @@
-//! A run store's answer to a search of one shard: read once it is whole, and refused unless it is sound.
+//! Parses a run store's response to a search of one shard. An incomplete or failed response is rejected.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-/// A sound answer, as far as it is used; hits stay as they came.
+/// A valid response, reduced to the parts in use. Hits are kept as raw JSON.
 #[derive(Debug)]
 pub struct Found {
-    /// How many hits there are in all, if they were counted.
+    /// The total number of hits, if they were counted.
     pub total: Option<Total>,
     /// The highest score.
     pub max_score: Option<f64>,
-    /// The hits, each with what orders it.
+    /// The hits, each with the values that order it and its raw JSON.
     pub hits: Vec<(Hit, Box<RawValue>)>,
 }
 
-/// What orders a hit.
+/// The values by which hits are ordered.
 #[derive(Debug, Deserialize)]
 pub struct Hit {
-    /// Its score.
+    /// The score.
     #[serde(rename = "_score")]
     pub score: Option<f64>,
-    /// Its sort values.
+    /// The sort values.
     #[serde(default)]
     pub sort: Vec<Value>,
 }
 
-/// How many hits there are.
+/// The total number of hits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Total {
     /// The number.
     pub value: u64,
-    /// `eq` for just so many, `gte` for so many at least.
+    /// `eq` if the number is exact, `gte` if it is a lower bound.
     pub relation: String,
 }
 
@@ -56,10 +56,10 @@
 }
 
 impl Found {
-    /// Reads an answer. One whose shard failed or ran out of time is none, whatever its status.
+    /// Parses a response body. A response whose shard failed or timed out is an error, whatever its HTTP status.
     ///
     /// # Errors
-    /// Says what is wrong with it.
+    /// Returns why the response is invalid.
     pub fn read(body: &[u8]) -> Result<Self, String> {
         let answer: Answer = serde_json::from_slice(body).map_err(|error| error.to_string())?;
         if answer.timed_out {
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -1,7 +1,9 @@
-//! Run stores that speak the OpenSearch-style API: one search of one shard at a time on each connection.
+//! The transport to run stores with an OpenSearch-style API: each connection carries one search of one shard at a
+//! time.
 //!
-//! A search is given up by closing its connection, as this API's clients do. Where it has to be proved to be over, only
-//! this side is ended, and the other is read on: the run store answers, or ends its side as it has noticed.
+//! A search is cancelled by closing its connection, as clients of this API do. If proof is needed that the search is
+//! over, only the write side is shut down and reading continues: the run store either answers or closes its side,
+//! which shows that it has noticed.
 
 pub mod answer;
 
@@ -26,13 +28,14 @@
 use crate::transport::{connect_failed, span, At, Limits, NO_SOCKET_PAUSE};
 use answer::Found;
 
-/// Connections to one run store at once; more searches wait for one of these.
+/// Maximum number of connections to one run store. Further searches wait for one of these.
 const MOST_AT_ONE: usize = 32;
-/// The most bytes of an answer. Every part that is held may have one: all together stay within the memory.
+/// Maximum size of a response in bytes. Every part in progress may hold one, so the limit keeps all of them together
+/// within the memory of the process.
 const MOST_ANSWER: usize = 512 * 1024;
 
-/// What a part of a search carries: parameters for its shard, and the client's body, unchanged. The parameters
-/// stand over the body's own keys, as this API has it.
+/// Encodes the text of a part of a search: the parameters for its shard, and the client's body, unchanged. In this
+/// API, parameters take precedence over keys of the body.
 pub fn carry(parameters: &str, body: &[u8]) -> Vec<u8> {
     let mut text = format!("{parameters}\n").into_bytes();
     text.extend_from_slice(body);
@@ -57,11 +60,11 @@
 enum Stage {
     Connecting,
     Idle,
-    /// It stood idle, and is being closed to make room.
+    /// It was idle, and is being closed to make room.
     Leaving,
-    /// It has this job, whose request is not wholly written.
+    /// It has this job, whose request is not completely written.
     Begun(CallNo),
-    /// It has this job, whose request is wholly written.
+    /// It has this job, whose request is completely written.
     Written(CallNo),
 }
 
@@ -69,7 +72,7 @@
     stage: Cell<Stage>,
     jobs: (Sender<Job>, Receiver<Job>),
     kill: (Sender<Reason>, Receiver<Reason>),
-    /// Ends this side alone, while a job is out.
+    /// Shuts down only the write side while a job is in progress.
     end: (Sender<()>, Receiver<()>),
     ends: Cell<bool>,
 }
@@ -82,18 +85,18 @@
     workers: Vec<Rc<Worker>>,
 }
 
-/// The transport.
+/// The transport with OpenSearch-style searches.
 pub struct Searches {
     driver: Rc<Driver>,
     limits: Cell<Limits>,
     places: RefCell<BTreeMap<ReplicaId, Place>>,
-    /// Run stores for whose first connection there is no room yet, in order.
+    /// Run stores without any connection that wait until one may be opened, in order.
     lacking: RefCell<VecDeque<ReplicaId>>,
     open: Cell<usize>,
 }
 
 impl Searches {
-    /// A transport that reports to a driver.
+    /// Creates a transport that reports to a driver.
     pub fn new(driver: Rc<Driver>, limits: Limits) -> Rc<Self> {
         Rc::new(Searches {
             driver,
@@ -118,9 +121,10 @@
         }
     }
 
-    /// Hands what is queued to connections that stand idle, and opens one more where none does.
+    /// Assigns queued jobs to idle connections, and opens a connection if there is no idle one.
     ///
-    /// One at a time comes up: a run store that has just started is not met by a storm of connections.
+    /// Only one connection is established at a time, so that a run store that has just started is not flooded with
+    /// connections.
     fn pump(self: &Rc<Self>, replica: &ReplicaId) {
         let mut places = self.places.borrow_mut();
         let Some(place) = places.get_mut(replica) else { return };
@@ -137,7 +141,7 @@
                 return;
             }
             if self.open.get() >= self.limits.get().connections {
-                // With no connection at all, nobody would ever come for the queue.
+                // Without any connection, nothing would ever take jobs from the queue.
                 if place.workers.is_empty() {
                     drop(places);
                     self.lack_room(replica);
@@ -158,8 +162,8 @@
         }
     }
 
-    /// A run store's queue waits for room, which the next connection that stands idle makes: that this aggregator holds
-    /// many says nothing of the run store, which is not even asked.
+    /// Lets the queue of a run store wait for a connection, and closes an idle connection to make room for it. That
+    /// this aggregator holds many connections says nothing about the run store, which has not even been contacted.
     fn lack_room(self: &Rc<Self>, replica: &ReplicaId) {
         if self.lacking.borrow().contains(replica) {
             return;
@@ -177,7 +181,8 @@
             searches.lacking.borrow_mut().retain(|lacking| *lacking != id);
             let unmet =
                 searches.places.borrow_mut().get_mut(&id).filter(|place| place.workers.is_empty()).map(
-                    // What came later has waited for less, and for the same in vain.
+                    // Jobs that were queued later have waited for less time, but for the same reason, so they fail as
+                    // well.
                     |place| std::mem::take(&mut place.queue),
                 );
             unmet.unwrap_or_default().iter().for_each(|job| searches.end(job, Outcome::NotSent));
@@ -185,14 +190,14 @@
         self.driver.executor().spawn(given_up).detach();
     }
 
-    /// There may be room for those that lack it.
+    /// Retries the run stores that wait for a connection, after capacity may have become available.
     fn pump_lacking(self: &Rc<Self>) {
         for replica in self.lacking.take() {
             self.pump(&replica);
         }
     }
 
-    /// The life of a connection, from before it is up to its line in the log.
+    /// Runs a connection, from connecting to its final log line.
     async fn keep(self: Rc<Self>, replica: ReplicaId, address: SocketAddr, worker: Rc<Worker>) {
         let kill = async { worker.kill.1.recv().await.unwrap_or(Reason::Retired) };
         let reason = future::or(kill, self.talk(&replica, address, &worker)).await;
@@ -218,12 +223,12 @@
             format_args!("name={} lost={}", replica.0, lost.len()),
         );
         for (no, outcome) in lost {
-            // A number is an attempt's or a probe's: the core knows which, and passes over the other.
+            // The number belongs to an attempt or to a probe. The core knows which, and ignores the other call.
             self.driver.call_ended(no, CallEnd::bare(outcome));
             self.driver.probe_ended(no, false, None);
         }
         if reason == Reason::NoSocket {
-            // What is queued waits for one, as it waits for room.
+            // Queued jobs wait until a connection can be made, as they do when the connection limit is reached.
             self.lack_room(&replica);
             Timer::after(NO_SOCKET_PAUSE).await;
         } else {
@@ -232,7 +237,7 @@
         self.pump_lacking();
     }
 
-    /// Keeps nothing of a run store that is retired and has no connection left: most never come back.
+    /// Drops the state of a retired run store without connections. Most never come back.
     fn forget(&self, replica: &ReplicaId) {
         let mut places = self.places.borrow_mut();
         if places.get(replica).is_some_and(|place| place.retired && place.workers.is_empty()) {
@@ -263,7 +268,8 @@
             let job = match future::or(closed, future::or(job, rested)).await {
                 Ok(job) => job,
                 Err(reason) => {
-                    // Handed over as the connection ended, and not begun: another connection takes it.
+                    // The job was assigned while the connection was ending and has not begun, so another connection
+                    // takes it.
                     if let Ok(job) = worker.jobs.1.try_recv() {
                         worker.stage.set(Stage::Idle);
                         if let Some(place) = self.places.borrow_mut().get_mut(replica) {
@@ -297,7 +303,7 @@
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-                    // It answered, in a form that is none of HTTP's: an error that may have run, and may run still.
+                    // The response is not valid HTTP. The search may have run, and may still be running.
                     if !self.limits.get().copies {
                         client.linger().await;
                     }
@@ -378,7 +384,7 @@
                     CallEnd::bare(Outcome::Errored)
                 }
             },
-            // The only status that says that the search was not begun.
+            // 429 is the only status that means that the search was not started.
             "429" => CallEnd::bare(Outcome::Rejected),
             _ => CallEnd::bare(Outcome::Errored),
         };
@@ -392,7 +398,7 @@
         }
     }
 
-    /// Takes a job back, or closes the connection that has it.
+    /// Removes a job from the queue, or closes the connection that carries it.
     fn take_back(&self, replica: &ReplicaId, no: CallNo) {
         let mut places = self.places.borrow_mut();
         let Some(place) = places.get_mut(replica) else { return };
@@ -403,7 +409,8 @@
         }
     }
 
-    /// Gives up a search so that it ends here once it is over at its run store: what is not wholly written never ran.
+    /// Gives up a search so that it ends here only once it is over at its run store. A search whose request is not
+    /// completely written cannot have run.
     fn call_back(&self, replica: &ReplicaId, no: CallNo) {
         let mut unsent = false;
         if let Some(place) = self.places.borrow_mut().get_mut(replica) {
@@ -469,7 +476,7 @@
             place.retired = true;
             std::mem::take(&mut place.queue)
         });
-        // What is not wholly written has not run, and must not be sent any more.
+        // A request that is not completely written has not run, and must not be sent any more.
         self.close(replica, Reason::Retired, |stage| !matches!(stage, Stage::Written(_)));
         queued.unwrap_or_default().iter().for_each(|job| self.end(job, Outcome::NotSent));
         self.forget(replica);
@@ -495,8 +502,9 @@
     fn locate(&self, replica: &ReplicaId, address: SocketAddr, started: Option<Millis>) {
         let at = Some((address, started));
         if self.places.borrow().get(replica).is_some_and(|place| place.at != at) {
-            // Connections to an earlier process of that name are dead, whether they know it or not. Where a part may
-            // not be out twice, what is out on them is out until they say so.
+            // Connections to an earlier process of that run store are dead, even if no error has shown it yet. Where
+            // only one attempt of a part may run at once, searches on them count as running until the connections
+            // show that they are over.
             let waits = |stage| !self.limits.get().copies && matches!(stage, Stage::Written(_));
             self.close(replica, Reason::Retired, |stage| !waits(stage));
             if let Some(place) = self.places.borrow().get(replica) {
