--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::asking::TOLD_WITHIN;
 use crate::core::drive::Driver;
-use crate::http::door::Door;
+use crate::http::client_gate::ClientGate;
 use crate::http::parse::Headers;
 use crate::http::write::Response;
 
@@ -31,8 +31,8 @@
 ///
 /// A list that has not come by the time in which all changes are here may not come for long: clients are then better
 /// refused with advice than kept from an aggregator that serves as soon as it is told.
-fn health(door: &Door, driver: &Driver) -> Response {
-    if !door.takes_clients() {
+fn health(client_gate: &ClientGate, driver: &Driver) -> Response {
+    if !client_gate.accepts_clients() {
         Response::text(503, "draining")
     } else if driver.run_stores() == 0 && driver.age() < TOLD_WITHIN {
         Response::text(503, "no run store is listed yet")
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::core::drive::{millis, Driver};
 use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
-use crate::http::door::Door;
+use crate::http::client_gate::ClientGate;
 use crate::http::inbox::Arrived;
 use crate::http::parse::{Bad, Message};
 use crate::http::server::{Handler, Local, Refused};
@@ -33,14 +33,14 @@
 /// The front.
 pub struct OpenSearch {
     driver: Rc<Driver>,
-    door: Rc<Door>,
+    client_gate: Rc<ClientGate>,
     last: Cell<u64>,
 }
 
 impl OpenSearch {
     /// A front before a driver, behind a door.
-    pub fn new(driver: Rc<Driver>, door: Rc<Door>) -> Self {
-        OpenSearch { driver, door, last: Cell::new(0) }
+    pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>) -> Self {
+        OpenSearch { driver, client_gate, last: Cell::new(0) }
     }
 
     fn shards(&self) -> u32 {
@@ -94,7 +94,7 @@
         let request = &arrived.message;
         let opaque = request.headers.get("x-opaque-id").map(str::to_string);
         let response = match (request.start.0.as_str(), request.start.1.as_str()) {
-            ("GET", "/healthz") => crate::front::health(&self.door, &self.driver),
+            ("GET", "/healthz") => crate::front::health(&self.client_gate, &self.driver),
             ("GET", "/counters") => Response::text(200, &self.driver.counters().to_string()),
             ("GET" | "POST", path) => {
                 let index = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -10,7 +10,7 @@
 
 use crate::core::drive::{millis, Driver, Pending};
 use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
-use crate::http::door::Door;
+use crate::http::client_gate::ClientGate;
 use crate::http::inbox::Arrived;
 use crate::http::parse::{Bad, Message};
 use crate::http::server::{Handler, Local, Refused};
@@ -54,7 +54,7 @@
 /// The platform's front.
 pub struct Platform {
     driver: Rc<Driver>,
-    door: Rc<Door>,
+    client_gate: Rc<ClientGate>,
     /// Ids of queries that are held: part ids on the wire are made from them and must not meet.
     held: Rc<RefCell<HashSet<String>>>,
 }
@@ -73,8 +73,8 @@
 
 impl Platform {
     /// A front before a driver, behind a door.
-    pub fn new(driver: Rc<Driver>, door: Rc<Door>) -> Self {
-        Platform { driver, door, held: Rc::default() }
+    pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>) -> Self {
+        Platform { driver, client_gate, held: Rc::default() }
     }
 
     fn query(&self, request: &Arrived, path: &str) -> Result<(Held, Pending), Response> {
@@ -103,7 +103,7 @@
         let start = &request.message.start;
         let path = path_of(&request.message);
         let response = match (start.0.as_str(), path) {
-            ("GET", "/healthz") => super::health(&self.door, &self.driver),
+            ("GET", "/healthz") => super::health(&self.client_gate, &self.driver),
             ("GET", "/counters") => Response::text(200, &self.driver.counters().to_string()),
             ("POST", _) => match self.query(&request, path) {
                 Ok((held, pending)) => {
--- a/src/http/door.rs
+++ b/src/http/client_gate.rs
@@ -7,76 +7,76 @@
 
 /// Controls whether clients are accepted. While it is closed, clients finish their requests: each response is the
 /// last on its connection, and idle connections are closed soon.
-pub struct Door {
+pub struct ClientGate {
     /// Operators have closed the gate.
-    by_hand: Cell<bool>,
+    closed_by_operator: Cell<bool>,
     /// Another process of this aggregator accepts the clients.
     handed_over: Cell<bool>,
     /// The process is shutting down.
-    leaving: Cell<bool>,
+    shutting_down: Cell<bool>,
     changed: (Sender<()>, Receiver<()>),
 }
 
-impl Default for Door {
+impl Default for ClientGate {
     fn default() -> Self {
-        Door {
-            by_hand: Cell::default(),
+        ClientGate {
+            closed_by_operator: Cell::default(),
             handed_over: Cell::default(),
-            leaving: Cell::default(),
+            shutting_down: Cell::default(),
             changed: async_channel::bounded(1),
         }
     }
 }
 
-impl Door {
+impl ClientGate {
     /// Returns whether connections are kept open after a response.
     pub fn is_open(&self) -> bool {
-        !(self.by_hand.get() || self.handed_over.get() || self.leaving.get())
+        !(self.closed_by_operator.get() || self.handed_over.get() || self.shutting_down.get())
     }
 
     /// Returns whether this aggregator accepts clients, in this process or in the one that took over.
-    pub fn takes_clients(&self) -> bool {
-        !self.by_hand.get() && (self.handed_over.get() || !self.leaving.get())
+    pub fn accepts_clients(&self) -> bool {
+        !self.closed_by_operator.get() && (self.handed_over.get() || !self.shutting_down.get())
     }
 
     /// Returns whether operators have closed the gate.
-    pub fn is_shut_by_hand(&self) -> bool {
-        self.by_hand.get()
+    pub fn is_closed_by_operator(&self) -> bool {
+        self.closed_by_operator.get()
     }
 
     /// Returns whether the process is shutting down.
-    pub fn is_leaving(&self) -> bool {
-        self.leaving.get()
+    pub fn is_shutting_down(&self) -> bool {
+        self.shutting_down.get()
     }
 
     /// Closes or opens the gate on behalf of an operator. Returns `false`, without effect, if the process is shutting
     /// down or has handed its clients over.
-    pub fn by_hand(&self, shut: bool) -> bool {
-        let may = !self.leaving.get() && !self.handed_over.get();
-        if may {
-            self.set(&self.by_hand, shut);
+    pub fn set_closed_by_operator(&self, closed: bool) -> bool {
+        let accepts_here = !self.shutting_down.get() && !self.handed_over.get();
+        if accepts_here {
+            self.set(&self.closed_by_operator, closed);
         }
-        may
+        accepts_here
     }
 
     /// Records whether another process accepts the clients.
-    pub fn hand_over(&self, to_other: bool) {
-        self.set(&self.handed_over, to_other);
+    pub fn set_handed_over(&self, handed_over: bool) {
+        self.set(&self.handed_over, handed_over);
     }
 
     /// Closes the gate for good because the process is shutting down.
-    pub fn leave(&self) {
-        self.set(&self.leaving, true);
+    pub fn shut_down(&self) {
+        self.set(&self.shutting_down, true);
     }
 
-    fn set(&self, flag: &Cell<bool>, to: bool) {
-        if flag.replace(to) != to {
+    fn set(&self, flag: &Cell<bool>, value: bool) {
+        if flag.replace(value) != value {
             let _ = self.changed.0.try_send(());
         }
     }
 
     /// Waits until the state changes to closed, for any reason. Only one task at a time may wait.
-    pub async fn shut(&self) {
+    pub async fn closed(&self) {
         loop {
             let _ = self.changed.1.recv().await;
             if !self.is_open() {
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -139,7 +139,7 @@
     /// Returns whether to keep the connection open after a response. While the server accepts no clients, it is kept
     /// only if input has already arrived.
     async fn goes_on(&mut self) -> bool {
-        if self.server.door.is_open() {
+        if self.server.client_gate.is_open() {
             return true;
         }
         if self.server.is_ending() {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -16,8 +16,8 @@
 use async_net::{TcpListener, TcpStream};
 use futures_lite::future;
 
+use super::client_gate::ClientGate;
 use super::connection::Connection;
-use super::door::Door;
 use super::inbox::Arrived;
 use super::parse::{Bad, Message};
 use super::write::Response;
@@ -115,7 +115,7 @@
     queue_empty: Cell<Instant>,
     /// When a failed accept was last logged.
     said_failed: Cell<Option<Instant>>,
-    pub(super) door: Rc<Door>,
+    pub(super) client_gate: Rc<ClientGate>,
     /// Idle connections: first those without any request, then the others, each group from the longest idle.
     idle: RefCell<BTreeMap<(bool, u64), Idle>>,
     /// Signals that a connection has ended.
@@ -129,7 +129,7 @@
         executor: Rc<LocalExecutor<'static>>,
         handler: Box<dyn Handler>,
         limits: Limits,
-        door: Rc<Door>,
+        client_gate: Rc<ClientGate>,
     ) -> Rc<Self> {
         Rc::new(Server {
             kind,
@@ -142,7 +142,7 @@
             ending: Cell::new(false),
             queue_empty: Cell::new(Instant::now()),
             said_failed: Cell::new(None),
-            door,
+            client_gate,
             idle: RefCell::default(),
             ended: async_channel::bounded(1),
         })
@@ -168,9 +168,9 @@
     /// same time each.
     pub async fn drain(self: Rc<Self>) {
         loop {
-            self.door.shut().await;
+            self.client_gate.closed().await;
             Timer::after(KEEP_IDLE).await;
-            if !self.door.is_open() {
+            if !self.client_gate.is_open() {
                 self.close_idle(KEEP_IDLE);
             }
         }
@@ -358,7 +358,7 @@
     /// Returns how long a connection may be idle.
     pub(super) fn idle_limit(&self, asked: bool) -> Duration {
         match asked {
-            _ if !self.door.is_open() => KEEP_IDLE,
+            _ if !self.client_gate.is_open() => KEEP_IDLE,
             true => self.limits.idle,
             false => self.limits.request,
         }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -11,7 +11,7 @@
 use crate::core::drive::Driver;
 use crate::counters;
 use crate::handover::{Wire, Word};
-use crate::http::door::Door;
+use crate::http::client_gate::ClientGate;
 use crate::http::inbox::Arrived;
 use crate::http::parse::{Bad, Message};
 use crate::http::server::{Handler, Limits, Local, Refused, Server};
@@ -27,14 +27,14 @@
 /// What operators may call for.
 pub struct Operator {
     driver: Rc<Driver>,
-    door: Rc<Door>,
+    client_gate: Rc<ClientGate>,
     wire: Rc<Wire>,
 }
 
 impl Operator {
     /// Calls that act on a driver and the clients' door, and of which another process hears.
-    pub fn new(driver: Rc<Driver>, door: Rc<Door>, wire: Rc<Wire>) -> Self {
-        Operator { driver, door, wire }
+    pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>, wire: Rc<Wire>) -> Self {
+        Operator { driver, client_gate, wire }
     }
 
     /// Serves calls on a listener.
@@ -101,7 +101,7 @@
     }
 
     fn turn(&self, shut: bool, word: &str) -> Response {
-        if !self.door.by_hand(shut) {
+        if !self.client_gate.set_closed_by_operator(shut) {
             return Response::text(409, "this process is to end");
         }
         log::line(&format!("operator: {word}"));
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -59,7 +59,7 @@
         if let Ok(at) = listener.local_addr() {
             log::line(&format!("operators call {at}"));
         }
-        let operator = Operator::new(program.driver.clone(), program.door.clone(), wire);
+        let operator = Operator::new(program.driver.clone(), program.client_gate.clone(), wire);
         executor.spawn(operator.serve(executor.clone(), listener)).detach();
     }
     if let Some(at) = program.address() {
@@ -74,7 +74,7 @@
     until_told_to_end(&mut signals, attend).await;
     // Planned end: go on accepting, answer everything, then leave.
     log::line("draining");
-    program.door.leave();
+    program.client_gate.shut_down();
     let left = span(program.driver.longest_deadline()).min(MOST_COUNTED) + LAST_WAIT;
     let end = Instant::now() + left;
     // Whatever is taken, now or later, is answered before.
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -25,7 +25,7 @@
 use crate::front::opensearch::OpenSearch;
 use crate::front::platform::Platform;
 use crate::handover::{Held, Process, State};
-use crate::http::door::Door;
+use crate::http::client_gate::ClientGate;
 use crate::http::server::{Handler, Limits, Server};
 use crate::log;
 use crate::settings::SiteSettings;
@@ -51,7 +51,7 @@
     executor: Rc<LocalExecutor<'static>>,
     pub(super) driver: Rc<Driver>,
     pub(super) server: Rc<Server>,
-    pub(super) door: Rc<Door>,
+    pub(super) client_gate: Rc<ClientGate>,
     pub(super) reloads: Reloads,
     /// The clients' socket, until the end; and the store's.
     listener: RefCell<Option<TcpListener>>,
@@ -114,14 +114,14 @@
         if let Some((store, _)) = &store {
             executor.spawn(keep_directory(store.clone(), driver.clone())).detach();
         }
-        let door = Rc::new(Door::default());
-        door.by_hand(state.as_ref().is_some_and(|state| state.shut));
+        let client_gate = Rc::new(ClientGate::default());
+        client_gate.set_closed_by_operator(state.as_ref().is_some_and(|state| state.shut));
         let front: Box<dyn Handler> = match config.api {
-            Api::Platform => Box::new(Platform::new(driver.clone(), door.clone())),
-            Api::Opensearch => Box::new(OpenSearch::new(driver.clone(), door.clone())),
+            Api::Platform => Box::new(Platform::new(driver.clone(), client_gate.clone())),
+            Api::Opensearch => Box::new(OpenSearch::new(driver.clone(), client_gate.clone())),
         };
         let limits = Limits::for_connections(config.client_connections(0));
-        let server = Server::new("client", executor.clone(), front, limits, door.clone());
+        let server = Server::new("client", executor.clone(), front, limits, client_gate.clone());
         executor.spawn(server.clone().drain()).detach();
         let copy = store.as_ref().map(|(store, _)| store.clone());
         let reloads = Reloads::new(path.into(), config.clone(), driver.clone(), reload, copy);
@@ -130,7 +130,7 @@
             executor,
             driver,
             server,
-            door,
+            client_gate,
             reloads,
             listener: RefCell::new(Some(listener)),
             store,
@@ -204,7 +204,7 @@
             discovery: self.reloads.discovery(),
             takeover_state: self.driver.takeover_state(),
             now: Some(self.driver.now()),
-            shut: self.door.is_shut_by_hand(),
+            shut: self.client_gate.is_closed_by_operator(),
             recording: self.driver.recording().map(Control::is_on),
             entries: self.store.as_ref().map(|(store, _)| store.entries()).unwrap_or_default(),
             held: self.held(),
@@ -218,13 +218,13 @@
 
     fn stand_down(&self) {
         drop(self.accepting.take());
-        self.door.hand_over(true);
+        self.client_gate.set_handed_over(true);
     }
 
     fn stand_up(&self) {
-        if !self.door.is_leaving() {
+        if !self.client_gate.is_shutting_down() {
             log::line("handover: the new process is gone, this one serves again");
-            self.door.hand_over(false);
+            self.client_gate.set_handed_over(false);
             self.accept();
         }
     }
