--- a/benches/list.rs
+++ b/benches/list.rs
@@ -6,7 +6,7 @@
 use divan::{AllocProfiler, Bencher};
 use ironpaddle::core::{Core, DirectoryUpdate};
 use ironpaddle::directory::list::List;
-use ironpaddle::http::parse::{Kind, Message, Parser};
+use ironpaddle::http::parse::{Message, MessageKind, Parser};
 use ironpaddle::settings::SiteSettings;
 use serde_json::json;
 
@@ -40,7 +40,7 @@
 
 /// Reads an answer as the client does, piece by piece.
 fn read(answer: &[u8]) -> Message {
-    let mut parser = Parser::new(Kind::Response(answer.len()));
+    let mut parser = Parser::new(MessageKind::Response(answer.len()));
     for bytes in answer.chunks(8192) {
         parser.push(bytes);
         if let Some(message) = parser.next_message().expect("an answer of HTTP") {
--- a/crates/lab/src/scale/clients.rs
+++ b/crates/lab/src/scale/clients.rs
@@ -13,7 +13,7 @@
 use hdrhistogram::Histogram;
 use ironpaddle::hash::mix;
 use ironpaddle::http::client::within;
-use ironpaddle::http::parse::Kind;
+use ironpaddle::http::parse::MessageKind;
 use ironpaddle::http::write;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -115,7 +115,11 @@
             write::request("POST", &format!("/{CLASS}"), &to.to_string(), &headers, body.as_bytes());
         let mut open = match wire.take() {
             Some(open) => open,
-            None => Wire::new(TcpStream::connect(to).await?, Kind::Response(MOST_BODY), self.count.clone())?,
+            None => Wire::new(
+                TcpStream::connect(to).await?,
+                MessageKind::Response(MOST_BODY),
+                self.count.clone(),
+            )?,
         };
         open.write(&request).await?;
         let answer = open.read().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
--- a/crates/lab/src/scale/discovery.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -17,7 +17,7 @@
 use async_net::{TcpListener, TcpStream};
 use event_listener::Event as Bell;
 use futures_lite::future;
-use ironpaddle::http::parse::Kind;
+use ironpaddle::http::parse::MessageKind;
 use ironpaddle::http::write;
 use serde::Deserialize;
 use serde_json::json;
@@ -130,7 +130,7 @@
     }
 
     async fn serve(&self, stream: TcpStream, place: usize) -> io::Result<()> {
-        let mut wire = Wire::new(stream, Kind::Request, self.counts[place].clone())?;
+        let mut wire = Wire::new(stream, MessageKind::Request, self.counts[place].clone())?;
         while let Some(request) = wire.read().await? {
             let target = request.start.1;
             let number =
@@ -167,7 +167,7 @@
     /// Learns the list from another, until that ends.
     async fn follow(&self, from: SocketAddr) -> io::Result<()> {
         let stream = TcpStream::connect(from).await?;
-        let mut wire = Wire::new(stream, Kind::Response(MOST_LIST), self.up.clone())?;
+        let mut wire = Wire::new(stream, MessageKind::Response(MOST_LIST), self.up.clone())?;
         loop {
             let target = match self.list.borrow().index {
                 0 => "/v1/servers".to_string(),
--- a/crates/lab/src/scale/wire.rs
+++ b/crates/lab/src/scale/wire.rs
@@ -6,7 +6,7 @@
 
 use async_net::TcpStream;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ironpaddle::http::parse::{Kind, Message, Parser};
+use ironpaddle::http::parse::{Message, MessageKind, Parser};
 use serde::{Deserialize, Serialize};
 
 /// What passed between a stand-in and its neighbours of a kind.
@@ -71,7 +71,7 @@
 
 impl Wire {
     /// A connection on which such messages come.
-    pub fn new(stream: TcpStream, kind: Kind, count: Count) -> io::Result<Self> {
+    pub fn new(stream: TcpStream, kind: MessageKind, count: Count) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Wire { stream, parser: Parser::new(kind), count })
     }
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -17,9 +17,9 @@
 use crate::core::drive::{millis, Driver};
 use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
 use crate::http::client_gate::ClientGate;
-use crate::http::inbox::Arrived;
-use crate::http::parse::{Bad, Message};
-use crate::http::server::{Handler, Local, Refused};
+use crate::http::inbox::ReceivedRequest;
+use crate::http::parse::{Message, MessageError};
+use crate::http::server::{Handler, LocalBoxFuture, RefusalReason};
 use crate::http::write::Response;
 use crate::log;
 use crate::transport::opensearch::carry;
@@ -52,7 +52,7 @@
         error(status, kind, &why)
     }
 
-    fn ask(&self, search: &Search, arrived: &Arrived) -> Result<QueryRequest, Refusal> {
+    fn ask(&self, search: &Search, arrived: &ReceivedRequest) -> Result<QueryRequest, Refusal> {
         let request = &arrived.message;
         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
         let weight = 1.0 / shards.len().max(1) as f64;
@@ -90,7 +90,7 @@
 }
 
 impl Handler for OpenSearch {
-    fn handle(&self, arrived: Arrived, sooner: Receiver<Instant>) -> Local<Response> {
+    fn handle(&self, arrived: ReceivedRequest, sooner: Receiver<Instant>) -> LocalBoxFuture<Response> {
         let request = &arrived.message;
         let opaque = request.headers.get("x-opaque-id").map(str::to_string);
         let response = match (request.start.0.as_str(), request.start.1.as_str()) {
@@ -102,7 +102,7 @@
                 let asked = read.and_then(|search| self.ask(&search, &arrived).map(|ask| (search, ask)));
                 match asked.map(|(search, ask)| (search, self.driver.ask(ask))) {
                     Ok((search, Ok(pending))) => {
-                        let since = arrived.at;
+                        let since = arrived.received_at;
                         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
                         return Box::pin(async move {
                             let verdict = pending.verdict_before(sooner).await;
@@ -129,16 +129,16 @@
         Box::pin(async move { echo(response, opaque) })
     }
 
-    fn bad(&self, bad: Bad) -> Response {
+    fn error_response(&self, bad: MessageError) -> Response {
         self.reject("", Refusal(bad.status(), "parsing_exception", bad.to_string()))
     }
 
-    fn waits(&self, request: &Message) -> Option<Duration> {
+    fn client_timeout(&self, request: &Message) -> Option<Duration> {
         let search = Search::read(request, self.shards()).ok()?;
         self.driver.wait_of(&search.index, search.timeout)
     }
 
-    fn refuse(&self, why: Refused) -> Response {
+    fn refuse(&self, why: RefusalReason) -> Response {
         back_off(error(503, "rejected_execution_exception", why.text()), REFUSED_WAIT)
     }
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -11,9 +11,9 @@
 use crate::core::drive::{millis, Driver, Pending};
 use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
 use crate::http::client_gate::ClientGate;
-use crate::http::inbox::Arrived;
-use crate::http::parse::{Bad, Message};
-use crate::http::server::{Handler, Local, Refused};
+use crate::http::inbox::ReceivedRequest;
+use crate::http::parse::{Message, MessageError};
+use crate::http::server::{Handler, LocalBoxFuture, RefusalReason};
 use crate::http::write::Response;
 use crate::log;
 
@@ -77,7 +77,7 @@
         Platform { driver, client_gate, held: Rc::default() }
     }
 
-    fn query(&self, request: &Arrived, path: &str) -> Result<(Held, Pending), Response> {
+    fn query(&self, request: &ReceivedRequest, path: &str) -> Result<(Held, Pending), Response> {
         let class = class_of(path);
         let ask =
             read(request, class, self.driver.is_keyed(class)).map_err(|why| self.reject(class, 400, &why))?;
@@ -99,7 +99,7 @@
 }
 
 impl Handler for Platform {
-    fn handle(&self, request: Arrived, sooner: Receiver<Instant>) -> Local<Response> {
+    fn handle(&self, request: ReceivedRequest, sooner: Receiver<Instant>) -> LocalBoxFuture<Response> {
         let start = &request.message.start;
         let path = path_of(&request.message);
         let response = match (start.0.as_str(), path) {
@@ -122,16 +122,16 @@
         Box::pin(async move { response })
     }
 
-    fn bad(&self, bad: Bad) -> Response {
+    fn error_response(&self, bad: MessageError) -> Response {
         self.reject("", bad.status(), &bad.to_string())
     }
 
-    fn waits(&self, request: &Message) -> Option<Duration> {
+    fn client_timeout(&self, request: &Message) -> Option<Duration> {
         let stated = request.headers.get("x-timeout").and_then(|text| timeout(text).ok());
         self.driver.wait_of(class_of(path_of(request)), stated)
     }
 
-    fn refuse(&self, why: Refused) -> Response {
+    fn refuse(&self, why: RefusalReason) -> Response {
         Response::text(503, why.text()).retry_after(REFUSED_WAIT)
     }
 }
@@ -146,7 +146,7 @@
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
-fn read(arrived: &Arrived, in_path: &str, keyed: bool) -> Result<QueryRequest, String> {
+fn read(arrived: &ReceivedRequest, in_path: &str, keyed: bool) -> Result<QueryRequest, String> {
     let request = &arrived.message;
     let header = |name: &str| request.headers.get(name);
     let class = header("x-priority-class").unwrap_or(in_path);
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 
-use super::parse::{Kind, Message, Parser};
+use super::parse::{Message, MessageKind, Parser};
 use crate::net::Stream;
 
 /// A client connection to a server.
@@ -54,7 +54,7 @@
     /// # Errors
     /// Returns an error if the connection breaks or ends early, or if the response is malformed.
     pub async fn read(&mut self) -> io::Result<Message> {
-        let mut parser = Parser::new(Kind::Response(self.most_body));
+        let mut parser = Parser::new(MessageKind::Response(self.most_body));
         let mut bytes = [0; 8192];
         loop {
             match parser.next_message() {
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -9,9 +9,9 @@
 use async_io::Timer;
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 
-use super::inbox::{Arrived, Inbox};
-use super::parse::Bad;
-use super::server::{Handler, Refused, Server};
+use super::inbox::{Inbox, ReceivedRequest};
+use super::parse::MessageError;
+use super::server::{Handler, RefusalReason, Server};
 use super::write::Response;
 use crate::log::Reason;
 use crate::net::Stream;
@@ -40,8 +40,8 @@
 
 /// The outcome of waiting for the next request.
 enum Next {
-    Request(Arrived),
-    Bad(Bad),
+    Request(ReceivedRequest),
+    MessageError(MessageError),
     End(Reason),
 }
 
@@ -91,10 +91,10 @@
             let request = match self.next().await? {
                 Next::Request(request) => request,
                 Next::End(reason) => return Ok(reason),
-                Next::Bad(bad) => return self.turn_down(bad).await,
+                Next::MessageError(bad) => return self.turn_down(bad).await,
             };
             self.requests += 1;
-            let may_go_on = request.message.keep_alive && self.server.limits.keep;
+            let may_go_on = request.message.keep_alive && self.server.limits.keep_alive;
             let body = request.has_body_in_answer();
             let response = match self.answer(request).await {
                 Ok(response) => response,
@@ -121,7 +121,7 @@
 
     /// Rejects a connection that exceeds the connection limit.
     pub async fn refuse(&mut self) -> Reason {
-        let response = self.server.handler.refuse(Refused::Full);
+        let response = self.server.handler.refuse(RefusalReason::TooManyConnections);
         let _ = self.write(&response.bytes(false, true)).await;
         self.linger(Rest::OneRequest).await;
         Reason::Full
@@ -129,7 +129,7 @@
 
     /// Returns the response to a request, unless the client leaves first. The handler is told if a pipelined request
     /// has an earlier deadline, and then answers by that time.
-    async fn answer(&mut self, request: Arrived) -> Result<Response, Left> {
+    async fn answer(&mut self, request: ReceivedRequest) -> Result<Response, Left> {
         let (sooner, told) = async_channel::unbounded();
         let answer = self.server.handler.handle(request, told);
         let left = watch(&*self.server.handler, &mut self.stream, &mut self.inbox, sooner);
@@ -180,21 +180,21 @@
     /// Adds received bytes to the inbox. `at` is the arrival time of the last one.
     fn take_in(&mut self, bytes: &[u8], at: Instant) {
         let handler = &self.server.handler;
-        self.inbox.push(bytes, at, |request| handler.waits(request));
+        self.inbox.push(bytes, at, |request| handler.client_timeout(request));
     }
 
     /// Responds to malformed input and closes the connection, as framing is lost.
-    async fn turn_down(&mut self, bad: Bad) -> io::Result<Reason> {
-        let response = self.server.handler.bad(bad);
+    async fn turn_down(&mut self, bad: MessageError) -> io::Result<Reason> {
+        let response = self.server.handler.error_response(bad);
         self.write(&response.bytes(false, true)).await?;
-        let slow = bad == Bad::TooSlow;
+        let slow = bad == MessageError::TooSlow;
         self.linger(if slow { Rest::OneRequest } else { Rest::Unreadable }).await;
         Ok(if slow { Reason::TooSlow } else { Reason::Malformed })
     }
 
     /// Rejects the request in progress and, for up to [`LINGER`], every request pipelined after it.
     async fn turn_down_flood(&mut self) -> io::Result<Reason> {
-        let response = self.server.handler.bad(Bad::Flood);
+        let response = self.server.handler.error_response(MessageError::Flood);
         self.write(&response.bytes(true, true)).await?;
         let until = Instant::now() + LINGER;
         let mut left = MOST_LINGER;
@@ -223,7 +223,7 @@
     /// Refuses the requests that were read after the last one to be answered.
     async fn refuse_in_hand(&mut self) -> io::Result<()> {
         while let Ok(Some(request)) = self.inbox.next_request() {
-            let response = self.server.handler.refuse(Refused::AfterLast);
+            let response = self.server.handler.refuse(RefusalReason::ConnectionClosing);
             self.write(&response.bytes(false, request.has_body_in_answer())).await?;
         }
         Ok(())
@@ -236,7 +236,7 @@
             match self.inbox.next_request() {
                 Ok(Some(request)) => return Ok(Next::Request(request)),
                 Ok(None) => {}
-                Err(bad) => return Ok(Next::Bad(bad)),
+                Err(bad) => return Ok(Next::MessageError(bad)),
             }
             if self.inbox.expects_continue() && !continued {
                 continued = true;
@@ -244,14 +244,14 @@
             }
             let read = if let Some(begun) = self.inbox.begun() {
                 let begun = if self.requests == 0 { self.since } else { begun };
-                let limit = begun + self.server.limits.request;
+                let limit = begun + self.server.limits.request_timeout;
                 let read = before(limit, self.stream.read(&mut bytes)).await;
                 read.map_or(Ok(Err(Reason::TooSlow)), |read| read.map(Ok))?
             } else {
                 self.read_idle(&mut bytes).await?
             };
             match read {
-                Err(Reason::TooSlow) => return Ok(Next::Bad(Bad::TooSlow)),
+                Err(Reason::TooSlow) => return Ok(Next::MessageError(MessageError::TooSlow)),
                 Ok(0) if self.inbox.is_inside() => return Ok(Next::End(Reason::Malformed)),
                 Ok(0) => return Ok(Next::End(Reason::PeerClosed)),
                 Ok(count) => self.take_in(&bytes[..count], Instant::now()),
@@ -273,7 +273,7 @@
 
     /// Writes all bytes. Returns `false` if the client reads too slowly.
     async fn write(&mut self, bytes: &[u8]) -> io::Result<bool> {
-        let limit = Instant::now() + self.server.limits.write;
+        let limit = Instant::now() + self.server.limits.write_timeout;
         match before(limit, self.stream.write_all(bytes)).await {
             Some(written) => written.map(|()| true),
             None => Ok(false),
@@ -351,14 +351,16 @@
     let mut bytes = [0; CHUNK];
     let mut told = None;
     while !inbox.is_full() {
-        let due = inbox.earliest_due();
+        let due = inbox.earliest_deadline();
         if let Some(at) = due.filter(|_| due != told) {
             told = due;
             let _ = sooner.try_send(at);
         }
         match stream.read(&mut bytes).await {
             Ok(0) | Err(_) => return Left::Gone,
-            Ok(count) => inbox.push(&bytes[..count], Instant::now(), |request| handler.waits(request)),
+            Ok(count) => {
+                inbox.push(&bytes[..count], Instant::now(), |request| handler.client_timeout(request))
+            }
         }
     }
     Left::Flooding
--- a/src/http/inbox.rs
+++ b/src/http/inbox.rs
@@ -3,20 +3,20 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::parse::{Bad, Kind, Message, Parser, MOST_BODY};
+use super::parse::{Message, MessageError, MessageKind, Parser, MOST_BODY};
 
 /// A completely received request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrived {
+pub struct ReceivedRequest {
     /// The request.
     pub message: Message,
     /// When its last byte was read. The client's timeout counts from then.
-    pub at: Instant,
+    pub received_at: Instant,
     /// When the client stops waiting, if the request states a timeout.
-    pub due: Option<Instant>,
+    pub deadline: Option<Instant>,
 }
 
-impl Arrived {
+impl ReceivedRequest {
     /// Returns whether the response has a body. A client would take a body in the response to `HEAD` for the next
     /// response.
     pub fn has_body_in_answer(&self) -> bool {
@@ -25,7 +25,7 @@
 
     /// Returns how long the request has waited to be processed.
     pub fn waited(&self) -> Duration {
-        self.at.elapsed()
+        self.received_at.elapsed()
     }
 }
 
@@ -33,11 +33,11 @@
 #[derive(Debug)]
 pub struct Inbox {
     parser: Parser,
-    whole: VecDeque<Arrived>,
+    whole: VecDeque<ReceivedRequest>,
     /// When the first byte of the incomplete request arrived.
     begun: Option<Instant>,
     /// Why nothing after the complete requests can be parsed.
-    bad: Option<Bad>,
+    bad: Option<MessageError>,
     /// Number of bytes received after that error.
     unreadable: usize,
 }
@@ -45,7 +45,7 @@
 impl Default for Inbox {
     fn default() -> Self {
         Inbox {
-            parser: Parser::new(Kind::Request),
+            parser: Parser::new(MessageKind::Request),
             whole: VecDeque::new(),
             begun: None,
             bad: None,
@@ -55,8 +55,14 @@
 }
 
 impl Inbox {
-    /// Adds bytes that arrived at `now`. `waits` returns how long the client of a request waits for its response.
-    pub fn push(&mut self, bytes: &[u8], now: Instant, waits: impl Fn(&Message) -> Option<Duration>) {
+    /// Adds bytes that arrived at `now`. `client_timeout` returns how long the client of a request waits for its
+    /// response.
+    pub fn push(
+        &mut self,
+        bytes: &[u8],
+        now: Instant,
+        client_timeout: impl Fn(&Message) -> Option<Duration>,
+    ) {
         if self.bad.is_some() {
             self.unreadable += bytes.len();
             return;
@@ -65,8 +71,8 @@
         loop {
             match self.parser.next_message() {
                 Ok(Some(message)) => {
-                    let due = waits(&message).and_then(|wait| now.checked_add(wait));
-                    self.whole.push_back(Arrived { message, at: now, due });
+                    let deadline = client_timeout(&message).and_then(|timeout| now.checked_add(timeout));
+                    self.whole.push_back(ReceivedRequest { message, received_at: now, deadline });
                     self.begun = None;
                 }
                 Ok(None) => {
@@ -87,7 +93,7 @@
     ///
     /// # Errors
     /// Returns the parse error once all requests before it have been taken.
-    pub fn next_request(&mut self) -> Result<Option<Arrived>, Bad> {
+    pub fn next_request(&mut self) -> Result<Option<ReceivedRequest>, MessageError> {
         match (self.whole.pop_front(), self.bad) {
             (Some(request), _) => Ok(Some(request)),
             (None, Some(bad)) => Err(bad),
@@ -96,8 +102,8 @@
     }
 
     /// Returns the earliest deadline among the complete requests.
-    pub fn earliest_due(&self) -> Option<Instant> {
-        self.whole.iter().filter_map(|request| request.due).min()
+    pub fn earliest_deadline(&self) -> Option<Instant> {
+        self.whole.iter().filter_map(|request| request.deadline).min()
     }
 
     /// Returns whether there is a request to answer or an error to report without reading more.
--- a/src/http/parse.rs
+++ b/src/http/parse.rs
@@ -12,7 +12,7 @@
 
 /// Why a message was rejected. Framing is lost, so the connection has to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bad {
+pub enum MessageError {
     /// The first line is not a valid HTTP/1 request or status line.
     StartLine,
     /// The version is neither 1.0 nor 1.1.
@@ -24,7 +24,7 @@
     /// The content length is malformed, repeated with different values, or combined with a transfer coding.
     Length,
     /// The transfer coding is not `chunked`.
-    Coding,
+    TransferCoding,
     /// A chunk is malformed.
     Chunk,
     /// The body is too long.
@@ -35,33 +35,35 @@
     Flood,
 }
 
-impl Bad {
+impl MessageError {
     /// Returns the HTTP status for this error.
     pub fn status(self) -> u16 {
         match self {
-            Bad::HeadTooLong => 431,
-            Bad::BodyTooLong | Bad::Flood => 413,
-            Bad::Coding => 501,
-            Bad::Version => 505,
-            Bad::TooSlow => 408,
-            Bad::StartLine | Bad::Header | Bad::Length | Bad::Chunk => 400,
+            MessageError::HeadTooLong => 431,
+            MessageError::BodyTooLong | MessageError::Flood => 413,
+            MessageError::TransferCoding => 501,
+            MessageError::Version => 505,
+            MessageError::TooSlow => 408,
+            MessageError::StartLine | MessageError::Header | MessageError::Length | MessageError::Chunk => {
+                400
+            }
         }
     }
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for MessageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Bad::StartLine => "the first line is not valid HTTP/1.1",
-            Bad::Version => "only HTTP/1.0 and HTTP/1.1 are supported",
-            Bad::Header => "a header line is malformed",
-            Bad::HeadTooLong => "the head is too long",
-            Bad::Length => "the length of the body is malformed",
-            Bad::Coding => "the only supported transfer coding is chunked",
-            Bad::Chunk => "a chunk of the body is malformed",
-            Bad::BodyTooLong => "the body is too long",
-            Bad::TooSlow => "the request did not arrive in time",
-            Bad::Flood => "too much data follows a request that is not answered yet",
+            MessageError::StartLine => "the first line is not valid HTTP/1.1",
+            MessageError::Version => "only HTTP/1.0 and HTTP/1.1 are supported",
+            MessageError::Header => "a header line is malformed",
+            MessageError::HeadTooLong => "the head is too long",
+            MessageError::Length => "the length of the body is malformed",
+            MessageError::TransferCoding => "the only supported transfer coding is chunked",
+            MessageError::Chunk => "a chunk of the body is malformed",
+            MessageError::BodyTooLong => "the body is too long",
+            MessageError::TooSlow => "the request did not arrive in time",
+            MessageError::Flood => "too much data follows a request that is not answered yet",
         })
     }
 }
@@ -124,7 +126,7 @@
 
 /// Which kind of messages to parse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// Requests, with the limits that apply to them.
     Request,
     /// Responses, with bodies of at most this many bytes.
@@ -140,7 +142,7 @@
 /// Parses consecutive messages of one connection.
 #[derive(Debug)]
 pub struct Parser {
-    kind: Kind,
+    kind: MessageKind,
     state: State,
     buffer: Vec<u8>,
     /// How many bytes of the buffer were already searched for the end of the head.
@@ -149,7 +151,7 @@
 
 impl Parser {
     /// Creates a parser for a new connection.
-    pub fn new(kind: Kind) -> Self {
+    pub fn new(kind: MessageKind) -> Self {
         Parser { kind, state: State::Head, buffer: Vec::new(), searched: 0 }
     }
 
@@ -182,7 +184,7 @@
     ///
     /// # Errors
     /// Returns why the input is malformed. Nothing after that can be parsed.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Bad> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         loop {
             match std::mem::replace(&mut self.state, State::Head) {
                 State::Head => {
@@ -210,12 +212,12 @@
 
     fn most_body(&self) -> usize {
         match self.kind {
-            Kind::Request => MOST_BODY,
-            Kind::Response(most) => most,
+            MessageKind::Request => MOST_BODY,
+            MessageKind::Response(most) => most,
         }
     }
 
-    fn head(&mut self) -> Result<Option<(Message, Framing)>, Bad> {
+    fn head(&mut self) -> Result<Option<(Message, Framing)>, MessageError> {
         // Empty lines before a request are skipped (RFC 9112, section 2.2).
         let blank = self.buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
         if blank > 0 {
@@ -224,75 +226,80 @@
         }
         let Some(end) = find_head_end(&self.buffer, self.searched) else {
             self.searched = self.buffer.len().saturating_sub(3);
-            return if self.buffer.len() > MOST_HEAD { Err(Bad::HeadTooLong) } else { Ok(None) };
+            return if self.buffer.len() > MOST_HEAD { Err(MessageError::HeadTooLong) } else { Ok(None) };
         };
         if end > MOST_HEAD {
-            return Err(Bad::HeadTooLong);
+            return Err(MessageError::HeadTooLong);
         }
         self.searched = 0;
         let head: Vec<u8> = self.buffer.drain(..end).collect();
-        let text = std::str::from_utf8(&head).map_err(|_| Bad::Header)?;
+        let text = std::str::from_utf8(&head).map_err(|_| MessageError::Header)?;
         let mut lines = text.lines();
         let start = start_line(lines.next().unwrap_or(""), self.kind)?;
         let mut headers = Headers::default();
         for line in lines.filter(|line| !line.is_empty()) {
             if headers.0.len() == MOST_HEADERS {
-                return Err(Bad::Header);
+                return Err(MessageError::Header);
             }
             headers.0.push(header(line)?);
         }
-        let version = if self.kind == Kind::Request { &start.2 } else { &start.0 };
+        let version = if self.kind == MessageKind::Request { &start.2 } else { &start.0 };
         let keep_alive = match version.as_str() {
             "HTTP/1.1" => !headers.has_token("connection", "close"),
             "HTTP/1.0" => headers.has_token("connection", "keep-alive"),
-            _ => return Err(Bad::Version),
+            _ => return Err(MessageError::Version),
         };
         let framing = self.framing(&start, &headers)?;
         let keep_alive = keep_alive && framing != Framing::UntilClose;
         let body = match (self.kind, framing) {
             // Reserve the exact size: growing by doubling would allocate up to twice the bytes of a long response.
-            (Kind::Response(_), Framing::Length(length)) => Vec::with_capacity(length),
+            (MessageKind::Response(_), Framing::Length(length)) => Vec::with_capacity(length),
             _ => Vec::new(),
         };
         Ok(Some((Message { start, headers, body, keep_alive }, framing)))
     }
 
-    fn framing(&self, start: &Start, headers: &Headers) -> Result<Framing, Bad> {
+    fn framing(&self, start: &Start, headers: &Headers) -> Result<Framing, MessageError> {
         let of = |wanted: &'static str| headers.0.iter().filter(move |(name, _)| name == wanted);
         let mut lengths = of("content-length").map(|(_, value)| value.as_str());
         let coded = of("transfer-encoding").next().is_some();
         if coded {
             // A message with two kinds of framing may be a request smuggling attempt.
             if lengths.next().is_some() {
-                return Err(Bad::Length);
+                return Err(MessageError::Length);
             }
             let chunked = of("transfer-encoding").all(|(_, value)| value.eq_ignore_ascii_case("chunked"));
             return if chunked && of("transfer-encoding").count() == 1 {
                 Ok(Framing::Chunked)
             } else {
-                Err(Bad::Coding)
+                Err(MessageError::TransferCoding)
             };
         }
         if let Some(length) = lengths.next() {
             if lengths.any(|other| other != length) || !length.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(Bad::Length);
+                return Err(MessageError::Length);
             }
-            let length: usize =
-                length.parse().map_err(|_| if length.is_empty() { Bad::Length } else { Bad::BodyTooLong })?;
+            let length: usize = length.parse().map_err(|_| {
+                if length.is_empty() {
+                    MessageError::Length
+                } else {
+                    MessageError::BodyTooLong
+                }
+            })?;
             return if length > self.most_body() {
-                Err(Bad::BodyTooLong)
+                Err(MessageError::BodyTooLong)
             } else {
                 Ok(Framing::Length(length))
             };
         }
-        let bare = self.kind == Kind::Request
+        let bare = self.kind == MessageKind::Request
             || matches!(start.1.as_str(), "204" | "304")
             || start.1.starts_with('1');
         Ok(if bare { Framing::Length(0) } else { Framing::UntilClose })
     }
 
     /// Moves available bytes into the body. Returns whether the body is complete.
-    fn body(&mut self, (message, framing): &mut (Message, Framing)) -> Result<bool, Bad> {
+    fn body(&mut self, (message, framing): &mut (Message, Framing)) -> Result<bool, MessageError> {
         match framing {
             Framing::Length(length) => {
                 let missing = *length - message.body.len();
@@ -303,7 +310,7 @@
             Framing::UntilClose => {
                 message.body.append(&mut self.buffer);
                 if message.body.len() > self.most_body() {
-                    Err(Bad::BodyTooLong)
+                    Err(MessageError::BodyTooLong)
                 } else {
                     Ok(false)
                 }
@@ -312,19 +319,23 @@
         }
     }
 
-    fn chunks(&mut self, message: &mut Message) -> Result<bool, Bad> {
+    fn chunks(&mut self, message: &mut Message) -> Result<bool, MessageError> {
         loop {
             let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') else {
-                return if self.buffer.len() > MOST_CHUNK_LINE { Err(Bad::Chunk) } else { Ok(false) };
+                return if self.buffer.len() > MOST_CHUNK_LINE {
+                    Err(MessageError::Chunk)
+                } else {
+                    Ok(false)
+                };
             };
-            let line = std::str::from_utf8(&self.buffer[..end]).map_err(|_| Bad::Chunk)?;
+            let line = std::str::from_utf8(&self.buffer[..end]).map_err(|_| MessageError::Chunk)?;
             let digits = line.split(';').next().unwrap_or("").trim();
             if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
-                return Err(Bad::Chunk);
+                return Err(MessageError::Chunk);
             }
-            let size = usize::from_str_radix(digits, 16).map_err(|_| Bad::Chunk)?;
+            let size = usize::from_str_radix(digits, 16).map_err(|_| MessageError::Chunk)?;
             if message.body.len() + size > self.most_body() {
-                return Err(Bad::BodyTooLong);
+                return Err(MessageError::BodyTooLong);
             }
             if size == 0 {
                 return self.trailers(end + 1);
@@ -335,7 +346,7 @@
                 (Some(b'\n'), _) => 1,
                 (Some(b'\r'), Some(b'\n')) => 2,
                 (None, _) | (Some(b'\r'), None) => return Ok(false),
-                _ => return Err(Bad::Chunk),
+                _ => return Err(MessageError::Chunk),
             };
             message.body.extend_from_slice(&self.buffer[end + 1..after]);
             self.buffer.drain(..after + tail);
@@ -343,7 +354,7 @@
     }
 
     /// Skips the trailers after the last chunk, up to and including the empty line.
-    fn trailers(&mut self, from: usize) -> Result<bool, Bad> {
+    fn trailers(&mut self, from: usize) -> Result<bool, MessageError> {
         let mut at = from;
         while let Some(length) = self.buffer[at..].iter().position(|byte| *byte == b'\n') {
             let empty = self.buffer[at..at + length].iter().all(|byte| *byte == b'\r');
@@ -354,7 +365,7 @@
             }
         }
         if self.buffer.len() > from + MOST_CHUNK_LINE {
-            Err(Bad::Chunk)
+            Err(MessageError::Chunk)
         } else {
             Ok(false)
         }
@@ -374,31 +385,31 @@
     None
 }
 
-fn start_line(line: &str, kind: Kind) -> Result<Start, Bad> {
+fn start_line(line: &str, kind: MessageKind) -> Result<Start, MessageError> {
     let mut words = line.splitn(3, ' ');
     let mut word = || words.next().unwrap_or("").to_string();
     let start = Start(word(), word(), word());
     let sound = match kind {
-        Kind::Request => {
+        MessageKind::Request => {
             let method = !start.0.is_empty() && start.0.bytes().all(|b| b.is_ascii_alphabetic() || b == b'-');
             let path = start.1.starts_with('/') || start.1 == "*";
             method && path && start.2.starts_with("HTTP/")
         }
-        Kind::Response(_) => start.1.len() == 3 && start.1.bytes().all(|b| b.is_ascii_digit()),
+        MessageKind::Response(_) => start.1.len() == 3 && start.1.bytes().all(|b| b.is_ascii_digit()),
     };
     if sound {
         Ok(start)
     } else {
-        Err(Bad::StartLine)
+        Err(MessageError::StartLine)
     }
 }
 
-fn header(line: &str) -> Result<(String, String), Bad> {
-    let (name, value) = line.split_once(':').ok_or(Bad::Header)?;
+fn header(line: &str) -> Result<(String, String), MessageError> {
+    let (name, value) = line.split_once(':').ok_or(MessageError::Header)?;
     let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
     // Implementations disagree on names with a space before the colon and on folded lines, so reject both.
     if name.is_empty() || !name.bytes().all(token) || value.bytes().any(|b| b < b' ' && b != b'\t') {
-        return Err(Bad::Header);
+        return Err(MessageError::Header);
     }
     Ok((name.to_ascii_lowercase(), value.trim().to_string()))
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -18,43 +18,47 @@
 
 use super::client_gate::ClientGate;
 use super::connection::Connection;
-use super::inbox::Arrived;
-use super::parse::{Bad, Message};
+use super::inbox::ReceivedRequest;
+use super::parse::{Message, MessageError};
 use super::write::Response;
 use crate::log::{self, Reason};
 use crate::net::{Fault, Stream};
 
 /// A boxed future that runs on the single thread.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// Answers requests. The future of a request is dropped if its client leaves.
 pub trait Handler {
-    /// Answers a request. `sooner` delivers earlier times by which to answer, because a pipelined request has an
-    /// earlier deadline.
-    fn handle(&self, request: Arrived, sooner: Receiver<Instant>) -> Local<Response>;
+    /// Answers a request. `earlier_deadlines` delivers earlier times by which to answer, because a pipelined request
+    /// has an earlier deadline.
+    fn handle(
+        &self,
+        request: ReceivedRequest,
+        earlier_deadlines: Receiver<Instant>,
+    ) -> LocalBoxFuture<Response>;
     /// Returns how long the client waits for the response after the last byte of its request, if that is known.
-    fn waits(&self, request: &Message) -> Option<Duration>;
+    fn client_timeout(&self, request: &Message) -> Option<Duration>;
     /// Returns the response to input that was rejected.
-    fn bad(&self, bad: Bad) -> Response;
+    fn error_response(&self, error: MessageError) -> Response;
     /// Returns the response to a request that is not processed at all, so that the client can safely retry it.
-    fn refuse(&self, why: Refused) -> Response;
+    fn refuse(&self, reason: RefusalReason) -> Response;
 }
 
 /// Why a request is not processed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum RefusalReason {
     /// The connection exceeds the connection limit.
-    Full,
+    TooManyConnections,
     /// It was pipelined after the last request to be answered on its connection.
-    AfterLast,
+    ConnectionClosing,
 }
 
-impl Refused {
+impl RefusalReason {
     /// Returns the reason as text for the response.
     pub fn text(self) -> &'static str {
         match self {
-            Refused::Full => "too many connections",
-            Refused::AfterLast => "the connection closes after the previous request",
+            RefusalReason::TooManyConnections => "too many connections",
+            RefusalReason::ConnectionClosing => "the connection closes after the previous request",
         }
     }
 }
@@ -63,29 +67,35 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Maximum number of connections that are served at once. An eighth more are accepted, only to be refused.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long a connection may be idle between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Time from the first byte of a request to its last. For the first request, it counts from the accept.
-    pub request: Duration,
+    pub request_timeout: Duration,
     /// Time for writing a response.
-    pub write: Duration,
+    pub write_timeout: Duration,
     /// Whether a connection may carry more than one request.
-    pub keep: bool,
+    pub keep_alive: bool,
 }
 
 impl Limits {
     /// Returns the default timeouts with a limit on connections. A client that sends no valid request gets an error
     /// or a close within 3 s of connecting; one that has made a request may keep its connection for longer.
-    pub fn for_connections(connections: usize) -> Self {
+    pub fn for_connections(max_connections: usize) -> Self {
         let millis = Duration::from_millis;
-        Limits { connections, idle: millis(2000), request: millis(2200), write: millis(3000), keep: true }
+        Limits {
+            max_connections,
+            idle_timeout: millis(2000),
+            request_timeout: millis(2200),
+            write_timeout: millis(3000),
+            keep_alive: true,
+        }
     }
 }
 
 /// After the gate closes, clients are still routed here for a while, and connected ones use the connections they
 /// have. A connection that was idle for this long is unlikely to be used again.
-pub const KEEP_IDLE: Duration = Duration::from_millis(500);
+pub const IDLE_GRACE: Duration = Duration::from_millis(500);
 /// Time in which the first byte of a client that intends to make a request is expected.
 const FIRST_BYTE: Duration = Duration::from_millis(500);
 /// Connections that are idle after a request may occupy at most one part in this many of the connection limit.
@@ -136,7 +146,7 @@
             executor,
             handler,
             limits,
-            room: Cell::new(limits.connections),
+            room: Cell::new(limits.max_connections),
             open: Cell::new(0),
             last: Cell::new(0),
             ending: Cell::new(false),
@@ -149,7 +159,7 @@
     }
 
     /// Returns the number of open connections.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
@@ -169,9 +179,9 @@
     pub async fn drain(self: Rc<Self>) {
         loop {
             self.client_gate.closed().await;
-            Timer::after(KEEP_IDLE).await;
+            Timer::after(IDLE_GRACE).await;
             if !self.client_gate.is_open() {
-                self.close_idle(KEEP_IDLE);
+                self.close_idle(IDLE_GRACE);
             }
         }
     }
@@ -188,8 +198,8 @@
     }
 
     /// Sets the maximum number of connections served at once.
-    pub fn set_room(&self, connections: usize) {
-        self.room.set(connections);
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.room.set(max_connections);
         // Wake the accept loop, which may be waiting for capacity.
         let _ = self.ended.0.try_send(());
     }
@@ -211,7 +221,7 @@
     }
 
     /// Accepts the connections that are already in the accept queue; closing the listener would reset them.
-    pub async fn accept_rest(self: &Rc<Self>, listener: &TcpListener) {
+    pub async fn accept_queued(self: &Rc<Self>, listener: &TcpListener) {
         loop {
             self.has_room().await;
             match future::poll_once(listener.accept()).await {
@@ -358,9 +368,9 @@
     /// Returns how long a connection may be idle.
     pub(super) fn idle_limit(&self, asked: bool) -> Duration {
         match asked {
-            _ if !self.client_gate.is_open() => KEEP_IDLE,
-            true => self.limits.idle,
-            false => self.limits.request,
+            _ if !self.client_gate.is_open() => IDLE_GRACE,
+            true => self.limits.idle_timeout,
+            false => self.limits.request_timeout,
         }
     }
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -12,9 +12,9 @@
 use crate::counters;
 use crate::handover::{Wire, Word};
 use crate::http::client_gate::ClientGate;
-use crate::http::inbox::Arrived;
-use crate::http::parse::{Bad, Message};
-use crate::http::server::{Handler, Limits, Local, Refused, Server};
+use crate::http::inbox::ReceivedRequest;
+use crate::http::parse::{Message, MessageError};
+use crate::http::server::{Handler, Limits, LocalBoxFuture, RefusalReason, Server};
 use crate::http::target::Target;
 use crate::http::write::Response;
 use crate::log;
@@ -39,7 +39,13 @@
 
     /// Serves calls on a listener.
     pub async fn serve(self, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
-        let limits = Limits { connections: CONNECTIONS, idle: CALL, request: CALL, write: CALL, keep: false };
+        let limits = Limits {
+            max_connections: CONNECTIONS,
+            idle_timeout: CALL,
+            request_timeout: CALL,
+            write_timeout: CALL,
+            keep_alive: false,
+        };
         let server = Server::new("operator", executor, Box::new(self), limits, Rc::default());
         server.accept(listener).await;
     }
@@ -118,7 +124,7 @@
 }
 
 impl Handler for Operator {
-    fn handle(&self, request: Arrived, _: Receiver<Instant>) -> Local<Response> {
+    fn handle(&self, request: ReceivedRequest, _: Receiver<Instant>) -> LocalBoxFuture<Response> {
         let request = request.message;
         let (method, target) = (&request.start.0, &request.start.1);
         if method == "PUT" {
@@ -128,16 +134,16 @@
         Box::pin(async move { response })
     }
 
-    fn bad(&self, bad: Bad) -> Response {
+    fn error_response(&self, bad: MessageError) -> Response {
         Response::text(bad.status(), &bad.to_string())
     }
 
     /// All calls are answered at once.
-    fn waits(&self, _: &Message) -> Option<Duration> {
+    fn client_timeout(&self, _: &Message) -> Option<Duration> {
         None
     }
 
-    fn refuse(&self, why: Refused) -> Response {
+    fn refuse(&self, why: RefusalReason) -> Response {
         Response::text(503, why.text())
     }
 }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -15,7 +15,7 @@
 
 use crate::config::Config;
 use crate::handover::{self, new, old, Wire};
-use crate::http::server::KEEP_IDLE;
+use crate::http::server::IDLE_GRACE;
 use crate::log;
 use crate::operator::Operator;
 use crate::transport::span;
@@ -86,7 +86,7 @@
     };
     executor.spawn(stop_reading).detach();
     let drained = async {
-        Timer::after(KEEP_IDLE + KEEP_ACCEPTING).await;
+        Timer::after(IDLE_GRACE + KEEP_ACCEPTING).await;
         program.close().await;
         while !program.is_done() {
             Timer::after(LOOK_EVERY).await;
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -159,7 +159,7 @@
         let (accepting, listener) = (self.accepting.take(), self.listener.take());
         if let (Some(accepting), Some(listener)) = (accepting, listener) {
             drop(accepting);
-            self.server.accept_rest(&listener).await;
+            self.server.accept_queued(&listener).await;
         }
     }
 
@@ -180,7 +180,7 @@
 
     /// Whether nothing is left that a client waits for.
     pub fn is_done(&self) -> bool {
-        self.driver.open_queries() == 0 && self.server.open() == 0
+        self.driver.open_queries() == 0 && self.server.open_connections() == 0
     }
 }
 
@@ -212,7 +212,7 @@
     }
 
     fn held(&self) -> Held {
-        let descriptors = OTHER_DESCRIPTORS + self.server.open() + self.driver.connections();
+        let descriptors = OTHER_DESCRIPTORS + self.server.open_connections() + self.driver.connections();
         Held { open: self.driver.held(), descriptors }
     }
 
@@ -235,7 +235,7 @@
 
     fn leave_room(&self, held: Option<Held>) {
         let Held { open, descriptors } = held.unwrap_or_default();
-        self.server.set_room(self.config.client_connections(descriptors));
+        self.server.set_max_connections(self.config.client_connections(descriptors));
         self.driver.leave_room(open, self.config.store_connections(descriptors));
     }
 }
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,10 +1,10 @@
 //! The HTTP parser: messages split anywhere, and input that must not get through or panic.
 
-use ironpaddle::http::parse::{Bad, Kind, Message, Parser};
+use ironpaddle::http::parse::{Message, MessageError, MessageKind, Parser};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-fn read(kind: Kind, pieces: &[&[u8]]) -> Result<Vec<Message>, Bad> {
+fn read(kind: MessageKind, pieces: &[&[u8]]) -> Result<Vec<Message>, MessageError> {
     let mut parser = Parser::new(kind);
     let mut messages = Vec::new();
     for piece in pieces {
@@ -22,7 +22,7 @@
 #[test]
 fn messages_split_anywhere_are_read_alike() {
     for cut in 0..TWO.len() {
-        let messages = read(Kind::Request, &[&TWO[..cut], &TWO[cut..]]).unwrap();
+        let messages = read(MessageKind::Request, &[&TWO[..cut], &TWO[cut..]]).unwrap();
         assert_eq!(messages.len(), 2, "cut at {cut}");
         assert_eq!((&messages[0].body[..], messages[0].keep_alive), (&b"abc"[..], true));
         assert_eq!(messages[0].headers.get("x-tenant-id"), Some("acme"));
@@ -33,38 +33,38 @@
 #[test]
 fn what_could_be_read_in_two_ways_is_refused() {
     for (head, bad) in [
-        ("GET /\r\n\r\n", Bad::StartLine),
-        ("GET / HTTP/3\r\n\r\n", Bad::Version),
-        ("GET / HTTP/1.1\r\nA : b\r\n\r\n", Bad::Header),
-        ("GET / HTTP/1.1\r\nA: b\r\n folded\r\n\r\n", Bad::Header),
-        ("GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", Bad::Length),
-        ("GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", Bad::Length),
-        ("GET / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n", Bad::BodyTooLong),
-        ("GET / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", Bad::BodyTooLong),
-        ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n", Bad::Length),
-        ("GET / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", Bad::Coding),
-        ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffffff\r\n", Bad::Chunk),
-        ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", Bad::Chunk),
-        ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", Bad::BodyTooLong),
+        ("GET /\r\n\r\n", MessageError::StartLine),
+        ("GET / HTTP/3\r\n\r\n", MessageError::Version),
+        ("GET / HTTP/1.1\r\nA : b\r\n\r\n", MessageError::Header),
+        ("GET / HTTP/1.1\r\nA: b\r\n folded\r\n\r\n", MessageError::Header),
+        ("GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", MessageError::Length),
+        ("GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", MessageError::Length),
+        ("GET / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n", MessageError::BodyTooLong),
+        ("GET / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", MessageError::BodyTooLong),
+        ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n", MessageError::Length),
+        ("GET / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", MessageError::TransferCoding),
+        ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nfffffffff\r\n", MessageError::Chunk),
+        ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", MessageError::Chunk),
+        ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", MessageError::BodyTooLong),
     ] {
-        assert_eq!(read(Kind::Request, &[head.as_bytes()]), Err(bad), "{head:?}");
+        assert_eq!(read(MessageKind::Request, &[head.as_bytes()]), Err(bad), "{head:?}");
     }
     let long = format!("GET / HTTP/1.1\r\nA: {}\r\n", "b".repeat(20_000));
-    assert_eq!(read(Kind::Request, &[long.as_bytes()]), Err(Bad::HeadTooLong));
+    assert_eq!(read(MessageKind::Request, &[long.as_bytes()]), Err(MessageError::HeadTooLong));
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(101));
-    assert_eq!(read(Kind::Request, &[many.as_bytes()]), Err(Bad::Header));
+    assert_eq!(read(MessageKind::Request, &[many.as_bytes()]), Err(MessageError::Header));
 }
 
 #[test]
 fn a_response_without_a_length_ends_with_its_connection() {
-    let mut parser = Parser::new(Kind::Response(10));
+    let mut parser = Parser::new(MessageKind::Response(10));
     parser.push(b"HTTP/1.1 200 OK\r\n\r\nwhole");
     assert_eq!(parser.next_message(), Ok(None));
     assert_eq!(
         parser.finish().map(|message| (message.body, message.keep_alive)),
         Some((b"whole".to_vec(), false))
     );
-    let mut parser = Parser::new(Kind::Response(10));
+    let mut parser = Parser::new(MessageKind::Response(10));
     parser.push(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut");
     assert_eq!(parser.next_message(), Ok(None));
     assert_eq!(parser.finish(), None, "a body that is cut is no body");
@@ -89,7 +89,7 @@
     let pieces = prop::collection::vec(words, 0..30);
     runner
         .run(&pieces, |pieces| {
-            for kind in [Kind::Request, Kind::Response(4)] {
+            for kind in [MessageKind::Request, MessageKind::Response(4)] {
                 if let Ok(messages) = read(kind, &pieces) {
                     let most = pieces.iter().map(|piece| piece.len()).sum::<usize>();
                     prop_assert!(messages.iter().map(|message| message.body.len()).sum::<usize>() <= most);
