--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -62,7 +62,7 @@
             }
             Ok(sendmsg(stream, &[IoSlice::new(b"s")], &mut control, SendFlags::NOSIGNAL)?)
         };
-        net::again(|| self.stream.write_with(send)).await.map(drop)
+        net::retry_transient(|| self.stream.write_with(send)).await.map(drop)
     }
 
     /// Takes the sockets that are passed along.
@@ -87,7 +87,7 @@
             }
             Ok(sockets)
         };
-        net::again(|| self.stream.read_with(receive)).await
+        net::retry_transient(|| self.stream.read_with(receive)).await
     }
 }
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -22,7 +22,7 @@
 use super::parse::{Message, MessageError};
 use super::write::Response;
 use crate::log::{self, Reason};
-use crate::net::{Fault, Stream};
+use crate::net::{SocketErrorKind, Stream};
 
 /// A boxed future that runs on the single thread.
 pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
@@ -249,17 +249,17 @@
             }
             Err(error) => {
                 self.say_failed(&error);
-                match Fault::of(&error) {
+                match SocketErrorKind::of(&error) {
                     // No descriptor is left: connections wait in the accept queue until one is free.
-                    Fault::Room => {
+                    SocketErrorKind::ResourceLimit => {
                         self.close_longest_idle(FIRST_BYTE);
                         Timer::after(ACCEPT_PAUSE).await;
                     }
-                    Fault::Machine => {
+                    SocketErrorKind::LocalHost => {
                         Timer::after(ACCEPT_PAUSE).await;
                     }
                     // Only this connection failed, and the next one may be waiting.
-                    Fault::Connection => future::yield_now().await,
+                    SocketErrorKind::Connection => future::yield_now().await,
                 }
             }
         }
--- a/src/net.rs
+++ b/src/net.rs
@@ -21,20 +21,22 @@
 
 /// Classifies an error from connecting or accepting a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
+pub enum SocketErrorKind {
     /// This process or machine has no file descriptor or memory for another connection.
-    Room,
+    ResourceLimit,
     /// This machine cannot make connections at the moment, regardless of the peer.
-    Machine,
+    LocalHost,
     /// The error concerns only this connection or its peer.
     Connection,
 }
 
-impl Fault {
+impl SocketErrorKind {
     /// Classifies an error according to socket(2), connect(2) and accept(2).
-    pub fn of(error: &io::Error) -> Fault {
+    pub fn of(error: &io::Error) -> SocketErrorKind {
         match Errno::from_io_error(error) {
-            Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => Fault::Room,
+            Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
+                SocketErrorKind::ResourceLimit
+            }
             Some(
                 Errno::ADDRNOTAVAIL
                 | Errno::ADDRINUSE
@@ -44,8 +46,8 @@
                 | Errno::NETUNREACH
                 | Errno::PERM
                 | Errno::ACCESS,
-            ) => Fault::Machine,
-            _ => Fault::Connection,
+            ) => SocketErrorKind::LocalHost,
+            _ => SocketErrorKind::Connection,
         }
     }
 }
@@ -59,7 +61,9 @@
 ///
 /// # Errors
 /// Returns the call's error, unless the call was interrupted or the kernel was out of memory.
-pub async fn again<T, F: Future<Output = io::Result<T>>>(mut call: impl FnMut() -> F) -> io::Result<T> {
+pub async fn retry_transient<T, F: Future<Output = io::Result<T>>>(
+    mut call: impl FnMut() -> F,
+) -> io::Result<T> {
     loop {
         match call().await {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
@@ -121,7 +125,7 @@
     /// Connects to an address and disables Nagle's algorithm.
     ///
     /// # Errors
-    /// Returns the connection error; [`Fault::of`] classifies it.
+    /// Returns the connection error; [`SocketErrorKind::of`] classifies it.
     pub async fn connect(to: SocketAddr) -> io::Result<Self> {
         let inner = TcpStream::connect(to).await?;
         // Bytes that Nagle's algorithm holds back are lost if the connection is reset.
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::api::Millis;
 use crate::log::Reason;
-use crate::net::Fault;
+use crate::net::SocketErrorKind;
 use crate::settings::SiteSettings;
 
 /// Limits and settings of a transport.
@@ -40,10 +40,10 @@
 
 /// Returns the reason for the log when a connection could not be made.
 fn connect_failed(error: &io::Error) -> Reason {
-    match (error.kind(), Fault::of(error)) {
+    match (error.kind(), SocketErrorKind::of(error)) {
         (io::ErrorKind::TimedOut, _) => Reason::ConnectTimeout,
-        (_, Fault::Connection) => Reason::ConnectFailed,
-        (_, Fault::Room | Fault::Machine) => Reason::NoSocket,
+        (_, SocketErrorKind::Connection) => Reason::ConnectFailed,
+        (_, SocketErrorKind::ResourceLimit | SocketErrorKind::LocalHost) => Reason::NoSocket,
     }
 }
 
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -6,7 +6,7 @@
 use std::task::{Context, Poll};
 
 use futures_lite::{future, AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
-use ironpaddle::net::{Fault, Stream};
+use ironpaddle::net::{SocketErrorKind, Stream};
 use rustix::io::Errno;
 
 /// A connection whose calls end as a test says.
@@ -71,15 +71,18 @@
 #[test]
 fn errors_of_accept_and_connect_say_whose_fault_they_are() {
     for (errnos, fault) in [
-        (&[Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM][..], Fault::Room),
-        (&[Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NETDOWN, Errno::PERM, Errno::INTR], Fault::Machine),
+        (&[Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM][..], SocketErrorKind::ResourceLimit),
+        (
+            &[Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NETDOWN, Errno::PERM, Errno::INTR],
+            SocketErrorKind::LocalHost,
+        ),
         (
             &[Errno::CONNABORTED, Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::TIMEDOUT, Errno::PROTO],
-            Fault::Connection,
+            SocketErrorKind::Connection,
         ),
     ] {
         for errno in errnos {
-            assert_eq!(Fault::of(&(*errno).into()), fault, "{errno}");
+            assert_eq!(SocketErrorKind::of(&(*errno).into()), fault, "{errno}");
         }
     }
 }
