--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -13,7 +13,7 @@
 /// A client connection to a server.
 pub struct Client {
     stream: Stream,
-    most_body: usize,
+    max_body_len: usize,
 }
 
 /// Runs a future with a timeout.
@@ -21,24 +21,24 @@
 /// # Errors
 /// Returns the future's own error, or an error of kind `TimedOut` if the timeout expires first.
 pub async fn within<T>(
-    limit: Duration,
+    timeout: Duration,
     wait: impl std::future::Future<Output = io::Result<T>>,
 ) -> io::Result<T> {
     future::or(wait, async {
-        Timer::after(limit).await;
+        Timer::after(timeout).await;
         Err(io::ErrorKind::TimedOut.into())
     })
     .await
 }
 
 impl Client {
-    /// Connects within `limit`. Responses may have bodies of at most `most_body` bytes.
+    /// Connects within `timeout`. Responses may have bodies of at most `max_body_len` bytes.
     ///
     /// # Errors
     /// Returns an error if the connection is refused or not established in time.
-    pub async fn connect(to: SocketAddr, limit: Duration, most_body: usize) -> io::Result<Self> {
-        let stream = within(limit, Stream::connect(to)).await?;
-        Ok(Client { stream, most_body })
+    pub async fn connect(to: SocketAddr, timeout: Duration, max_body_len: usize) -> io::Result<Self> {
+        let stream = within(timeout, Stream::connect(to)).await?;
+        Ok(Client { stream, max_body_len })
     }
 
     /// Writes a request. Until this returns `Ok`, the server cannot have received the whole request.
@@ -54,7 +54,7 @@
     /// # Errors
     /// Returns an error if the connection breaks or ends early, or if the response is malformed.
     pub async fn read(&mut self) -> io::Result<Message> {
-        let mut parser = Parser::new(MessageKind::Response(self.most_body));
+        let mut parser = Parser::new(MessageKind::Response(self.max_body_len));
         let mut bytes = [0; 8192];
         loop {
             match parser.next_message() {
@@ -66,7 +66,7 @@
                     return Ok(message);
                 }
                 Ok(None) => {}
-                Err(bad) => return Err(io::Error::new(io::ErrorKind::InvalidData, bad.to_string())),
+                Err(error) => return Err(io::Error::new(io::ErrorKind::InvalidData, error.to_string())),
             }
             match self.stream.read(&mut bytes).await? {
                 0 => return parser.finish().ok_or_else(|| io::ErrorKind::UnexpectedEof.into()),
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Returns a future that shuts down the write side once `told` completes. The read side stays open.
-    pub fn ends_when(
+    /// Returns a future that shuts down the write side once `signal` completes. The read side stays open.
+    pub fn shutdown_write_when(
         &self,
-        told: impl std::future::Future<Output = ()>,
+        signal: impl std::future::Future<Output = ()>,
     ) -> impl std::future::Future<Output = ()> {
         let stream = self.stream.clone();
         async move {
-            told.await;
+            signal.await;
             let _ = stream.shutdown(Shutdown::Write);
         }
     }
@@ -96,7 +96,7 @@
     }
 
     /// Completes when the server closes the idle connection or sends unsolicited data.
-    pub async fn idle(&mut self) {
+    pub async fn closed_while_idle(&mut self) {
         let _ = self.stream.read(&mut [0]).await;
     }
 }
--- a/src/http/inbox.rs
+++ b/src/http/inbox.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::parse::{Message, MessageError, MessageKind, Parser, MOST_BODY};
+use super::parse::{Message, MessageError, MessageKind, Parser, MAX_REQUEST_BODY_LEN};
 
 /// A completely received request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -19,7 +19,7 @@
 impl ReceivedRequest {
     /// Returns whether the response has a body. A client would take a body in the response to `HEAD` for the next
     /// response.
-    pub fn has_body_in_answer(&self) -> bool {
+    pub fn response_has_body(&self) -> bool {
         self.message.start.0 != "HEAD"
     }
 
@@ -33,23 +33,23 @@
 #[derive(Debug)]
 pub struct Inbox {
     parser: Parser,
-    whole: VecDeque<ReceivedRequest>,
+    complete: VecDeque<ReceivedRequest>,
     /// When the first byte of the incomplete request arrived.
-    begun: Option<Instant>,
+    partial_since: Option<Instant>,
     /// Why nothing after the complete requests can be parsed.
-    bad: Option<MessageError>,
+    error: Option<MessageError>,
     /// Number of bytes received after that error.
-    unreadable: usize,
+    bytes_after_error: usize,
 }
 
 impl Default for Inbox {
     fn default() -> Self {
         Inbox {
             parser: Parser::new(MessageKind::Request),
-            whole: VecDeque::new(),
-            begun: None,
-            bad: None,
-            unreadable: 0,
+            complete: VecDeque::new(),
+            partial_since: None,
+            error: None,
+            bytes_after_error: 0,
         }
     }
 }
@@ -63,8 +63,8 @@
         now: Instant,
         client_timeout: impl Fn(&Message) -> Option<Duration>,
     ) {
-        if self.bad.is_some() {
-            self.unreadable += bytes.len();
+        if self.error.is_some() {
+            self.bytes_after_error += bytes.len();
             return;
         }
         self.parser.push(bytes);
@@ -72,17 +72,17 @@
             match self.parser.next_message() {
                 Ok(Some(message)) => {
                     let deadline = client_timeout(&message).and_then(|timeout| now.checked_add(timeout));
-                    self.whole.push_back(ReceivedRequest { message, received_at: now, deadline });
-                    self.begun = None;
+                    self.complete.push_back(ReceivedRequest { message, received_at: now, deadline });
+                    self.partial_since = None;
                 }
                 Ok(None) => {
-                    if self.parser.is_inside() {
-                        self.begun.get_or_insert(now);
+                    if self.parser.has_partial_message() {
+                        self.partial_since.get_or_insert(now);
                     }
                     return;
                 }
-                Err(bad) => {
-                    self.bad = Some(bad);
+                Err(error) => {
+                    self.error = Some(error);
                     return;
                 }
             }
@@ -94,47 +94,47 @@
     /// # Errors
     /// Returns the parse error once all requests before it have been taken.
     pub fn next_request(&mut self) -> Result<Option<ReceivedRequest>, MessageError> {
-        match (self.whole.pop_front(), self.bad) {
+        match (self.complete.pop_front(), self.error) {
             (Some(request), _) => Ok(Some(request)),
-            (None, Some(bad)) => Err(bad),
+            (None, Some(error)) => Err(error),
             (None, None) => Ok(None),
         }
     }
 
     /// Returns the earliest deadline among the complete requests.
     pub fn earliest_deadline(&self) -> Option<Instant> {
-        self.whole.iter().filter_map(|request| request.deadline).min()
+        self.complete.iter().filter_map(|request| request.deadline).min()
     }
 
     /// Returns whether there is a request to answer or an error to report without reading more.
-    pub fn has_whole(&self) -> bool {
-        !self.whole.is_empty() || self.bad.is_some()
+    pub fn has_complete(&self) -> bool {
+        !self.complete.is_empty() || self.error.is_some()
     }
 
     /// Returns when the incomplete request began to arrive, if there is one.
-    pub fn begun(&self) -> Option<Instant> {
-        self.begun
+    pub fn partial_since(&self) -> Option<Instant> {
+        self.partial_since
     }
 
     /// Returns whether a request was received partially.
-    pub fn is_inside(&self) -> bool {
-        self.begun.is_some()
+    pub fn has_partial(&self) -> bool {
+        self.partial_since.is_some()
     }
 
     /// Returns whether there is no input left to answer.
     pub fn is_empty(&self) -> bool {
-        !self.has_whole() && !self.is_inside()
+        !self.has_complete() && !self.has_partial()
     }
 
     /// Returns whether the buffered input exceeds the largest permitted request.
     pub fn is_full(&self) -> bool {
-        let whole: usize = self.whole.iter().map(|request| request.message.size()).sum();
-        whole + self.parser.buffered() + self.unreadable > MOST_BODY
+        let complete_size: usize = self.complete.iter().map(|request| request.message.size()).sum();
+        complete_size + self.parser.buffered() + self.bytes_after_error > MAX_REQUEST_BODY_LEN
     }
 
     /// Adds bytes of the partially received request, or of the next one. Once that request is complete or malformed,
     /// returns how many of the bytes follow it.
-    pub fn bytes_behind_first(&mut self, bytes: &[u8]) -> Option<usize> {
+    pub fn bytes_after_first(&mut self, bytes: &[u8]) -> Option<usize> {
         self.parser.push(bytes);
         match self.parser.next_message() {
             Ok(None) => None,
--- a/src/http/parse.rs
+++ b/src/http/parse.rs
@@ -3,12 +3,12 @@
 use std::fmt;
 
 /// Maximum size of a message head, in bytes.
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_HEAD_LEN: usize = 16 * 1024;
 /// Maximum size of a request body, in bytes.
-pub const MOST_BODY: usize = 64 * 1024;
+pub const MAX_REQUEST_BODY_LEN: usize = 64 * 1024;
 /// Maximum size of a chunk size line or of the trailers, in bytes.
-const MOST_CHUNK_LINE: usize = 1024;
-const MOST_HEADERS: usize = 100;
+const MAX_CHUNK_LINE_LEN: usize = 1024;
+const MAX_HEADERS: usize = 100;
 
 /// Why a message was rejected. Framing is lost, so the connection has to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -75,17 +75,17 @@
 impl Headers {
     /// Returns the first value of a header. `name` must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.0.iter().find(|(header_name, _)| header_name == name).map(|(_, value)| value.as_str())
     }
 
     /// Returns all values of a header. `name` must be in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.0.iter().filter(move |(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.0.iter().filter(move |(header_name, _)| header_name == name).map(|(_, value)| value.as_str())
     }
 
     /// Returns whether a comma-separated header contains a token, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
-        self.all(name).flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case(token))
+        self.all(name).flat_map(|value| value.split(',')).any(|item| item.trim().eq_ignore_ascii_case(token))
     }
 }
 
@@ -100,13 +100,13 @@
 /// The three parts of a message's first line: method, target and version of a request, or version, status code and
 /// reason phrase of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Start(pub String, pub String, pub String);
+pub struct StartLine(pub String, pub String, pub String);
 
 /// A complete message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// The first line.
-    pub start: Start,
+    pub start: StartLine,
     /// The headers.
     pub headers: Headers,
     /// The body.
@@ -146,13 +146,13 @@
     state: State,
     buffer: Vec<u8>,
     /// How many bytes of the buffer were already searched for the end of the head.
-    searched: usize,
+    head_searched: usize,
 }
 
 impl Parser {
     /// Creates a parser for a new connection.
     pub fn new(kind: MessageKind) -> Self {
-        Parser { kind, state: State::Head, buffer: Vec::new(), searched: 0 }
+        Parser { kind, state: State::Head, buffer: Vec::new(), head_searched: 0 }
     }
 
     /// Appends received bytes.
@@ -161,7 +161,7 @@
     }
 
     /// Returns whether a message was received partially.
-    pub fn is_inside(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty() || matches!(self.state, State::Body(_))
     }
 
@@ -173,8 +173,8 @@
     /// Returns whether the client waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
         match &self.state {
-            State::Body(inside) => {
-                self.buffer.is_empty() && inside.0.headers.has_token("expect", "100-continue")
+            State::Body(partial) => {
+                self.buffer.is_empty() && partial.0.headers.has_token("expect", "100-continue")
             }
             State::Head => false,
         }
@@ -188,14 +188,14 @@
         loop {
             match std::mem::replace(&mut self.state, State::Head) {
                 State::Head => {
-                    let Some(head) = self.head()? else { return Ok(None) };
+                    let Some(head) = self.parse_head()? else { return Ok(None) };
                     self.state = State::Body(Box::new(head));
                 }
-                State::Body(mut inside) => {
-                    if self.body(&mut inside)? {
-                        return Ok(Some(inside.0));
+                State::Body(mut partial) => {
+                    if self.read_body(&mut partial)? {
+                        return Ok(Some(partial.0));
                     }
-                    self.state = State::Body(inside);
+                    self.state = State::Body(partial);
                     return Ok(None);
                 }
             }
@@ -205,43 +205,43 @@
     /// Handles the end of the connection: returns the message whose body ends with it, if there is one.
     pub fn finish(&mut self) -> Option<Message> {
         match std::mem::replace(&mut self.state, State::Head) {
-            State::Body(inside) if inside.1 == Framing::UntilClose => Some(inside.0),
+            State::Body(partial) if partial.1 == Framing::UntilClose => Some(partial.0),
             _ => None,
         }
     }
 
-    fn most_body(&self) -> usize {
+    fn max_body_len(&self) -> usize {
         match self.kind {
-            MessageKind::Request => MOST_BODY,
-            MessageKind::Response(most) => most,
+            MessageKind::Request => MAX_REQUEST_BODY_LEN,
+            MessageKind::Response(max_len) => max_len,
         }
     }
 
-    fn head(&mut self) -> Result<Option<(Message, Framing)>, MessageError> {
+    fn parse_head(&mut self) -> Result<Option<(Message, Framing)>, MessageError> {
         // Empty lines before a request are skipped (RFC 9112, section 2.2).
-        let blank = self.buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-        if blank > 0 {
-            self.buffer.drain(..blank);
-            self.searched = 0;
+        let blank_len = self.buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        if blank_len > 0 {
+            self.buffer.drain(..blank_len);
+            self.head_searched = 0;
         }
-        let Some(end) = find_head_end(&self.buffer, self.searched) else {
-            self.searched = self.buffer.len().saturating_sub(3);
-            return if self.buffer.len() > MOST_HEAD { Err(MessageError::HeadTooLong) } else { Ok(None) };
+        let Some(end) = find_head_end(&self.buffer, self.head_searched) else {
+            self.head_searched = self.buffer.len().saturating_sub(3);
+            return if self.buffer.len() > MAX_HEAD_LEN { Err(MessageError::HeadTooLong) } else { Ok(None) };
         };
-        if end > MOST_HEAD {
+        if end > MAX_HEAD_LEN {
             return Err(MessageError::HeadTooLong);
         }
-        self.searched = 0;
+        self.head_searched = 0;
         let head: Vec<u8> = self.buffer.drain(..end).collect();
         let text = std::str::from_utf8(&head).map_err(|_| MessageError::Header)?;
         let mut lines = text.lines();
-        let start = start_line(lines.next().unwrap_or(""), self.kind)?;
+        let start = parse_start_line(lines.next().unwrap_or(""), self.kind)?;
         let mut headers = Headers::default();
         for line in lines.filter(|line| !line.is_empty()) {
-            if headers.0.len() == MOST_HEADERS {
+            if headers.0.len() == MAX_HEADERS {
                 return Err(MessageError::Header);
             }
-            headers.0.push(header(line)?);
+            headers.0.push(parse_header(line)?);
         }
         let version = if self.kind == MessageKind::Request { &start.2 } else { &start.0 };
         let keep_alive = match version.as_str() {
@@ -249,7 +249,7 @@
             "HTTP/1.0" => headers.has_token("connection", "keep-alive"),
             _ => return Err(MessageError::Version),
         };
-        let framing = self.framing(&start, &headers)?;
+        let framing = self.parse_framing(&start, &headers)?;
         let keep_alive = keep_alive && framing != Framing::UntilClose;
         let body = match (self.kind, framing) {
             // Reserve the exact size: growing by doubling would allocate up to twice the bytes of a long response.
@@ -259,17 +259,18 @@
         Ok(Some((Message { start, headers, body, keep_alive }, framing)))
     }
 
-    fn framing(&self, start: &Start, headers: &Headers) -> Result<Framing, MessageError> {
-        let of = |wanted: &'static str| headers.0.iter().filter(move |(name, _)| name == wanted);
-        let mut lengths = of("content-length").map(|(_, value)| value.as_str());
-        let coded = of("transfer-encoding").next().is_some();
-        if coded {
+    fn parse_framing(&self, start: &StartLine, headers: &Headers) -> Result<Framing, MessageError> {
+        let values_of = |wanted: &'static str| headers.0.iter().filter(move |(name, _)| name == wanted);
+        let mut lengths = values_of("content-length").map(|(_, value)| value.as_str());
+        let has_transfer_encoding = values_of("transfer-encoding").next().is_some();
+        if has_transfer_encoding {
             // A message with two kinds of framing may be a request smuggling attempt.
             if lengths.next().is_some() {
                 return Err(MessageError::Length);
             }
-            let chunked = of("transfer-encoding").all(|(_, value)| value.eq_ignore_ascii_case("chunked"));
-            return if chunked && of("transfer-encoding").count() == 1 {
+            let chunked =
+                values_of("transfer-encoding").all(|(_, value)| value.eq_ignore_ascii_case("chunked"));
+            return if chunked && values_of("transfer-encoding").count() == 1 {
                 Ok(Framing::Chunked)
             } else {
                 Err(MessageError::TransferCoding)
@@ -286,43 +287,43 @@
                     MessageError::BodyTooLong
                 }
             })?;
-            return if length > self.most_body() {
+            return if length > self.max_body_len() {
                 Err(MessageError::BodyTooLong)
             } else {
                 Ok(Framing::Length(length))
             };
         }
-        let bare = self.kind == MessageKind::Request
+        let has_no_body = self.kind == MessageKind::Request
             || matches!(start.1.as_str(), "204" | "304")
             || start.1.starts_with('1');
-        Ok(if bare { Framing::Length(0) } else { Framing::UntilClose })
+        Ok(if has_no_body { Framing::Length(0) } else { Framing::UntilClose })
     }
 
     /// Moves available bytes into the body. Returns whether the body is complete.
-    fn body(&mut self, (message, framing): &mut (Message, Framing)) -> Result<bool, MessageError> {
+    fn read_body(&mut self, (message, framing): &mut (Message, Framing)) -> Result<bool, MessageError> {
         match framing {
             Framing::Length(length) => {
-                let missing = *length - message.body.len();
-                let here = missing.min(self.buffer.len());
-                message.body.extend(self.buffer.drain(..here));
-                Ok(here == missing)
+                let remaining = *length - message.body.len();
+                let available = remaining.min(self.buffer.len());
+                message.body.extend(self.buffer.drain(..available));
+                Ok(available == remaining)
             }
             Framing::UntilClose => {
                 message.body.append(&mut self.buffer);
-                if message.body.len() > self.most_body() {
+                if message.body.len() > self.max_body_len() {
                     Err(MessageError::BodyTooLong)
                 } else {
                     Ok(false)
                 }
             }
-            Framing::Chunked => self.chunks(message),
+            Framing::Chunked => self.read_chunks(message),
         }
     }
 
-    fn chunks(&mut self, message: &mut Message) -> Result<bool, MessageError> {
+    fn read_chunks(&mut self, message: &mut Message) -> Result<bool, MessageError> {
         loop {
             let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') else {
-                return if self.buffer.len() > MOST_CHUNK_LINE {
+                return if self.buffer.len() > MAX_CHUNK_LINE_LEN {
                     Err(MessageError::Chunk)
                 } else {
                     Ok(false)
@@ -334,27 +335,27 @@
                 return Err(MessageError::Chunk);
             }
             let size = usize::from_str_radix(digits, 16).map_err(|_| MessageError::Chunk)?;
-            if message.body.len() + size > self.most_body() {
+            if message.body.len() + size > self.max_body_len() {
                 return Err(MessageError::BodyTooLong);
             }
             if size == 0 {
-                return self.trailers(end + 1);
+                return self.skip_trailers(end + 1);
             }
             // A chunk is consumed once it is complete, including its line end.
             let after = end + 1 + size;
-            let tail = match (self.buffer.get(after), self.buffer.get(after + 1)) {
+            let line_end_len = match (self.buffer.get(after), self.buffer.get(after + 1)) {
                 (Some(b'\n'), _) => 1,
                 (Some(b'\r'), Some(b'\n')) => 2,
                 (None, _) | (Some(b'\r'), None) => return Ok(false),
                 _ => return Err(MessageError::Chunk),
             };
             message.body.extend_from_slice(&self.buffer[end + 1..after]);
-            self.buffer.drain(..after + tail);
+            self.buffer.drain(..after + line_end_len);
         }
     }
 
     /// Skips the trailers after the last chunk, up to and including the empty line.
-    fn trailers(&mut self, from: usize) -> Result<bool, MessageError> {
+    fn skip_trailers(&mut self, from: usize) -> Result<bool, MessageError> {
         let mut at = from;
         while let Some(length) = self.buffer[at..].iter().position(|byte| *byte == b'\n') {
             let empty = self.buffer[at..at + length].iter().all(|byte| *byte == b'\r');
@@ -364,7 +365,7 @@
                 return Ok(true);
             }
         }
-        if self.buffer.len() > from + MOST_CHUNK_LINE {
+        if self.buffer.len() > from + MAX_CHUNK_LINE_LEN {
             Err(MessageError::Chunk)
         } else {
             Ok(false)
@@ -385,11 +386,11 @@
     None
 }
 
-fn start_line(line: &str, kind: MessageKind) -> Result<Start, MessageError> {
-    let mut words = line.splitn(3, ' ');
-    let mut word = || words.next().unwrap_or("").to_string();
-    let start = Start(word(), word(), word());
-    let sound = match kind {
+fn parse_start_line(line: &str, kind: MessageKind) -> Result<StartLine, MessageError> {
+    let mut parts = line.splitn(3, ' ');
+    let mut next_part = || parts.next().unwrap_or("").to_string();
+    let start = StartLine(next_part(), next_part(), next_part());
+    let is_valid = match kind {
         MessageKind::Request => {
             let method = !start.0.is_empty() && start.0.bytes().all(|b| b.is_ascii_alphabetic() || b == b'-');
             let path = start.1.starts_with('/') || start.1 == "*";
@@ -397,18 +398,18 @@
         }
         MessageKind::Response(_) => start.1.len() == 3 && start.1.bytes().all(|b| b.is_ascii_digit()),
     };
-    if sound {
+    if is_valid {
         Ok(start)
     } else {
         Err(MessageError::StartLine)
     }
 }
 
-fn header(line: &str) -> Result<(String, String), MessageError> {
+fn parse_header(line: &str) -> Result<(String, String), MessageError> {
     let (name, value) = line.split_once(':').ok_or(MessageError::Header)?;
-    let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
+    let is_name_byte = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
     // Implementations disagree on names with a space before the colon and on folded lines, so reject both.
-    if name.is_empty() || !name.bytes().all(token) || value.bytes().any(|b| b < b' ' && b != b'\t') {
+    if name.is_empty() || !name.bytes().all(is_name_byte) || value.bytes().any(|b| b < b' ' && b != b'\t') {
         return Err(MessageError::Header);
     }
     Ok((name.to_ascii_lowercase(), value.trim().to_string()))
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -97,16 +97,16 @@
 /// have. A connection that was idle for this long is unlikely to be used again.
 pub const IDLE_GRACE: Duration = Duration::from_millis(500);
 /// Time in which the first byte of a client that intends to make a request is expected.
-const FIRST_BYTE: Duration = Duration::from_millis(500);
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Connections that are idle after a request may occupy at most one part in this many of the connection limit.
-const KEPT_SHARE: usize = 4;
+const KEPT_IDLE_DIVISOR: usize = 4;
 /// The smallest key of a connection that has made a request, in the order of idle connections.
-const ASKED: (bool, u64) = (true, 0);
+const FIRST_WITH_REQUESTS: (bool, u64) = (true, 0);
 /// Delay after a failed accept, for example when no descriptor was left. The other connections in the queue wait as
 /// well.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Minimum interval between log lines about failed accepts.
-const SAY_FAILED: Duration = Duration::from_secs(1);
+const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An HTTP server.
 pub struct Server {
@@ -116,20 +116,20 @@
     pub(super) handler: Box<dyn Handler>,
     pub(super) limits: Limits,
     /// Maximum number of connections served at once. It may be lower for a while than the configured limit.
-    room: Cell<usize>,
-    open: Cell<usize>,
-    last: Cell<u64>,
+    max_connections: Cell<usize>,
+    open_connections: Cell<usize>,
+    last_idle_sequence: Cell<u64>,
     /// Whether to read nothing more because the process is about to end.
-    ending: Cell<bool>,
+    reading_stopped: Cell<bool>,
     /// When the accept queue was last seen empty. The connections in it have arrived since then.
-    queue_empty: Cell<Instant>,
+    accept_queue_empty_at: Cell<Instant>,
     /// When a failed accept was last logged.
-    said_failed: Cell<Option<Instant>>,
+    accept_error_logged_at: Cell<Option<Instant>>,
     pub(super) client_gate: Rc<ClientGate>,
     /// Idle connections: first those without any request, then the others, each group from the longest idle.
-    idle: RefCell<BTreeMap<(bool, u64), Idle>>,
+    idle: RefCell<BTreeMap<(bool, u64), IdleConnection>>,
     /// Signals that a connection has ended.
-    ended: (Sender<()>, Receiver<()>),
+    connection_ended: (Sender<()>, Receiver<()>),
 }
 
 impl Server {
@@ -146,31 +146,31 @@
             executor,
             handler,
             limits,
-            room: Cell::new(limits.max_connections),
-            open: Cell::new(0),
-            last: Cell::new(0),
-            ending: Cell::new(false),
-            queue_empty: Cell::new(Instant::now()),
-            said_failed: Cell::new(None),
+            max_connections: Cell::new(limits.max_connections),
+            open_connections: Cell::new(0),
+            last_idle_sequence: Cell::new(0),
+            reading_stopped: Cell::new(false),
+            accept_queue_empty_at: Cell::new(Instant::now()),
+            accept_error_logged_at: Cell::new(None),
             client_gate,
             idle: RefCell::default(),
-            ended: async_channel::bounded(1),
+            connection_ended: async_channel::bounded(1),
         })
     }
 
     /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.open.get()
+        self.open_connections.get()
     }
 
     /// Reads nothing after the requests that were already received. The process ends once these are answered.
     pub fn stop_reading(&self) {
-        self.ending.set(true);
+        self.reading_stopped.set(true);
     }
 
     /// Returns whether reading has stopped.
-    pub(super) fn is_ending(&self) -> bool {
-        self.ending.get()
+    pub(super) fn is_reading_stopped(&self) -> bool {
+        self.reading_stopped.get()
     }
 
     /// Drains idle connections, whether the gate was closed by an operator or for shutdown: after the gate closes,
@@ -186,10 +186,10 @@
         }
     }
 
-    /// Closes the connections that have been idle for at least `stood`.
-    fn close_idle(&self, stood: Duration) {
+    /// Closes the connections that have been idle for at least `min_idle`.
+    fn close_idle(&self, min_idle: Duration) {
         self.idle.borrow_mut().retain(|_, (since, close)| {
-            let keep = since.elapsed() < stood;
+            let keep = since.elapsed() < min_idle;
             if !keep {
                 let _ = close.try_send(Reason::Shutdown);
             }
@@ -199,33 +199,33 @@
 
     /// Sets the maximum number of connections served at once.
     pub fn set_max_connections(&self, max_connections: usize) {
-        self.room.set(max_connections);
+        self.max_connections.set(max_connections);
         // Wake the accept loop, which may be waiting for capacity.
-        let _ = self.ended.0.try_send(());
+        let _ = self.connection_ended.0.try_send(());
     }
 
     /// Accepts connections forever.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
-            self.has_room().await;
-            let came = match future::poll_once(listener.accept()).await {
-                Some(came) => came,
+            self.wait_for_capacity().await;
+            let accepted = match future::poll_once(listener.accept()).await {
+                Some(accepted) => accepted,
                 None => {
-                    let came = listener.accept().await;
-                    self.queue_empty.set(Instant::now());
-                    came
+                    let accepted = listener.accept().await;
+                    self.accept_queue_empty_at.set(Instant::now());
+                    accepted
                 }
             };
-            self.take(came).await;
+            self.handle_accepted(accepted).await;
         }
     }
 
     /// Accepts the connections that are already in the accept queue; closing the listener would reset them.
     pub async fn accept_queued(self: &Rc<Self>, listener: &TcpListener) {
         loop {
-            self.has_room().await;
+            self.wait_for_capacity().await;
             match future::poll_once(listener.accept()).await {
-                Some(came) => self.take(came).await,
+                Some(accepted) => self.handle_accepted(accepted).await,
                 None => return,
             }
         }
@@ -234,29 +234,29 @@
     /// Waits until another connection may be accepted. Dropping an accepted connection without an answer would lose a
     /// query, so connections above the limit wait in the accept queue instead. Refusals are brief, so capacity is
     /// soon available.
-    async fn has_room(&self) {
-        while self.open.get() >= self.room.get() + self.room.get() / 8 {
-            let _ = self.ended.1.recv().await;
+    async fn wait_for_capacity(&self) {
+        while self.open_connections.get() >= self.max_connections.get() + self.max_connections.get() / 8 {
+            let _ = self.connection_ended.1.recv().await;
         }
     }
 
-    async fn take(self: &Rc<Self>, came: io::Result<(TcpStream, SocketAddr)>) {
-        match came {
+    async fn handle_accepted(self: &Rc<Self>, accepted: io::Result<(TcpStream, SocketAddr)>) {
+        match accepted {
             Ok((stream, peer)) => {
-                self.welcome(stream, peer);
+                self.spawn_connection(stream, peer);
                 // Let the new connection read its first bytes before the next accept may evict it.
                 future::yield_now().await;
             }
             Err(error) => {
-                self.say_failed(&error);
+                self.log_accept_error(&error);
                 match SocketErrorKind::of(&error) {
                     // No descriptor is left: connections wait in the accept queue until one is free.
                     SocketErrorKind::ResourceLimit => {
-                        self.close_longest_idle(FIRST_BYTE);
-                        Timer::after(ACCEPT_PAUSE).await;
+                        self.close_longest_idle(FIRST_BYTE_TIMEOUT);
+                        Timer::after(ACCEPT_RETRY_DELAY).await;
                     }
                     SocketErrorKind::LocalHost => {
-                        Timer::after(ACCEPT_PAUSE).await;
+                        Timer::after(ACCEPT_RETRY_DELAY).await;
                     }
                     // Only this connection failed, and the next one may be waiting.
                     SocketErrorKind::Connection => future::yield_now().await,
@@ -265,29 +265,34 @@
         }
     }
 
-    fn say_failed(&self, error: &io::Error) {
-        if self.said_failed.get().is_none_or(|said| said.elapsed() >= SAY_FAILED) {
-            self.said_failed.set(Some(Instant::now()));
+    fn log_accept_error(&self, error: &io::Error) {
+        if self
+            .accept_error_logged_at
+            .get()
+            .is_none_or(|logged_at| logged_at.elapsed() >= ACCEPT_ERROR_LOG_INTERVAL)
+        {
+            self.accept_error_logged_at.set(Some(Instant::now()));
             log::line(&format!("accept failed: {error}"));
         }
     }
 
     /// Closes one idle connection to make room. Returns whether there was one. A connection without any request is
-    /// closed only if it was idle for [`FIRST_BYTE`], if there are many of these, or, where no other connection is
-    /// idle, if it was idle for `stood_for`.
+    /// closed only if it was idle for [`FIRST_BYTE_TIMEOUT`], if there are many of these, or, where no other
+    /// connection is idle, if it was idle for `min_idle`.
     ///
     /// Hundreds of silent connections must not evict those of clients that make requests, so a connection that has
     /// long been silent is closed first, or any silent one once they occupy more than half of the limit. But a new
     /// connection is silent until its first request has arrived: if the others are kept open by clients with earlier
     /// requests, the longest idle of those is closed instead.
-    fn close_longest_idle(&self, stood_for: Duration) -> bool {
+    fn close_longest_idle(&self, min_idle: Duration) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let silent = idle.range(..ASKED).next().map(|(key, (since, _))| (*key, since.elapsed()));
-        let many = idle.range(..ASKED).count() > self.room.get() / 2;
-        let kept = idle.range(ASKED..).next().map(|(key, _)| *key);
+        let silent =
+            idle.range(..FIRST_WITH_REQUESTS).next().map(|(key, (since, _))| (*key, since.elapsed()));
+        let many_silent = idle.range(..FIRST_WITH_REQUESTS).count() > self.max_connections.get() / 2;
+        let kept = idle.range(FIRST_WITH_REQUESTS..).next().map(|(key, _)| *key);
         let longest = match silent {
-            Some((key, stood)) if many || stood >= FIRST_BYTE => Some(key),
-            Some((key, stood)) if kept.is_none() && stood >= stood_for => Some(key),
+            Some((key, idle_time)) if many_silent || idle_time >= FIRST_BYTE_TIMEOUT => Some(key),
+            Some((key, idle_time)) if kept.is_none() && idle_time >= min_idle => Some(key),
             _ => kept,
         };
         let close = longest.and_then(|key| idle.remove(&key));
@@ -296,59 +301,60 @@
 
     /// Closes the connection that has been idle longest after a request, if too many of these are open. Clients that
     /// make one request and stay connected would otherwise take the capacity that others need.
-    fn close_kept(&self) {
+    fn close_excess_kept(&self) {
         let mut idle = self.idle.borrow_mut();
-        if idle.range(ASKED..).count() > self.room.get() / KEPT_SHARE {
-            let longest = idle.range(ASKED..).next().map(|(key, _)| *key);
+        if idle.range(FIRST_WITH_REQUESTS..).count() > self.max_connections.get() / KEPT_IDLE_DIVISOR {
+            let longest = idle.range(FIRST_WITH_REQUESTS..).next().map(|(key, _)| *key);
             if let Some((_, close)) = longest.and_then(|key| idle.remove(&key)) {
                 let _ = close.try_send(Reason::Full);
             }
         }
     }
 
-    fn welcome(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr) {
+    fn spawn_connection(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr) {
         // Disable Nagle's algorithm before the first write: bytes that it holds back are lost if the connection is
         // reset.
         let stream = Stream::from(stream);
         let _ = stream.set_nodelay();
-        let refused = self.open.get() >= self.room.get() && !self.close_longest_idle(Duration::ZERO);
-        self.open.set(self.open.get() + 1);
-        let came = self.queue_empty.get();
+        let refused = self.open_connections.get() >= self.max_connections.get()
+            && !self.close_longest_idle(Duration::ZERO);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let earliest_arrival = self.accept_queue_empty_at.get();
         let server = self.clone();
         let task = async move {
-            let mut connection = Connection::new(&server, stream, came);
+            let mut connection = Connection::new(&server, stream, earliest_arrival);
             let reason = match refused {
                 true => connection.refuse().await,
                 false => connection.serve().await.unwrap_or(Reason::Reset),
             };
-            let (requests, lasted) = (connection.requests(), connection.age().as_millis());
+            let (requests, duration_ms) = (connection.requests(), connection.age().as_millis());
             drop(connection);
-            server.open.set(server.open.get() - 1);
-            let _ = server.ended.0.try_send(());
-            log::ended(server.kind, Some(peer), reason, format_args!("requests={requests} ms={lasted}"));
+            server.open_connections.set(server.open_connections.get() - 1);
+            let _ = server.connection_ended.0.try_send(());
+            log::ended(server.kind, Some(peer), reason, format_args!("requests={requests} ms={duration_ms}"));
         };
         self.executor.spawn(task).detach();
     }
 }
 
 /// When a connection became idle, and the channel that closes it.
-type Idle = (Instant, Sender<Reason>);
+type IdleConnection = (Instant, Sender<Reason>);
 
 /// The registration of an idle connection, removed when this is dropped.
-pub(super) struct IdlePlace<'s> {
+pub(super) struct IdleRegistration<'s> {
     server: &'s Server,
     key: (bool, u64),
     closed: Receiver<Reason>,
 }
 
-impl IdlePlace<'_> {
+impl IdleRegistration<'_> {
     /// Waits until the server closes the connection, and returns the reason.
     pub(super) async fn closed(&self) -> Reason {
         self.closed.recv().await.unwrap_or(Reason::Shutdown)
     }
 }
 
-impl Drop for IdlePlace<'_> {
+impl Drop for IdleRegistration<'_> {
     fn drop(&mut self) {
         self.server.idle.borrow_mut().remove(&self.key);
     }
@@ -356,18 +362,18 @@
 
 impl Server {
     /// Registers a connection as idle. From now on the server may close it at any time.
-    pub(super) fn stand_idle(&self, asked: bool) -> IdlePlace<'_> {
+    pub(super) fn register_idle(&self, had_requests: bool) -> IdleRegistration<'_> {
         let (close, closed) = async_channel::bounded(1);
-        self.last.set(self.last.get() + 1);
-        let key = (asked, self.last.get());
+        self.last_idle_sequence.set(self.last_idle_sequence.get() + 1);
+        let key = (had_requests, self.last_idle_sequence.get());
         self.idle.borrow_mut().insert(key, (Instant::now(), close));
-        self.close_kept();
-        IdlePlace { server: self, key, closed }
+        self.close_excess_kept();
+        IdleRegistration { server: self, key, closed }
     }
 
     /// Returns how long a connection may be idle.
-    pub(super) fn idle_limit(&self, asked: bool) -> Duration {
-        match asked {
+    pub(super) fn idle_timeout(&self, had_requests: bool) -> Duration {
+        match had_requests {
             _ if !self.client_gate.is_open() => IDLE_GRACE,
             true => self.limits.idle_timeout,
             false => self.limits.request_timeout,
--- a/src/http/target.rs
+++ b/src/http/target.rs
@@ -13,16 +13,16 @@
     /// Parses a target. Returns `None` if a percent escape in it is malformed.
     pub fn read(target: &str) -> Option<Self> {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let path = path.split('/').filter(|part| !part.is_empty()).map(|part| decode(part, false));
+        let path = path.split('/').filter(|part| !part.is_empty()).map(|part| percent_decode(part, false));
         let parameters = query.split('&').filter(|pair| !pair.is_empty()).map(|pair| {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-            Some((decode(name, true)?, decode(value, true)?))
+            Some((percent_decode(name, true)?, percent_decode(value, true)?))
         });
         Some(Target { path: path.collect::<Option<_>>()?, parameters: parameters.collect::<Option<_>>()? })
     }
 }
 
-fn decode(text: &str, plus: bool) -> Option<String> {
+fn percent_decode(text: &str, plus_is_space: bool) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.bytes();
     while let Some(byte) = rest.next() {
@@ -32,7 +32,7 @@
                 let (high, low) = (digit(rest.next()?)?, digit(rest.next()?)?);
                 (high * 16 + low) as u8
             }
-            b'+' if plus => b' ',
+            b'+' if plus_is_space => b' ',
             byte => byte,
         });
     }
--- a/src/http/write.rs
+++ b/src/http/write.rs
@@ -15,8 +15,8 @@
 
 impl Response {
     /// Creates a response with a body of a content type.
-    pub fn new(status: u16, kind: &str, body: impl Into<Vec<u8>>) -> Self {
-        Response { status, headers: vec![("Content-Type", kind.to_string())], body: body.into() }
+    pub fn new(status: u16, content_type: &str, body: impl Into<Vec<u8>>) -> Self {
+        Response { status, headers: vec![("Content-Type", content_type.to_string())], body: body.into() }
     }
 
     /// Creates a plain-text response.
@@ -39,10 +39,10 @@
         }
     }
 
-    /// Serializes the response. `body` is `false` for the response to a `HEAD` request, whose client would take a
-    /// body for the next response.
-    pub fn bytes(&self, keep_alive: bool, body: bool) -> Vec<u8> {
-        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, phrase(self.status));
+    /// Serializes the response. `include_body` is `false` for the response to a `HEAD` request, whose client would
+    /// take a body for the next response.
+    pub fn bytes(&self, keep_alive: bool, include_body: bool) -> Vec<u8> {
+        let mut head = format!("HTTP/1.1 {} {}\r\n", self.status, reason_phrase(self.status));
         for (name, value) in &self.headers {
             let _ = write!(head, "{name}: {value}\r\n");
         }
@@ -52,7 +52,7 @@
         }
         head.push_str("\r\n");
         let mut bytes = head.into_bytes();
-        if body {
+        if include_body {
             bytes.extend_from_slice(&self.body);
         }
         bytes
@@ -74,7 +74,7 @@
     bytes
 }
 
-fn phrase(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
--- a/src/net.rs
+++ b/src/net.rs
@@ -17,7 +17,7 @@
 use rustix::io::Errno;
 
 /// Delay before retrying a call that failed because the kernel was out of memory.
-const LACK_PAUSE: Duration = Duration::from_millis(5);
+const OUT_OF_MEMORY_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Classifies an error from connecting or accepting a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,7 +53,7 @@
 }
 
 /// Returns whether a call on an open connection failed because the kernel was out of memory.
-fn is_lack_of_memory(error: &io::Error) -> bool {
+fn is_out_of_memory(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
@@ -67,8 +67,8 @@
     loop {
         match call().await {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(error) if is_lack_of_memory(&error) => {
-                Timer::after(LACK_PAUSE).await;
+            Err(error) if is_out_of_memory(&error) => {
+                Timer::after(OUT_OF_MEMORY_RETRY_DELAY).await;
             }
             outcome => return outcome,
         }
@@ -79,17 +79,17 @@
 #[derive(Debug)]
 pub struct Stream<S = TcpStream> {
     inner: S,
-    reading: Pause,
-    writing: Pause,
+    read_delay: RetryDelay,
+    write_delay: RetryDelay,
 }
 
 /// The delay before a failed call is retried, while one is running.
 #[derive(Debug, Default)]
-struct Pause(Option<Timer>);
+struct RetryDelay(Option<Timer>);
 
-impl Pause {
+impl RetryDelay {
     /// Polls a call until it succeeds, would block, or fails with an error that is not transient.
-    fn call<S: Unpin, T>(
+    fn poll_with_retry<S: Unpin, T>(
         &mut self,
         inner: &mut S,
         context: &mut Context<'_>,
@@ -102,7 +102,9 @@
             }
             match ready!(call(Pin::new(inner), context)) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_lack_of_memory(&error) => self.0 = Some(Timer::after(LACK_PAUSE)),
+                Err(error) if is_out_of_memory(&error) => {
+                    self.0 = Some(Timer::after(OUT_OF_MEMORY_RETRY_DELAY))
+                }
                 outcome => return Poll::Ready(outcome),
             }
         }
@@ -111,7 +113,7 @@
 
 impl<S> From<S> for Stream<S> {
     fn from(inner: S) -> Self {
-        Stream { inner, reading: Pause::default(), writing: Pause::default() }
+        Stream { inner, read_delay: RetryDelay::default(), write_delay: RetryDelay::default() }
     }
 }
 
@@ -149,8 +151,8 @@
         loop {
             match self.inner.peek(bytes).await {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_lack_of_memory(&error) => {
-                    Timer::after(LACK_PAUSE).await;
+                Err(error) if is_out_of_memory(&error) => {
+                    Timer::after(OUT_OF_MEMORY_RETRY_DELAY).await;
                 }
                 outcome => return outcome,
             }
@@ -172,8 +174,8 @@
         context: &mut Context<'_>,
         bytes: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let Stream { inner, reading, .. } = &mut *self;
-        reading.call(inner, context, |inner, context| inner.poll_read(context, bytes))
+        let Stream { inner, read_delay, .. } = &mut *self;
+        read_delay.poll_with_retry(inner, context, |inner, context| inner.poll_read(context, bytes))
     }
 }
 
@@ -183,13 +185,13 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let Stream { inner, writing, .. } = &mut *self;
-        writing.call(inner, context, |inner, context| inner.poll_write(context, bytes))
+        let Stream { inner, write_delay, .. } = &mut *self;
+        write_delay.poll_with_retry(inner, context, |inner, context| inner.poll_write(context, bytes))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let Stream { inner, writing, .. } = &mut *self;
-        writing.call(inner, context, |inner, context| inner.poll_flush(context))
+        let Stream { inner, write_delay, .. } = &mut *self;
+        write_delay.poll_with_retry(inner, context, |inner, context| inner.poll_flush(context))
     }
 
     fn poll_close(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -258,7 +258,7 @@
             }
             let job = async { worker.jobs.1.recv().await.map_err(|_| Reason::Retired) };
             let closed = async {
-                client.idle().await;
+                client.closed_while_idle().await;
                 Err(Reason::PeerClosed)
             };
             let rested = async {
@@ -356,7 +356,7 @@
         if matches!(job, Job::Search(_)) {
             self.driver.count(|counters| counters.tries += 1);
         }
-        let ends = client.ends_when(async {
+        let ends = client.shutdown_write_when(async {
             let _ = worker.end.1.recv().await;
             worker.ends.set(true);
         });
