--- a/src/directory/dns_sd.rs
+++ b/src/directory/dns_sd.rs
@@ -23,7 +23,7 @@
 use crate::http::client::within;
 use crate::log::{self, Reason};
 use crate::net::Stream;
-use crate::transport::span;
+use crate::transport::duration_from_millis;
 
 /// How long a query may take, and how often it is made: datagrams get lost.
 const LIMIT: Duration = Duration::from_millis(500);
@@ -88,7 +88,7 @@
                 Ok(_) => self.driver.apply_directory_update(DirectoryUpdate::Changes(Vec::new())),
                 Err(why) => return why,
             }
-            Timer::after(span(place.refresh_ms)).await;
+            Timer::after(duration_from_millis(place.refresh_ms)).await;
         }
     }
 }
--- a/src/front/opensearch/merge.rs
+++ b/src/front/opensearch/merge.rs
@@ -6,7 +6,7 @@
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-use crate::transport::opensearch::answer::{Found, Hit, Total};
+use crate::transport::opensearch::answer::{Hit, SearchResponse, Total};
 
 /// The order of hits: the directions of a search's sort keys; none for falling scores.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -112,7 +112,7 @@
     let mut all: Vec<(Hit, Box<RawValue>)> = Vec::new();
     let mut merged = Merged { total: None, max_score: None, hits: Vec::new() };
     for answer in answers {
-        let found = Found::read(answer)?;
+        let found = SearchResponse::read(answer)?;
         if let Some(more) = found.total {
             merged.total = Some(match merged.total.take() {
                 None => more,
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -22,7 +22,7 @@
 use crate::http::server::{Handler, LocalBoxFuture, RefusalReason};
 use crate::http::write::Response;
 use crate::log;
-use crate::transport::opensearch::carry;
+use crate::transport::opensearch::encode_part_text;
 use search::{Refusal, Search, Verb};
 
 /// The longest opaque id or tenant that is taken in.
@@ -84,7 +84,7 @@
                 .into_iter()
                 .map(|shard| PartRequest { shard, weight, hint: None, key: None })
                 .collect(),
-            text: carry(&search.for_shards(), &request.body).into(),
+            text: encode_part_text(&search.for_shards(), &request.body).into(),
         })
     }
 }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -18,7 +18,7 @@
 use crate::http::server::IDLE_GRACE;
 use crate::log;
 use crate::operator::Operator;
-use crate::transport::span;
+use crate::transport::duration_from_millis;
 use program::Program;
 use signals::Told;
 
@@ -75,7 +75,7 @@
     // Planned end: go on accepting, answer everything, then leave.
     log::line("draining");
     program.client_gate.shut_down();
-    let left = span(program.driver.longest_deadline()).min(MOST_COUNTED) + LAST_WAIT;
+    let left = duration_from_millis(program.driver.longest_deadline()).min(MOST_COUNTED) + LAST_WAIT;
     let end = Instant::now() + left;
     // Whatever is taken, now or later, is answered before.
     program.driver.end_by(left - LAST_WRITE);
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -33,8 +33,8 @@
 use crate::store::{self, Store};
 use crate::trace::control::Control;
 use crate::transport;
-use crate::transport::frames::Frames;
-use crate::transport::opensearch::Searches;
+use crate::transport::frames::FrameTransport;
+use crate::transport::opensearch::SearchTransport;
 
 /// How long a start waits for the peers of the store.
 const PEERS_WAIT: Duration = Duration::from_millis(2000);
@@ -101,10 +101,10 @@
                 driver.record(true).map_err(|why| format!("key trace.dir: {why}"))?;
             }
         }
-        let limits = transport::Limits::of(&site, config.store_connections(0));
+        let limits = transport::Limits::from_settings(&site, config.store_connections(0));
         let stores: Rc<dyn RunStores> = match config.api {
-            Api::Platform => Rc::new(Frames::new(driver.clone(), limits)),
-            Api::Opensearch => Rc::new(Searches::new(driver.clone(), limits)),
+            Api::Platform => Rc::new(FrameTransport::new(driver.clone(), limits)),
+            Api::Opensearch => Rc::new(SearchTransport::new(driver.clone(), limits)),
         };
         let (known, version) = known_list(&config, state.as_ref(), store.as_ref().map(|(store, _)| &**store));
         let (listing, reload) = directory(&config, version, &driver)?;
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -22,7 +22,7 @@
 use crate::log::{self, Reason};
 use crate::net::Stream;
 use crate::settings::SiteSettings;
-use crate::transport::{connect_failed, span, At, Limits, NO_SOCKET_PAUSE};
+use crate::transport::{connect_failed, duration_from_millis, At, Limits, NO_SOCKET_PAUSE};
 use link::{Ended, Link};
 
 /// Timeout for writing a frame. A run store that reads nothing for this long is unusable.
@@ -52,7 +52,7 @@
 type Push = fn(&mut Link, Call);
 
 /// The transport with binary frames.
-pub struct Frames {
+pub struct FrameTransport {
     driver: Rc<Driver>,
     limits: Cell<Limits>,
     places: RefCell<BTreeMap<ReplicaId, Place>>,
@@ -82,10 +82,10 @@
     }
 }
 
-impl Frames {
+impl FrameTransport {
     /// Creates a transport that reports to a driver.
     pub fn new(driver: Rc<Driver>, limits: Limits) -> Rc<Self> {
-        Rc::new(Frames {
+        Rc::new(FrameTransport {
             driver,
             limits: Cell::new(limits),
             places: RefCell::default(),
@@ -332,7 +332,7 @@
                 // A part may run only from the last byte of its frame on, so that byte must be written before the
                 // earliest time limit of the parts.
                 let by = connection.link.borrow().writing().map(|call| call.allowed_until).reduce(f64::min);
-                let by = by.map_or(WRITE_LIMIT, |by| span(by - begun).min(WRITE_LIMIT));
+                let by = by.map_or(WRITE_LIMIT, |by| duration_from_millis(by - begun).min(WRITE_LIMIT));
                 let limit = async {
                     Timer::after(by).await;
                     Ok(false)
@@ -399,7 +399,7 @@
     }
 }
 
-impl RunStores for Rc<Frames> {
+impl RunStores for Rc<FrameTransport> {
     fn send(&self, call: Call) {
         self.put(call, Link::push);
     }
@@ -484,7 +484,7 @@
     }
 
     fn apply_settings(&self, site: &SiteSettings) {
-        self.limits.set(Limits::of(site, self.limits.get().connections));
+        self.limits.set(Limits::from_settings(site, self.limits.get().connections));
         let places = self.places.borrow();
         let open = places.values().flat_map(|place| &place.connections).filter(|c| c.closing.get().is_none());
         open.for_each(|connection| connection.link.borrow_mut().set_may_prove(self.limits.get().probes));
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -53,10 +53,10 @@
 
 impl Limits {
     /// Takes the limits from the settings, with a maximum number of connections.
-    pub fn of(site: &SiteSettings, connections: usize) -> Self {
+    pub fn from_settings(site: &SiteSettings, connections: usize) -> Self {
         Limits {
-            connect: span(site.caps.connect_timeout_ms()),
-            keep_alive: span(site.caps.keepalive_ms()),
+            connect: duration_from_millis(site.caps.connect_timeout_ms()),
+            keep_alive: duration_from_millis(site.caps.keepalive_ms()),
             streams: site.caps.streams_per_conn() as usize,
             bundle: site.domain.bundle_max() as usize,
             connections,
@@ -71,6 +71,6 @@
 }
 
 /// Converts a time in milliseconds, as in the settings, to a duration.
-pub fn span(millis: Millis) -> Duration {
+pub fn duration_from_millis(millis: Millis) -> Duration {
     Duration::from_secs_f64(millis.clamp(0.0, 1e9) / 1000.0)
 }
--- a/src/transport/opensearch/answer.rs
+++ b/src/transport/opensearch/answer.rs
@@ -6,7 +6,7 @@
 
 /// A valid response, reduced to the parts in use. Hits are kept as raw JSON.
 #[derive(Debug)]
-pub struct Found {
+pub struct SearchResponse {
     /// The total number of hits, if they were counted.
     pub total: Option<Total>,
     /// The highest score.
@@ -55,7 +55,7 @@
     hits: Vec<Box<RawValue>>,
 }
 
-impl Found {
+impl SearchResponse {
     /// Parses a response body. A response whose shard failed or timed out is an error, whatever its HTTP status.
     ///
     /// # Errors
@@ -71,7 +71,7 @@
         let Hits { total, max_score, hits } = answer.hits;
         let read = |raw: Box<RawValue>| serde_json::from_str(raw.get()).map(|hit: Hit| (hit, raw));
         let hits = hits.into_iter().map(read).collect::<Result<_, _>>().map_err(|error| error.to_string())?;
-        Ok(Found { total, max_score, hits })
+        Ok(SearchResponse { total, max_score, hits })
     }
 }
 
--- a/src/transport/opensearch/answer/tests.rs
+++ b/src/transport/opensearch/answer/tests.rs
@@ -10,7 +10,7 @@
 #[test]
 fn only_sound_answers_are_read() {
     let sound = answer("false", 0, r#"[{"_id":"a","_score":1.0}]"#);
-    assert_eq!(Found::read(sound.as_bytes()).unwrap().hits.len(), 1);
+    assert_eq!(SearchResponse::read(sound.as_bytes()).unwrap().hits.len(), 1);
     let cut = &sound[..sound.len() - 4];
     for bad in [
         "<html><body>502 Bad Gateway</body></html>".to_string(),
@@ -22,6 +22,6 @@
         answer("false", 0, r#"[{"_id":"a","_score":"high"}]"#),
         "{}".to_string(),
     ] {
-        assert!(Found::read(bad.as_bytes()).is_err(), "{bad}");
+        assert!(SearchResponse::read(bad.as_bytes()).is_err(), "{bad}");
     }
 }
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -25,8 +25,8 @@
 use crate::http::write;
 use crate::log::{self, Reason};
 use crate::settings::SiteSettings;
-use crate::transport::{connect_failed, span, At, Limits, NO_SOCKET_PAUSE};
-use answer::Found;
+use crate::transport::{connect_failed, duration_from_millis, At, Limits, NO_SOCKET_PAUSE};
+use answer::SearchResponse;
 
 /// Maximum number of connections to one run store. Further searches wait for one of these.
 const MOST_AT_ONE: usize = 32;
@@ -36,7 +36,7 @@
 
 /// Encodes the text of a part of a search: the parameters for its shard, and the client's body, unchanged. In this
 /// API, parameters take precedence over keys of the body.
-pub fn carry(parameters: &str, body: &[u8]) -> Vec<u8> {
+pub fn encode_part_text(parameters: &str, body: &[u8]) -> Vec<u8> {
     let mut text = format!("{parameters}\n").into_bytes();
     text.extend_from_slice(body);
     text
@@ -86,7 +86,7 @@
 }
 
 /// The transport with OpenSearch-style searches.
-pub struct Searches {
+pub struct SearchTransport {
     driver: Rc<Driver>,
     limits: Cell<Limits>,
     places: RefCell<BTreeMap<ReplicaId, Place>>,
@@ -95,10 +95,10 @@
     open: Cell<usize>,
 }
 
-impl Searches {
+impl SearchTransport {
     /// Creates a transport that reports to a driver.
     pub fn new(driver: Rc<Driver>, limits: Limits) -> Rc<Self> {
-        Rc::new(Searches {
+        Rc::new(SearchTransport {
             driver,
             limits: Cell::new(limits),
             places: RefCell::default(),
@@ -344,7 +344,7 @@
         };
         let begun = self.driver.now();
         let limit = match job {
-            Job::Search(call) => span(call.allowed_until - begun),
+            Job::Search(call) => duration_from_millis(call.allowed_until - begun),
             Job::Probe(_) => self.limits.get().connect,
         };
         let written = within(limit, client.write(&request)).await;
@@ -373,7 +373,7 @@
             return;
         };
         let end = match answer.start.1.as_str() {
-            "200" => match Found::read(&answer.body) {
+            "200" => match SearchResponse::read(&answer.body) {
                 Ok(_) => CallEnd {
                     outcome: Outcome::Completed,
                     value: Some(answer.body.as_slice().into()),
@@ -445,7 +445,7 @@
     }
 }
 
-impl RunStores for Rc<Searches> {
+impl RunStores for Rc<SearchTransport> {
     fn send(&self, call: Call) {
         let replica = call.replica.clone();
         self.queue(&replica, Job::Search(call));
@@ -496,7 +496,7 @@
     }
 
     fn apply_settings(&self, site: &SiteSettings) {
-        self.limits.set(Limits::of(site, self.limits.get().connections));
+        self.limits.set(Limits::from_settings(site, self.limits.get().connections));
     }
 
     fn locate(&self, replica: &ReplicaId, address: SocketAddr, started: Option<Millis>) {
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -13,7 +13,7 @@
 use ironpaddle::core::drive::{Directory, Driver, RunStores};
 use ironpaddle::core::{Call, CallEnd, CallNo, Core, DirectoryUpdate, QueryNo};
 use ironpaddle::settings::SiteSettings;
-use ironpaddle::transport::{frames::Frames, opensearch::Searches, Limits};
+use ironpaddle::transport::{frames::FrameTransport, opensearch::SearchTransport, Limits};
 use serde_json::json;
 
 #[path = "common/core.rs"]
@@ -68,12 +68,12 @@
 fn a_call_that_is_late_when_it_could_be_written_is_not_written() {
     type Made = fn(Rc<Driver>, Limits) -> Rc<dyn RunStores>;
     let made: [Made; 2] = [
-        |driver, limits| Rc::new(Frames::new(driver, limits)),
-        |driver, limits| Rc::new(Searches::new(driver, limits)),
+        |driver, limits| Rc::new(FrameTransport::new(driver, limits)),
+        |driver, limits| Rc::new(SearchTransport::new(driver, limits)),
     ];
     for made in made {
         let driver = driver();
-        let stores = made(driver.clone(), Limits::of(&site(), 10));
+        let stores = made(driver.clone(), Limits::from_settings(&site(), 10));
         let (address, first) = listener();
         let (id, now) = (ReplicaId::from("s"), driver.now());
         stores.locate(&id, address, None);
@@ -100,7 +100,7 @@
     for copies in [true, false] {
         let (driver, mut site) = (driver(), site());
         site.caps.parallel_tries = copies;
-        let stores = Frames::new(driver.clone(), Limits::of(&site, 10));
+        let stores = FrameTransport::new(driver.clone(), Limits::from_settings(&site, 10));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let now = driver.now();
         stores.locate(&"s".into(), listener.local_addr().unwrap(), None);
