--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -69,7 +69,7 @@
 
 /// Something that ended on a connection.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ended {
+pub enum EndEvent {
     /// An attempt.
     Call(CallNo, CallEnd),
     /// A probe: whether it succeeded, and the load report.
@@ -78,11 +78,11 @@
 
 /// What was read from a connection: what ended, in order, and the error if a frame was malformed. Frames before the
 /// malformed one are valid.
-pub type Came = (Vec<Ended>, Result<(), String>);
+pub type ReceiveResult = (Vec<EndEvent>, Result<(), String>);
 
 /// The state of a connection.
 #[derive(Debug)]
-pub struct Link {
+pub struct ConnectionState {
     /// Maximum number of parts in one frame.
     bundle: usize,
     queue: VecDeque<Item>,
@@ -105,10 +105,10 @@
     usual: Duration,
 }
 
-impl Link {
+impl ConnectionState {
     /// Creates the state of a new connection. `usual` is the assumed response time until answers arrive.
     pub fn new(bundle: usize, now: Instant, usual: Duration) -> Self {
-        Link {
+        ConnectionState {
             bundle: bundle.max(1),
             queue: VecDeque::new(),
             calls: BTreeMap::new(),
@@ -126,7 +126,7 @@
     }
 
     /// Sets whether probes that prove calls to be over may be sent.
-    pub fn set_may_prove(&mut self, may_prove: bool) {
+    pub fn allow_proof_probes(&mut self, may_prove: bool) {
         self.may_prove = may_prove;
         if !may_prove {
             self.queue.retain(|item| !matches!(item, Item::Proof(_)));
@@ -136,7 +136,7 @@
     /// Returns when to shut down the write side because only calls that were given up are outstanding: the run store
     /// closing its side proves them over. This is tried if no probe can prove it, or if none was answered within the
     /// average response time.
-    pub fn shuts_at(&self) -> Option<Instant> {
+    pub fn write_shutdown_at(&self) -> Option<Instant> {
         let only = !self.calls.is_empty()
             && self.calls.values().all(|held| held.stage.is_told())
             && self.queue.is_empty()
@@ -148,7 +148,7 @@
     }
 
     /// Returns the number of calls that have not ended.
-    pub fn load(&self) -> usize {
+    pub fn pending_calls(&self) -> usize {
         self.calls.len()
     }
 
@@ -158,13 +158,13 @@
     }
 
     /// Returns whether the connection stayed silent with something outstanding for so long that it is presumed dead.
-    pub fn is_suspect(&self) -> bool {
+    pub fn is_presumed_dead(&self) -> bool {
         self.suspect
     }
 
     /// Returns whether to put no new call on the connection: a written call has long been outstanding without any
     /// input, or a partial frame that nothing awaits may be garbage that would swallow an answer.
-    pub fn is_silent(&self, now: Instant) -> bool {
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
         let written = self.calls.values().filter_map(|held| match held.stage {
             Stage::Written(at) => Some(at),
             _ => None,
@@ -175,17 +175,17 @@
     }
 
     /// Returns when input last arrived.
-    pub fn heard(&self) -> Instant {
+    pub fn last_input(&self) -> Instant {
         self.heard
     }
 
     /// Returns the moving average of response times.
-    pub fn usual(&self) -> Duration {
+    pub fn average_response_time(&self) -> Duration {
         self.usual
     }
 
     /// Returns when the incomplete frame began to arrive. A frame that never ends blocks everything after it.
-    pub fn inside_since(&self) -> Option<Instant> {
+    pub fn partial_frame_since(&self) -> Option<Instant> {
         self.inside
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Queues a call that was still queued when an earlier connection ended.
-    pub fn push_again(&mut self, call: Call) {
+    pub fn push_moved(&mut self, call: Call) {
         self.hold(call, true);
     }
 
@@ -234,14 +234,14 @@
     }
 
     /// Ends the queued calls that have waited too long and may no longer be sent.
-    pub fn expire(&mut self, now: Millis) -> Vec<Ended> {
+    pub fn expire(&mut self, now: Millis) -> Vec<EndEvent> {
         let late = |held: &Held| held.stage == Stage::Queued && held.call.is_late(now);
         let nos: Vec<CallNo> = self.calls.iter().filter(|(_, held)| late(held)).map(|(no, _)| *no).collect();
         self.queue.retain(|item| !matches!(item, Item::Call(no) if nos.contains(no)));
         nos.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
     }
 
-    /// Returns the next frame to write. It counts as being written until [`Link::written`] is called.
+    /// Returns the next frame to write. It counts as being written until [`ConnectionState::mark_written`] is called.
     pub fn next_frame(&mut self, wait: impl Fn(&Call) -> u64) -> Option<Vec<u8>> {
         let first = loop {
             match self.queue.pop_front()? {
@@ -299,7 +299,7 @@
     }
 
     /// Records that the last byte of the frame was written. Returns the number of attempts in it.
-    pub fn written(&mut self, now: Instant) -> usize {
+    pub fn mark_written(&mut self, now: Instant) -> usize {
         let mut attempts = 0;
         for item in std::mem::take(&mut self.writing) {
             match item {
@@ -324,7 +324,7 @@
 
     /// Processes received bytes. Returns what ended, and an error if a frame is malformed, after which the connection
     /// must be closed.
-    pub fn read(&mut self, bytes: &[u8], now: Instant) -> Came {
+    pub fn receive(&mut self, bytes: &[u8], now: Instant) -> ReceiveResult {
         self.heard = now;
         self.buffer.extend_from_slice(bytes);
         let mut ended = Vec::new();
@@ -333,7 +333,7 @@
         (ended, came)
     }
 
-    fn frames(&mut self, ended: &mut Vec<Ended>) -> Result<(), String> {
+    fn frames(&mut self, ended: &mut Vec<EndEvent>) -> Result<(), String> {
         while let Some(frame) = codec::next(&mut self.buffer)? {
             self.inside = None;
             match frame {
@@ -359,7 +359,7 @@
                         End::Error => (Outcome::Errored, None),
                         End::TurnedAway => (Outcome::Rejected, None),
                     };
-                    ended.push(Ended::Call(no, CallEnd { outcome, value, load }));
+                    ended.push(EndEvent::Call(no, CallEnd { outcome, value, load }));
                 }
                 Frame::Probed => {
                     for no in self.proofs.pop_front().map(|(calls, _)| calls).unwrap_or_default() {
@@ -372,7 +372,7 @@
                 }
                 Frame::Load { ok, load } => {
                     if let Some((Some(no), _)) = self.probes.pop_front() {
-                        ended.push(Ended::Probe(no, ok, load));
+                        ended.push(EndEvent::Probe(no, ok, load));
                     }
                 }
                 Frame::Unusable(why) => return Err(format!("the run store rejected a frame: {why}")),
@@ -412,7 +412,7 @@
 
     /// Gives up a call that ends only once it is provably over: at once if none of it was written; otherwise with its
     /// answer, the answer to a later probe, or the end of the connection.
-    pub fn call_back(&mut self, no: CallNo, now: Instant) -> Option<Ended> {
+    pub fn give_up_with_proof(&mut self, no: CallNo, now: Instant) -> Option<EndEvent> {
         let held = self.calls.get_mut(&no)?;
         match held.stage {
             Stage::Queued => {
@@ -471,8 +471,8 @@
     }
 
     /// Ends all queued calls. Sends no further calls or probes.
-    pub fn retire(&mut self) -> Vec<Ended> {
-        self.set_may_prove(false);
+    pub fn retire(&mut self) -> Vec<EndEvent> {
+        self.allow_proof_probes(false);
         self.queue.retain(|item| matches!(item, Item::GiveUp(_)));
         let queued = |held: &Held| held.stage == Stage::Queued;
         let nos: Vec<CallNo> =
@@ -481,15 +481,15 @@
     }
 
     /// Stops writing, and ends every probe and every call that was not written completely.
-    pub fn sever(&mut self) -> Vec<Ended> {
+    pub fn stop_writing(&mut self) -> Vec<EndEvent> {
         let mut ended = Vec::new();
         for item in self.queue.drain(..).chain(std::mem::take(&mut self.writing)) {
             if let Item::Probe(no) = item {
-                ended.push(Ended::Probe(no, false, None));
+                ended.push(EndEvent::Probe(no, false, None));
             }
         }
         for (no, _) in self.probes.drain(..) {
-            ended.extend(no.map(|no| Ended::Probe(no, false, None)));
+            ended.extend(no.map(|no| EndEvent::Probe(no, false, None)));
         }
         let unsent = self.calls.iter().filter(|(_, held)| !held.stage.is_out()).map(|(no, _)| *no);
         for no in unsent.collect::<Vec<_>>() {
@@ -500,21 +500,21 @@
 
     /// Ends everything on the connection because the connection has ended. If an answer was malformed, the run store
     /// is alive and received the outstanding calls, which failed there.
-    pub fn broken(&mut self, spoilt: bool) -> Vec<Ended> {
-        let mut ended = self.sever();
+    pub fn end_all(&mut self, spoilt: bool) -> Vec<EndEvent> {
+        let mut ended = self.stop_writing();
         for (no, held) in std::mem::take(&mut self.calls) {
             let outcome = match held.stage {
                 Stage::Told | Stage::Asked => Outcome::Cancelled,
                 _ if spoilt => Outcome::Errored,
                 _ => Outcome::Reset,
             };
-            ended.push(Ended::Call(no, CallEnd::bare(outcome)));
+            ended.push(EndEvent::Call(no, CallEnd::bare(outcome)));
         }
         ended
     }
 
-    fn end(&mut self, no: CallNo, outcome: Outcome) -> Ended {
+    fn end(&mut self, no: CallNo, outcome: Outcome) -> EndEvent {
         self.calls.remove(&no);
-        Ended::Call(no, CallEnd::bare(outcome))
+        EndEvent::Call(no, CallEnd::bare(outcome))
     }
 }
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -23,7 +23,7 @@
 use crate::net::Stream;
 use crate::settings::SiteSettings;
 use crate::transport::{connect_failed, duration_from_millis, At, Limits, NO_SOCKET_PAUSE};
-use link::{Ended, Link};
+use link::{ConnectionState, EndEvent};
 
 /// Timeout for writing a frame. A run store that reads nothing for this long is unusable.
 const WRITE_LIMIT: Duration = Duration::from_secs(2);
@@ -49,7 +49,7 @@
 }
 
 /// How to queue a call on a connection.
-type Push = fn(&mut Link, Call);
+type Push = fn(&mut ConnectionState, Call);
 
 /// The transport with binary frames.
 pub struct FrameTransport {
@@ -62,7 +62,7 @@
 }
 
 struct Connection {
-    link: RefCell<Link>,
+    link: RefCell<ConnectionState>,
     /// Wakes the writer.
     signal: (Sender<()>, Receiver<()>),
     /// The reason to close the connection once it is idle.
@@ -107,20 +107,24 @@
         let now = Instant::now();
         let room = |c: &&Rc<Connection>| {
             let link = c.link.borrow();
-            c.closing.get().is_none() && !link.is_suspect() && link.load() < self.limits.get().streams
+            c.closing.get().is_none()
+                && !link.is_presumed_dead()
+                && link.pending_calls() < self.limits.get().streams
         };
-        let speaks = |c: &&Rc<Connection>| room(c) && !c.link.borrow().is_silent(now);
+        let speaks = |c: &&Rc<Connection>| room(c) && !c.link.borrow().is_unresponsive(now);
         if let Some(connection) = place.connections.iter().find(speaks) {
             return Ok(connection.clone());
         }
-        let last = place.connections.iter().filter(room).max_by_key(|c| c.link.borrow().heard());
+        let last = place.connections.iter().filter(room).max_by_key(|c| c.link.borrow().last_input());
         let many = last.is_some() && place.connections.len() >= MOST_AT_ONE;
         if many || self.open.get() >= self.limits.get().connections {
             return last.cloned().ok_or(Lack::Room);
         }
-        let usual = last.map_or(self.limits.get().connect.mul_f64(FIRST_USUAL), |c| c.link.borrow().usual());
-        let mut link = Link::new(self.limits.get().bundle, now, usual);
-        link.set_may_prove(self.limits.get().probes);
+        let usual = last.map_or(self.limits.get().connect.mul_f64(FIRST_USUAL), |c| {
+            c.link.borrow().average_response_time()
+        });
+        let mut link = ConnectionState::new(self.limits.get().bundle, now, usual);
+        link.allow_proof_probes(self.limits.get().probes);
         let connection = Rc::new(Connection {
             link: RefCell::new(link),
             signal: async_channel::bounded(1),
@@ -147,7 +151,7 @@
         // Run stores may close connections between requests at any time. Calls that are still queued move to another
         // connection, as the end of this one does not mean that the run store is unreachable.
         let queued = if says_nothing { connection.link.borrow_mut().take_queued() } else { Vec::new() };
-        let ended = connection.link.borrow_mut().broken(reason == Reason::Protocol);
+        let ended = connection.link.borrow_mut().end_all(reason == Reason::Protocol);
         log::ended(
             "run_store",
             Some(address),
@@ -157,10 +161,10 @@
         self.report(ended);
         if reason == Reason::NoSocket {
             // Queued calls wait until a connection can be made, as they do when the connection limit is reached.
-            queued.into_iter().for_each(|call| self.wait_for_room((call, Link::push)));
+            queued.into_iter().for_each(|call| self.wait_for_room((call, ConnectionState::push)));
             Timer::after(NO_SOCKET_PAUSE).await;
         } else {
-            queued.into_iter().for_each(|call| self.put(call, Link::push_again));
+            queued.into_iter().for_each(|call| self.put(call, ConnectionState::push_moved));
         }
         self.put_waiting();
     }
@@ -230,7 +234,7 @@
         let places = self.places.borrow();
         let idle = |c: &&Rc<Connection>| c.closing.get().is_none() && c.link.borrow().is_idle();
         let all = places.values().flat_map(|place| &place.connections);
-        if let Some(connection) = all.filter(idle).min_by_key(|c| c.link.borrow().heard()) {
+        if let Some(connection) = all.filter(idle).min_by_key(|c| c.link.borrow().last_input()) {
             connection.close(Reason::Full);
         }
     }
@@ -261,18 +265,18 @@
         connection.closing.set(Some(reason));
         let (queued, ended) = {
             let mut link = connection.link.borrow_mut();
-            (link.take_queued(), link.sever())
+            (link.take_queued(), link.stop_writing())
         };
         self.report(ended);
         for call in queued {
-            self.put(call, Link::push_again);
+            self.put(call, ConnectionState::push_moved);
         }
         let mut readable = reason != Reason::Protocol;
         let mut bytes = vec![0; 16 * 1024];
         if stream.shutdown(Shutdown::Write).is_err() {
             return;
         }
-        while connection.link.borrow().load() > 0 {
+        while connection.link.borrow().pending_calls() > 0 {
             let read = async { Some(stream.read(&mut bytes).await.unwrap_or(0)) };
             let woken = async {
                 let _ = connection.signal.1.recv().await;
@@ -281,7 +285,7 @@
             match future::or(read, woken).await {
                 Some(0) => return,
                 Some(count) if readable => {
-                    let (ended, came) = connection.link.borrow_mut().read(&bytes[..count], Instant::now());
+                    let (ended, came) = connection.link.borrow_mut().receive(&bytes[..count], Instant::now());
                     self.report(ended);
                     readable = came.is_ok();
                 }
@@ -293,7 +297,7 @@
     async fn read(&self, mut stream: Stream, connection: &Connection) -> io::Result<Reason> {
         let mut bytes = vec![0; 16 * 1024];
         loop {
-            let begun = connection.link.borrow().inside_since();
+            let begun = connection.link.borrow().partial_frame_since();
             let read = async { stream.read(&mut bytes).await.map(Some) };
             // An incomplete frame that never ends blocks the answers to all outstanding calls.
             let stuck = async {
@@ -310,7 +314,7 @@
             if count == 0 {
                 return Ok(Reason::PeerClosed);
             }
-            let (ended, came) = connection.link.borrow_mut().read(&bytes[..count], Instant::now());
+            let (ended, came) = connection.link.borrow_mut().receive(&bytes[..count], Instant::now());
             self.report(ended);
             if let Err(why) = came {
                 log::line(&format!("frames: {why}"));
@@ -344,18 +348,18 @@
                 if !written? {
                     return Ok(Reason::TooSlow);
                 }
-                let attempts = connection.link.borrow_mut().written(Instant::now());
+                let attempts = connection.link.borrow_mut().mark_written(Instant::now());
                 self.driver.count(|counters| counters.tries += attempts as u64);
                 continue;
             }
             let (idle, suspect, load) = {
                 let link = connection.link.borrow();
-                (link.is_idle(), link.is_suspect(), link.load())
+                (link.is_idle(), link.is_presumed_dead(), link.pending_calls())
             };
             if suspect && load == 0 {
                 return Ok(Reason::Silent);
             }
-            let shuts = connection.link.borrow().shuts_at();
+            let shuts = connection.link.borrow().write_shutdown_at();
             if shuts.is_some_and(|at| at <= Instant::now()) {
                 return Ok(connection.closing.get().unwrap_or(Reason::Asked));
             }
@@ -384,11 +388,11 @@
         }
     }
 
-    fn report(&self, ended: Vec<Ended>) {
+    fn report(&self, ended: Vec<EndEvent>) {
         for ended in ended {
             match ended {
-                Ended::Call(no, end) => self.driver.call_ended(no, end),
-                Ended::Probe(no, ok, load) => self.driver.probe_ended(no, ok, load),
+                EndEvent::Call(no, end) => self.driver.call_ended(no, end),
+                EndEvent::Probe(no, ok, load) => self.driver.probe_ended(no, ok, load),
             }
         }
     }
@@ -401,17 +405,17 @@
 
 impl RunStores for Rc<FrameTransport> {
     fn send(&self, call: Call) {
-        self.put(call, Link::push);
+        self.put(call, ConnectionState::push);
     }
 
     fn give_up(&self, replica: &ReplicaId, no: CallNo, await_proof: bool) {
         let unsent = self.take_waiting(|call| call.no == no);
         if await_proof {
             self.report(
-                unsent.into_iter().map(|no| Ended::Call(no, CallEnd::bare(Outcome::NotSent))).collect(),
+                unsent.into_iter().map(|no| EndEvent::Call(no, CallEnd::bare(Outcome::NotSent))).collect(),
             );
             return self.each(replica, |connection| {
-                let ended = connection.link.borrow_mut().call_back(no, Instant::now());
+                let ended = connection.link.borrow_mut().give_up_with_proof(no, Instant::now());
                 self.report(ended.into_iter().collect());
                 connection.wake();
             });
@@ -487,7 +491,7 @@
         self.limits.set(Limits::from_settings(site, self.limits.get().connections));
         let places = self.places.borrow();
         let open = places.values().flat_map(|place| &place.connections).filter(|c| c.closing.get().is_none());
-        open.for_each(|connection| connection.link.borrow_mut().set_may_prove(self.limits.get().probes));
+        open.for_each(|connection| connection.link.borrow_mut().allow_proof_probes(self.limits.get().probes));
     }
 
     fn locate(&self, replica: &ReplicaId, address: SocketAddr, started: Option<Millis>) {
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -6,7 +6,7 @@
 
 use ironpaddle::api::Outcome;
 use ironpaddle::core::{Call, CallEnd, CallNo};
-use ironpaddle::transport::frames::link::{Ended, Link};
+use ironpaddle::transport::frames::link::{ConnectionState, EndEvent};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -96,7 +96,7 @@
 
 fn walk(bundle: usize, steps: &[Step]) -> Result<(), TestCaseError> {
     let start = Instant::now();
-    let mut link = Link::new(bundle, start, USUAL);
+    let mut link = ConnectionState::new(bundle, start, USUAL);
     let mut model: BTreeMap<u64, Stands> = BTreeMap::new();
     // Given up while being written: the run store is told, the core has booked the end.
     let mut writing = false;
@@ -149,7 +149,7 @@
             Step::Written if writing => {
                 writing = false;
                 // One given up while it was being written is written whole all the same.
-                prop_assert_eq!(link.written(now), in_frame);
+                prop_assert_eq!(link.mark_written(now), in_frame);
                 let begun = model.values_mut().filter(|stands| **stands == Stands::Writing);
                 begun.for_each(|stands| *stands = Stands::Written);
                 for no in std::mem::take(&mut back) {
@@ -159,7 +159,7 @@
             Step::Answer(which, end) => {
                 if let Some(no) = pick(&model, *which) {
                     let came;
-                    (ended, came) = link.read(&answer(&format!("q{no}.0"), *end), now);
+                    (ended, came) = link.receive(&answer(&format!("q{no}.0"), *end), now);
                     let wanted = match (model[&no], end) {
                         (Stands::Written | Stands::Told, 'S') => Some(Outcome::Completed),
                         (Stands::Written | Stands::Told, 'E') => Some(Outcome::Errored),
@@ -173,7 +173,7 @@
                         return broken(&mut link, &mut model, writing, true);
                     }
                     prop_assert_eq!(ended.len(), usize::from(wanted.is_some()));
-                    if let (Some(Ended::Call(_, end)), Some(wanted)) = (ended.first(), wanted) {
+                    if let (Some(EndEvent::Call(_, end)), Some(wanted)) = (ended.first(), wanted) {
                         prop_assert_eq!(end.outcome, wanted);
                     }
                 }
@@ -189,7 +189,7 @@
             }
             Step::CallBack(which) => {
                 if let Some(no) = pick(&model, *which).filter(|no| !over(model[no])) {
-                    ended.extend(link.call_back(CallNo(no), now));
+                    ended.extend(link.give_up_with_proof(CallNo(no), now));
                     prop_assert_eq!(ended.len(), usize::from(model[&no] == Stands::Queued));
                     match model[&no] {
                         Stands::Writing => drop(back.insert(no)),
@@ -201,17 +201,17 @@
             Step::Probed if !(writing && in_proof) => {
                 let proved = proofs.pop_front().unwrap_or_default();
                 let wanted: Vec<u64> = proved.into_iter().filter(|no| model[no] == Stands::Told).collect();
-                ended = link.read(&frame("3S"), now).0;
+                ended = link.receive(&frame("3S"), now).0;
                 let proved: Vec<_> = wanted
                     .iter()
-                    .map(|no| Ended::Call(CallNo(*no), CallEnd::bare(Outcome::Cancelled)))
+                    .map(|no| EndEvent::Call(CallNo(*no), CallEnd::bare(Outcome::Cancelled)))
                     .collect();
                 prop_assert_eq!(&ended, &proved);
             }
             Step::Retire => {
                 ended = link.retire();
                 for end in &ended {
-                    let Ended::Call(no, end) = end else { continue };
+                    let EndEvent::Call(no, end) = end else { continue };
                     prop_assert_eq!(end.outcome, Outcome::NotSent);
                     prop_assert_eq!(model[&no.0], Stands::Queued, "only what has not begun is taken back");
                 }
@@ -221,7 +221,7 @@
             Step::Frame | Step::Written | Step::Probed => {}
         }
         for end in ended {
-            if let Ended::Call(no, end) = end {
+            if let EndEvent::Call(no, end) = end {
                 let stands = if end.outcome == Outcome::NotSent { Stands::Unsent } else { Stands::Past };
                 prop_assert!(!model.insert(no.0, stands).is_some_and(over), "one end each");
             }
@@ -236,7 +236,7 @@
 
 /// The connection ends: what is queued goes elsewhere, and all the rest ends as its last byte says.
 fn broken(
-    link: &mut Link,
+    link: &mut ConnectionState,
     model: &mut BTreeMap<u64, Stands>,
     writing: bool,
     spoilt: bool,
@@ -245,8 +245,8 @@
     for no in &queued {
         prop_assert_eq!(model.insert(*no, Stands::Unsent), Some(Stands::Queued));
     }
-    for end in link.broken(spoilt) {
-        let Ended::Call(no, end) = end else { continue };
+    for end in link.end_all(spoilt) {
+        let EndEvent::Call(no, end) = end else { continue };
         match model.insert(no.0, Stands::Past) {
             Some(Stands::Written) if spoilt => prop_assert_eq!(end.outcome, Outcome::Errored),
             Some(Stands::Written) => prop_assert_eq!(end.outcome, Outcome::Reset),
@@ -265,18 +265,18 @@
     let now = Instant::now();
     let bytes = [answer("q0.0", 'S'), answer("q1.0", 'E')].concat();
     for cut in 0..bytes.len() {
-        let mut link = Link::new(1, now, USUAL);
+        let mut link = ConnectionState::new(1, now, USUAL);
         for no in 0..2 {
             link.push(call(no));
             link.next_frame(|_| 5).unwrap();
-            link.written(now);
+            link.mark_written(now);
         }
-        let (mut ended, _) = link.read(&bytes[..cut], now);
-        let (rest, came) = link.read(&bytes[cut..], now);
+        let (mut ended, _) = link.receive(&bytes[..cut], now);
+        let (rest, came) = link.receive(&bytes[cut..], now);
         ended.extend(rest);
-        assert!(came.is_ok() && link.inside_since().is_none());
+        assert!(came.is_ok() && link.partial_frame_since().is_none());
         assert_eq!(ended.len(), 2, "cut at {cut}");
-        let Ended::Call(_, end) = &ended[0] else { panic!("a call") };
+        let EndEvent::Call(_, end) = &ended[0] else { panic!("a call") };
         assert_eq!(end.value.as_deref(), Some(&b"value"[..]));
         assert_eq!(end.load.and_then(|load| load.utilization), Some(0.5));
     }
@@ -285,34 +285,37 @@
 #[test]
 fn a_connection_that_is_silent_long_after_a_call_takes_no_more() {
     let start = Instant::now();
-    let mut link = Link::new(1, start, USUAL);
+    let mut link = ConnectionState::new(1, start, USUAL);
     link.push(call(0));
     link.next_frame(|_| 5).unwrap();
-    link.written(start + Duration::from_millis(1));
+    link.mark_written(start + Duration::from_millis(1));
     link.give_up(CallNo(0), start + Duration::from_millis(100));
-    assert!(!link.is_suspect(), "a slow run store is not a vanished one");
+    assert!(!link.is_presumed_dead(), "a slow run store is not a vanished one");
     link.push(call(1));
     while link.next_frame(|_| 5).is_some() {
-        link.written(start + Duration::from_millis(101));
+        link.mark_written(start + Duration::from_millis(101));
     }
     link.give_up(CallNo(1), start + Duration::from_secs(5));
-    assert!(link.is_suspect());
+    assert!(link.is_presumed_dead());
 }
 
 #[test]
 fn oversized_and_malformed_frames_are_errors_not_panics() {
     for bytes in [&[0, 0, 0, 0][..], &[255, 255, 255, 255], &[2, 0, 0, 0, b'5', b'x'], &[1, 0, 0, 0, b'q']] {
-        assert!(Link::new(1, Instant::now(), USUAL).read(bytes, Instant::now()).1.is_err(), "{bytes:?}");
+        assert!(
+            ConnectionState::new(1, Instant::now(), USUAL).receive(bytes, Instant::now()).1.is_err(),
+            "{bytes:?}"
+        );
     }
 }
 
 /// A connection on which so many calls are out.
-fn out(calls: u64, now: Instant) -> Link {
-    let mut link = Link::new(1, now, USUAL);
+fn out(calls: u64, now: Instant) -> ConnectionState {
+    let mut link = ConnectionState::new(1, now, USUAL);
     for no in 0..calls {
         link.push(call(no));
         link.next_frame(|_| 5).unwrap();
-        link.written(now);
+        link.mark_written(now);
     }
     link
 }
@@ -324,11 +327,12 @@
         [&b"\0\xb2\xd0\x5e5q1.0 S"[..], b"\x03\0\0\0qno", &answer("q7.0", 'S'), &answer("q1.0", '?')]
     {
         let mut link = out(3, now);
-        let (ended, came) = link.read(&[&answer("q0.0", 'S'), spoilt].concat(), now);
+        let (ended, came) = link.receive(&[&answer("q0.0", 'S'), spoilt].concat(), now);
         assert_eq!(ended.len(), 1, "{spoilt:?}");
         assert!(came.is_err(), "{spoilt:?}");
-        let ends = link.broken(true);
-        let errored = |end: &Ended| matches!(end, Ended::Call(_, end) if end.outcome == Outcome::Errored);
+        let ends = link.end_all(true);
+        let errored =
+            |end: &EndEvent| matches!(end, EndEvent::Call(_, end) if end.outcome == Outcome::Errored);
         assert!(ends.len() == 2 && ends.iter().all(errored), "{ends:?}");
     }
 }
@@ -337,12 +341,12 @@
 fn a_second_copy_changes_nothing_and_noise_after_an_answer_ends_the_connection_alone() {
     let now = Instant::now();
     let mut link = out(2, now);
-    assert_eq!(link.read(&[answer("q0.0", 'S'), answer("q0.0", 'S')].concat(), now).0.len(), 1);
-    let (ended, came) = link.read(&answer("q1.0", 'E'), now);
+    assert_eq!(link.receive(&[answer("q0.0", 'S'), answer("q0.0", 'S')].concat(), now).0.len(), 1);
+    let (ended, came) = link.receive(&answer("q1.0", 'E'), now);
     assert!(ended.len() == 1 && came.is_ok());
     // Too short to be taken for a frame: kept, it would be read as the beginning of the next answer.
-    assert!(link.read(b"x", now).1.is_err());
-    assert!(link.broken(true).is_empty());
+    assert!(link.receive(b"x", now).1.is_err());
+    assert!(link.end_all(true).is_empty());
 }
 
 #[test]
@@ -350,8 +354,8 @@
     let now = Instant::now();
     for (report, told) in [("what is this", None), ("", None), ("utilization=0.5,throughput=3", Some(0.5))] {
         let bytes = frame(&format!("5q0.0 S 9 {report}\nvalue"));
-        let (ended, came) = out(1, now).read(&bytes, now);
-        let [Ended::Call(_, end)] = &ended[..] else { panic!("{report}: {ended:?}") };
+        let (ended, came) = out(1, now).receive(&bytes, now);
+        let [EndEvent::Call(_, end)] = &ended[..] else { panic!("{report}: {ended:?}") };
         assert!(came.is_ok() && end.value.is_some(), "{report}");
         assert_eq!(end.load.and_then(|load| load.utilization), told, "{report}");
     }
@@ -361,11 +365,11 @@
 fn a_frame_that_has_begun_is_known_by_its_time_and_a_huge_one_is_not_kept() {
     let now = Instant::now();
     let mut link = out(1, now);
-    assert!(link.read(b"\x00\x10\x00\x005q0.0", now).1.is_ok());
-    assert_eq!(link.inside_since(), Some(now));
-    assert!(link.read(b" S", now + Duration::from_millis(9)).1.is_ok());
-    assert_eq!(link.inside_since(), Some(now), "more of it does not start its time anew");
-    assert!(out(1, now).read(&(1_000_000u32).to_le_bytes(), now).1.is_err());
+    assert!(link.receive(b"\x00\x10\x00\x005q0.0", now).1.is_ok());
+    assert_eq!(link.partial_frame_since(), Some(now));
+    assert!(link.receive(b" S", now + Duration::from_millis(9)).1.is_ok());
+    assert_eq!(link.partial_frame_since(), Some(now), "more of it does not start its time anew");
+    assert!(out(1, now).receive(&(1_000_000u32).to_le_bytes(), now).1.is_err());
 }
 
 #[test]
@@ -373,14 +377,14 @@
     let now = Instant::now();
     let after = |millis| now + Duration::from_millis(millis);
     let mut link = out(2, now);
-    assert!(!link.is_silent(after(299)) && link.is_silent(after(300)));
-    assert!(!link.is_suspect(), "it may only be slow");
+    assert!(!link.is_unresponsive(after(299)) && link.is_unresponsive(after(300)));
+    assert!(!link.is_presumed_dead(), "it may only be slow");
     // It speaks again: the other call is still out, and its time starts anew.
-    assert_eq!(link.read(&answer("q0.0", 'S'), after(600)).0.len(), 1);
-    assert!(!link.is_silent(after(700)));
-    assert!(link.usual() > USUAL, "slow answers make it patient");
-    assert_eq!(link.read(&answer("q1.0", 'S'), after(610)).0.len(), 1);
-    assert!(!link.is_silent(after(60_000)), "nothing is out");
+    assert_eq!(link.receive(&answer("q0.0", 'S'), after(600)).0.len(), 1);
+    assert!(!link.is_unresponsive(after(700)));
+    assert!(link.average_response_time() > USUAL, "slow answers make it patient");
+    assert_eq!(link.receive(&answer("q1.0", 'S'), after(610)).0.len(), 1);
+    assert!(!link.is_unresponsive(after(60_000)), "nothing is out");
 }
 
 #[test]
@@ -390,30 +394,30 @@
     assert!(link.give_up(CallNo(0), now));
     // The run store is told, and nothing is out.
     link.next_frame(|_| 5).unwrap();
-    link.written(now);
+    link.mark_written(now);
     let late = answer("q0.0", 'S');
     for byte in &late[..late.len() - 1] {
-        assert!(link.read(&[*byte], now).1.is_ok(), "no noise, but an answer that concerns nobody");
-        assert!(link.is_silent(now), "what it is cannot be told yet: no call is put behind it");
+        assert!(link.receive(&[*byte], now).1.is_ok(), "no noise, but an answer that concerns nobody");
+        assert!(link.is_unresponsive(now), "what it is cannot be told yet: no call is put behind it");
     }
-    let (ended, came) = link.read(&late[late.len() - 1..], now);
-    assert!(ended.is_empty() && came.is_ok() && !link.is_silent(now));
+    let (ended, came) = link.receive(&late[late.len() - 1..], now);
+    assert!(ended.is_empty() && came.is_ok() && !link.is_unresponsive(now));
     // It has come now: a byte more is noise.
-    assert!(link.read(b"x", now).1.is_err());
+    assert!(link.receive(b"x", now).1.is_err());
 }
 
 /// The frames that it writes now.
-fn frames(link: &mut Link, now: Instant) -> Vec<String> {
+fn frames(link: &mut ConnectionState, now: Instant) -> Vec<String> {
     let mut all = Vec::new();
     while let Some(frame) = link.next_frame(|_| 5) {
         all.push(said(&frame));
-        link.written(now);
+        link.mark_written(now);
     }
     all
 }
 
-fn over_by_proof(no: u64) -> Ended {
-    Ended::Call(CallNo(no), CallEnd::bare(Outcome::Cancelled))
+fn over_by_proof(no: u64) -> EndEvent {
+    EndEvent::Call(CallNo(no), CallEnd::bare(Outcome::Cancelled))
 }
 
 #[test]
@@ -421,42 +425,42 @@
     let now = Instant::now();
     let mut link = out(4, now);
     for no in 0..3 {
-        assert_eq!(link.call_back(CallNo(no), now), None, "not before it is proved");
+        assert_eq!(link.give_up_with_proof(CallNo(no), now), None, "not before it is proved");
     }
     assert_eq!(frames(&mut link, now), ["2q0.0", "2q1.0", "2q2.0", "3"]);
-    assert!(link.load() == 4 && !link.is_idle(), "the run store may not have read it");
+    assert!(link.pending_calls() == 4 && !link.is_idle(), "the run store may not have read it");
     // One is answered meanwhile, and the core waits for another no longer.
-    let (ended, _) = link.read(&answer("q0.0", 'S'), now);
-    assert!(matches!(&ended[..], [Ended::Call(CallNo(0), end)] if end.outcome == Outcome::Completed));
+    let (ended, _) = link.receive(&answer("q0.0", 'S'), now);
+    assert!(matches!(&ended[..], [EndEvent::Call(CallNo(0), end)] if end.outcome == Outcome::Completed));
     assert!(link.give_up(CallNo(1), now));
     // What is given up behind the probe needs one of its own.
-    assert_eq!(link.call_back(CallNo(3), now), None);
-    assert_eq!(link.read(&frame("3E"), now).0, [over_by_proof(2)]);
+    assert_eq!(link.give_up_with_proof(CallNo(3), now), None);
+    assert_eq!(link.receive(&frame("3E"), now).0, [over_by_proof(2)]);
     assert_eq!(frames(&mut link, now), ["2q3.0", "3"]);
-    assert_eq!(link.read(&frame("3S"), now).0, [over_by_proof(3)]);
+    assert_eq!(link.receive(&frame("3S"), now).0, [over_by_proof(3)]);
     assert!(link.is_idle());
     // An answer that crossed all that concerns nobody.
-    assert!(link.read(&answer("q2.0", 'S'), now).1.is_ok());
+    assert!(link.receive(&answer("q2.0", 'S'), now).1.is_ok());
 }
 
 #[test]
 fn what_is_given_up_before_its_last_byte_is_told_of_behind_it_or_never_ran() {
     let now = Instant::now();
     for whole in [true, false] {
-        let mut link = Link::new(1, now, USUAL);
+        let mut link = ConnectionState::new(1, now, USUAL);
         link.push(call(0));
         link.push(call(1));
         link.next_frame(|_| 5).unwrap();
-        let unsent = link.call_back(CallNo(1), now);
-        assert_eq!(unsent, Some(Ended::Call(CallNo(1), CallEnd::bare(Outcome::NotSent))));
-        assert_eq!(link.call_back(CallNo(0), now), None);
+        let unsent = link.give_up_with_proof(CallNo(1), now);
+        assert_eq!(unsent, Some(EndEvent::Call(CallNo(1), CallEnd::bare(Outcome::NotSent))));
+        assert_eq!(link.give_up_with_proof(CallNo(0), now), None);
         if whole {
-            link.written(now);
+            link.mark_written(now);
             assert_eq!(frames(&mut link, now), ["2q0.0", "3"]);
-            assert_eq!(link.broken(false), [over_by_proof(0)], "its end proves it as well");
+            assert_eq!(link.end_all(false), [over_by_proof(0)], "its end proves it as well");
         } else {
             let failed = CallEnd::bare(Outcome::ConnectFailed);
-            assert_eq!(link.broken(false), [Ended::Call(CallNo(0), failed)]);
+            assert_eq!(link.end_all(false), [EndEvent::Call(CallNo(0), failed)]);
         }
     }
 }
@@ -467,18 +471,18 @@
     for retired in [false, true] {
         let mut link = out(2, now);
         if !retired {
-            link.set_may_prove(false);
+            link.allow_proof_probes(false);
         }
-        assert_eq!(link.call_back(CallNo(0), now), None);
+        assert_eq!(link.give_up_with_proof(CallNo(0), now), None);
         if retired {
             assert!(link.retire().is_empty());
         }
         assert_eq!(frames(&mut link, now), ["2q0.0"]);
-        assert_eq!(link.shuts_at(), None, "the other is out");
-        assert_eq!(link.read(&answer("q1.0", 'S'), now).0.len(), 1);
-        assert_eq!(link.shuts_at(), Some(now));
-        assert_eq!(link.sever(), [], "it is ended here, and not yet there");
-        assert_eq!(link.broken(false), [over_by_proof(0)]);
+        assert_eq!(link.write_shutdown_at(), None, "the other is out");
+        assert_eq!(link.receive(&answer("q1.0", 'S'), now).0.len(), 1);
+        assert_eq!(link.write_shutdown_at(), Some(now));
+        assert_eq!(link.stop_writing(), [], "it is ended here, and not yet there");
+        assert_eq!(link.end_all(false), [over_by_proof(0)]);
     }
 }
 
@@ -487,15 +491,15 @@
     let now = Instant::now();
     let after = |millis| now + Duration::from_millis(millis);
     let mut link = out(2, now);
-    assert_eq!(link.call_back(CallNo(0), now), None);
-    assert_eq!(link.shuts_at(), None, "it is to be told first");
+    assert_eq!(link.give_up_with_proof(CallNo(0), now), None);
+    assert_eq!(link.write_shutdown_at(), None, "it is to be told first");
     assert_eq!(frames(&mut link, after(10)), ["2q0.0", "3"]);
-    assert_eq!(link.shuts_at(), None, "the other is out");
-    assert_eq!(link.call_back(CallNo(1), after(10)), None);
+    assert_eq!(link.write_shutdown_at(), None, "the other is out");
+    assert_eq!(link.give_up_with_proof(CallNo(1), after(10)), None);
     assert_eq!(frames(&mut link, after(20)), ["2q1.0", "3"]);
-    assert_eq!(link.shuts_at(), Some(after(10) + USUAL));
-    assert_eq!(link.read(&frame("3S"), after(30)).0, [over_by_proof(0)]);
-    assert_eq!(link.shuts_at(), Some(after(30) + USUAL), "it speaks");
-    assert_eq!(link.read(&frame("3S"), after(40)).0, [over_by_proof(1)]);
-    assert_eq!(link.shuts_at(), None);
+    assert_eq!(link.write_shutdown_at(), Some(after(10) + USUAL));
+    assert_eq!(link.receive(&frame("3S"), after(30)).0, [over_by_proof(0)]);
+    assert_eq!(link.write_shutdown_at(), Some(after(30) + USUAL), "it speaks");
+    assert_eq!(link.receive(&frame("3S"), after(40)).0, [over_by_proof(1)]);
+    assert_eq!(link.write_shutdown_at(), None);
 }
