--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -9,20 +9,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use super::codec::{self, End, Frame, Part};
+use super::codec::{self, Frame, Part, PartStatus};
 use crate::api::{LoadReport, Millis, Outcome};
 use crate::core::{Call, CallEnd, CallNo};
 
 /// Number of finished parts whose ids are remembered, to tell a late or repeated answer from a malformed one.
-const MOST_PAST: usize = 512;
-/// After this long without input, giving up a call makes its connection suspect: the machine may have disappeared.
-const SILENCE: Duration = Duration::from_millis(1500);
-
-/// A connection with outstanding calls is treated as silent after this many average response times without input. If
-/// it is merely slow, this costs one more connection, as its outstanding calls are still awaited.
-const SILENT_OF_USUAL: u32 = 3;
+const MAX_PAST_PARTS: usize = 512;
+/// A connection without input for this long is presumed dead when a call on it is given up: the machine may have
+/// disappeared.
+const DEAD_AFTER: Duration = Duration::from_millis(1500);
+
+/// A connection with outstanding calls is treated as unresponsive after this many average response times without
+/// input. If it is merely slow, this costs one more connection, as its outstanding calls are still awaited.
+const UNRESPONSIVE_RESPONSE_TIMES: u32 = 3;
 /// The moving average of response times gives a new one a weight of one part in this many.
-const USUAL_OF: u32 = 8;
+const RESPONSE_TIME_WEIGHT_DIVISOR: u32 = 8;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
@@ -31,40 +32,40 @@
     Written(Instant),
     /// Given up, and awaited until the run store provably knows. The cancel frame is queued or written, but no probe
     /// after it is being written yet.
-    Told,
-    /// Same, and the probe after the cancel frame is being written or was written.
-    Asked,
+    Cancelling,
+    /// Like `Cancelling`, but the probe after the cancel frame is being written or was written.
+    ProofRequested,
 }
 
 impl Stage {
     /// Returns whether the call was written completely, so that the run store may answer it.
-    fn is_out(self) -> bool {
+    fn is_fully_written(self) -> bool {
         !matches!(self, Stage::Queued | Stage::Writing)
     }
 
     /// Returns whether the call was given up and is only awaited until it is provably over.
-    fn is_told(self) -> bool {
-        matches!(self, Stage::Told | Stage::Asked)
+    fn is_cancelling(self) -> bool {
+        matches!(self, Stage::Cancelling | Stage::ProofRequested)
     }
 }
 
 #[derive(Debug)]
-struct Held {
+struct TrackedCall {
     call: Call,
     stage: Stage,
     /// Set if the call was given up while being written: whether it needs proof that it is over.
-    given_up: Option<bool>,
+    cancel_after_write: Option<bool>,
     /// Whether the call was queued before on a connection that ended.
-    moved: bool,
+    requeued: bool,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum Item {
+enum QueueItem {
     Call(CallNo),
-    GiveUp(String),
-    Probe(CallNo),
+    Cancel(String),
+    LoadProbe(CallNo),
     /// A probe whose answer proves calls to be over. The calls are listed when writing begins.
-    Proof(Vec<CallNo>),
+    ProofProbe(Vec<CallNo>),
 }
 
 /// Something that ended on a connection.
@@ -84,52 +85,53 @@
 #[derive(Debug)]
 pub struct ConnectionState {
     /// Maximum number of parts in one frame.
-    bundle: usize,
-    queue: VecDeque<Item>,
-    calls: BTreeMap<CallNo, Held>,
+    max_parts_per_frame: usize,
+    queue: VecDeque<QueueItem>,
+    calls: BTreeMap<CallNo, TrackedCall>,
     /// Written probes, oldest first, with the time of writing; `None` for one that was given up.
-    probes: VecDeque<(Option<CallNo>, Instant)>,
+    load_probes: VecDeque<(Option<CallNo>, Instant)>,
     /// Written probes that prove calls to be over, oldest first, each with its calls and the time of writing.
-    proofs: VecDeque<(Vec<CallNo>, Instant)>,
+    proof_probes: VecDeque<(Vec<CallNo>, Instant)>,
     /// Whether such probes may be sent.
-    may_prove: bool,
-    writing: Vec<Item>,
+    proof_probes_allowed: bool,
+    writing: Vec<QueueItem>,
     /// Parts that were answered or given up, oldest first, and whether an answer has arrived.
-    past: VecDeque<(String, bool)>,
+    past_parts: VecDeque<(String, bool)>,
     buffer: Vec<u8>,
     /// When the incomplete frame at the start of the buffer began to arrive.
-    inside: Option<Instant>,
-    heard: Instant,
-    suspect: bool,
+    partial_since: Option<Instant>,
+    last_input: Instant,
+    presumed_dead: bool,
     /// Moving average of response times.
-    usual: Duration,
+    average_response_time: Duration,
 }
 
 impl ConnectionState {
-    /// Creates the state of a new connection. `usual` is the assumed response time until answers arrive.
-    pub fn new(bundle: usize, now: Instant, usual: Duration) -> Self {
+    /// Creates the state of a new connection. `average_response_time` is the assumed response time until answers
+    /// arrive.
+    pub fn new(max_parts_per_frame: usize, now: Instant, average_response_time: Duration) -> Self {
         ConnectionState {
-            bundle: bundle.max(1),
+            max_parts_per_frame: max_parts_per_frame.max(1),
             queue: VecDeque::new(),
             calls: BTreeMap::new(),
-            probes: VecDeque::new(),
-            proofs: VecDeque::new(),
-            may_prove: true,
+            load_probes: VecDeque::new(),
+            proof_probes: VecDeque::new(),
+            proof_probes_allowed: true,
             writing: Vec::new(),
-            past: VecDeque::new(),
+            past_parts: VecDeque::new(),
             buffer: Vec::new(),
-            inside: None,
-            heard: now,
-            suspect: false,
-            usual,
+            partial_since: None,
+            last_input: now,
+            presumed_dead: false,
+            average_response_time,
         }
     }
 
     /// Sets whether probes that prove calls to be over may be sent.
-    pub fn allow_proof_probes(&mut self, may_prove: bool) {
-        self.may_prove = may_prove;
-        if !may_prove {
-            self.queue.retain(|item| !matches!(item, Item::Proof(_)));
+    pub fn allow_proof_probes(&mut self, allowed: bool) {
+        self.proof_probes_allowed = allowed;
+        if !allowed {
+            self.queue.retain(|item| !matches!(item, QueueItem::ProofProbe(_)));
         }
     }
 
@@ -137,14 +139,18 @@
     /// closing its side proves them over. This is tried if no probe can prove it, or if none was answered within the
     /// average response time.
     pub fn write_shutdown_at(&self) -> Option<Instant> {
-        let only = !self.calls.is_empty()
-            && self.calls.values().all(|held| held.stage.is_told())
+        let only_cancelling = !self.calls.is_empty()
+            && self.calls.values().all(|tracked| tracked.stage.is_cancelling())
             && self.queue.is_empty()
             && self.writing.is_empty()
-            && self.probes.iter().all(|(no, _)| no.is_none());
-        let asked = self.calls.values().all(|held| held.stage == Stage::Asked);
-        let since = self.proofs.front().filter(|_| asked).map(|(_, at)| self.heard.max(*at) + self.usual);
-        only.then(|| since.unwrap_or(self.heard))
+            && self.load_probes.iter().all(|(no, _)| no.is_none());
+        let all_probed = self.calls.values().all(|tracked| tracked.stage == Stage::ProofRequested);
+        let since = self
+            .proof_probes
+            .front()
+            .filter(|_| all_probed)
+            .map(|(_, at)| self.last_input.max(*at) + self.average_response_time);
+        only_cancelling.then(|| since.unwrap_or(self.last_input))
     }
 
     /// Returns the number of calls that have not ended.
@@ -154,135 +160,144 @@
 
     /// Returns whether nothing is outstanding, queued or being written.
     pub fn is_idle(&self) -> bool {
-        self.calls.is_empty() && self.queue.is_empty() && self.writing.is_empty() && self.probes.is_empty()
+        self.calls.is_empty()
+            && self.queue.is_empty()
+            && self.writing.is_empty()
+            && self.load_probes.is_empty()
     }
 
     /// Returns whether the connection stayed silent with something outstanding for so long that it is presumed dead.
     pub fn is_presumed_dead(&self) -> bool {
-        self.suspect
+        self.presumed_dead
     }
 
     /// Returns whether to put no new call on the connection: a written call has long been outstanding without any
     /// input, or a partial frame that nothing awaits may be garbage that would swallow an answer.
     pub fn is_unresponsive(&self, now: Instant) -> bool {
-        let written = self.calls.values().filter_map(|held| match held.stage {
+        let written = self.calls.values().filter_map(|tracked| match tracked.stage {
             Stage::Written(at) => Some(at),
             _ => None,
         });
-        let since = written.min().map(|at| at.max(self.heard));
-        let unasked = self.inside.is_some() && !self.is_awaited();
-        self.suspect || unasked || since.is_some_and(|since| now - since >= self.usual * SILENT_OF_USUAL)
+        let since = written.min().map(|at| at.max(self.last_input));
+        let unexpected = self.partial_since.is_some() && !self.awaits_answer();
+        self.presumed_dead
+            || unexpected
+            || since
+                .is_some_and(|since| now - since >= self.average_response_time * UNRESPONSIVE_RESPONSE_TIMES)
     }
 
     /// Returns when input last arrived.
     pub fn last_input(&self) -> Instant {
-        self.heard
+        self.last_input
     }
 
     /// Returns the moving average of response times.
     pub fn average_response_time(&self) -> Duration {
-        self.usual
+        self.average_response_time
     }
 
     /// Returns when the incomplete frame began to arrive. A frame that never ends blocks everything after it.
     pub fn partial_frame_since(&self) -> Option<Instant> {
-        self.inside
+        self.partial_since
     }
 
     /// Queues a call.
     pub fn push(&mut self, call: Call) {
-        self.hold(call, false);
+        self.track(call, false);
     }
 
     /// Queues a call that was still queued when an earlier connection ended.
     pub fn push_moved(&mut self, call: Call) {
-        self.hold(call, true);
+        self.track(call, true);
     }
 
-    fn hold(&mut self, call: Call, moved: bool) {
-        self.queue.push_back(Item::Call(call.no));
-        self.calls.insert(call.no, Held { call, stage: Stage::Queued, given_up: None, moved });
+    fn track(&mut self, call: Call, requeued: bool) {
+        self.queue.push_back(QueueItem::Call(call.no));
+        self.calls
+            .insert(call.no, TrackedCall { call, stage: Stage::Queued, cancel_after_write: None, requeued });
     }
 
     /// Takes the calls of which nothing was written, to send them on another connection. Each call is moved only
     /// once.
     pub fn take_queued(&mut self) -> Vec<Call> {
-        let queued = |held: &Held| held.stage == Stage::Queued && !held.moved;
-        let nos: Vec<CallNo> =
-            self.calls.iter().filter(|(_, held)| queued(held)).map(|(no, _)| *no).collect();
-        self.queue.retain(|item| !matches!(item, Item::Call(no) if nos.contains(no)));
-        nos.iter().filter_map(|no| self.calls.remove(no)).map(|held| held.call).collect()
+        let queued = |tracked: &TrackedCall| tracked.stage == Stage::Queued && !tracked.requeued;
+        let numbers: Vec<CallNo> =
+            self.calls.iter().filter(|(_, tracked)| queued(tracked)).map(|(no, _)| *no).collect();
+        self.queue.retain(|item| !matches!(item, QueueItem::Call(no) if numbers.contains(no)));
+        numbers.iter().filter_map(|no| self.calls.remove(no)).map(|tracked| tracked.call).collect()
     }
 
-    fn pass(&mut self, part: String, answered: bool) {
-        if self.past.len() == MOST_PAST {
-            self.past.pop_front();
+    fn remember_past(&mut self, part: String, answered: bool) {
+        if self.past_parts.len() == MAX_PAST_PARTS {
+            self.past_parts.pop_front();
         }
-        self.past.push_back((part, answered));
+        self.past_parts.push_back((part, answered));
     }
 
     /// Returns whether an answer to a call or a probe is outstanding.
-    fn is_awaited(&self) -> bool {
-        !self.proofs.is_empty()
-            || !self.probes.is_empty()
-            || self.calls.values().any(|held| held.stage.is_out())
+    fn awaits_answer(&self) -> bool {
+        !self.proof_probes.is_empty()
+            || !self.load_probes.is_empty()
+            || self.calls.values().any(|tracked| tracked.stage.is_fully_written())
     }
 
     /// Queues a load probe.
     pub fn push_probe(&mut self, no: CallNo) {
-        self.queue.push_back(Item::Probe(no));
+        self.queue.push_back(QueueItem::LoadProbe(no));
     }
 
     /// Ends the queued calls that have waited too long and may no longer be sent.
     pub fn expire(&mut self, now: Millis) -> Vec<EndEvent> {
-        let late = |held: &Held| held.stage == Stage::Queued && held.call.is_late(now);
-        let nos: Vec<CallNo> = self.calls.iter().filter(|(_, held)| late(held)).map(|(no, _)| *no).collect();
-        self.queue.retain(|item| !matches!(item, Item::Call(no) if nos.contains(no)));
-        nos.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
+        let expired = |tracked: &TrackedCall| tracked.stage == Stage::Queued && tracked.call.is_late(now);
+        let numbers: Vec<CallNo> =
+            self.calls.iter().filter(|(_, tracked)| expired(tracked)).map(|(no, _)| *no).collect();
+        self.queue.retain(|item| !matches!(item, QueueItem::Call(no) if numbers.contains(no)));
+        numbers.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
     }
 
     /// Returns the next frame to write. It counts as being written until [`ConnectionState::mark_written`] is called.
-    pub fn next_frame(&mut self, wait: impl Fn(&Call) -> u64) -> Option<Vec<u8>> {
+    pub fn next_frame(&mut self, timeout_ms: impl Fn(&Call) -> u64) -> Option<Vec<u8>> {
         let first = loop {
             match self.queue.pop_front()? {
-                Item::Proof(_) => {
-                    let told = self.calls.iter_mut().filter(|(_, held)| held.stage == Stage::Told);
-                    let asked = |(no, held): (&CallNo, &mut Held)| {
-                        held.stage = Stage::Asked;
+                QueueItem::ProofProbe(_) => {
+                    let cancelling =
+                        self.calls.iter_mut().filter(|(_, tracked)| tracked.stage == Stage::Cancelling);
+                    let request_proof = |(no, tracked): (&CallNo, &mut TrackedCall)| {
+                        tracked.stage = Stage::ProofRequested;
                         *no
                     };
-                    let calls: Vec<CallNo> = told.map(asked).collect();
+                    let calls: Vec<CallNo> = cancelling.map(request_proof).collect();
                     // All calls that needed this probe may have ended meanwhile.
                     if !calls.is_empty() {
-                        break Item::Proof(calls);
+                        break QueueItem::ProofProbe(calls);
                     }
                 }
                 item => break item,
             }
         };
         self.writing = vec![first];
-        let more = |item: Option<&Item>| matches!(item, Some(Item::Call(_)));
-        if more(self.writing.first()) {
-            while self.writing.len() < self.bundle && more(self.queue.front()) {
+        let is_call = |item: Option<&QueueItem>| matches!(item, Some(QueueItem::Call(_)));
+        if is_call(self.writing.first()) {
+            while self.writing.len() < self.max_parts_per_frame && is_call(self.queue.front()) {
                 self.writing.extend(self.queue.pop_front());
             }
         }
         match &self.writing[0] {
-            Item::GiveUp(part) => Some(codec::give_up(part)),
-            Item::Probe(_) => Some(codec::load_probe()),
-            Item::Proof(_) => Some(codec::probe()),
-            Item::Call(_) => {
+            QueueItem::Cancel(part) => Some(codec::encode_cancel(part)),
+            QueueItem::LoadProbe(_) => Some(codec::encode_load_probe()),
+            QueueItem::ProofProbe(_) => Some(codec::encode_probe()),
+            QueueItem::Call(_) => {
                 for item in &self.writing {
-                    if let Item::Call(no) = item {
-                        if let Some(held) = self.calls.get_mut(no) {
-                            held.stage = Stage::Writing;
+                    if let QueueItem::Call(no) = item {
+                        if let Some(tracked) = self.calls.get_mut(no) {
+                            tracked.stage = Stage::Writing;
                         }
                     }
                 }
-                Some(codec::call(self.writing().map(|call| Part {
+                Some(codec::encode_call(self.writing().map(|call| Part {
                     id: &call.part,
                     shard: call.shard,
-                    wait: wait(call),
+                    timeout_ms: timeout_ms(call),
                     key: call.key.as_deref(),
                     text: &call.text,
                 })))
@@ -293,7 +308,7 @@
     /// Returns the calls of the frame that is being written.
     pub fn writing(&self) -> impl Iterator<Item = &Call> {
         self.writing.iter().filter_map(|item| match item {
-            Item::Call(no) => self.calls.get(no).map(|held| &held.call),
+            QueueItem::Call(no) => self.calls.get(no).map(|tracked| &tracked.call),
             _ => None,
         })
     }
@@ -303,17 +318,17 @@
         let mut attempts = 0;
         for item in std::mem::take(&mut self.writing) {
             match item {
-                Item::GiveUp(_) => {}
-                Item::Probe(no) => self.probes.push_back((Some(no), now)),
-                Item::Proof(calls) => self.proofs.push_back((calls, now)),
-                Item::Call(no) => {
+                QueueItem::Cancel(_) => {}
+                QueueItem::LoadProbe(no) => self.load_probes.push_back((Some(no), now)),
+                QueueItem::ProofProbe(calls) => self.proof_probes.push_back((calls, now)),
+                QueueItem::Call(no) => {
                     attempts += 1;
-                    let Some(held) = self.calls.get_mut(&no) else { continue };
-                    held.stage = Stage::Written(now);
+                    let Some(tracked) = self.calls.get_mut(&no) else { continue };
+                    tracked.stage = Stage::Written(now);
                     // It was given up while being written, and can be cancelled only now that the run store has it.
-                    match held.given_up {
-                        Some(true) => self.tell(no),
-                        Some(false) => self.drop_written(no),
+                    match tracked.cancel_after_write {
+                        Some(true) => self.cancel_with_proof(no),
+                        Some(false) => self.cancel_written(no),
                         None => {}
                     }
                 }
@@ -325,24 +340,27 @@
     /// Processes received bytes. Returns what ended, and an error if a frame is malformed, after which the connection
     /// must be closed.
     pub fn receive(&mut self, bytes: &[u8], now: Instant) -> ReceiveResult {
-        self.heard = now;
+        self.last_input = now;
         self.buffer.extend_from_slice(bytes);
         let mut ended = Vec::new();
-        let came = self.frames(&mut ended);
-        self.inside = (!self.buffer.is_empty()).then(|| self.inside.unwrap_or(now));
-        (ended, came)
+        let result = self.process_frames(&mut ended);
+        self.partial_since = (!self.buffer.is_empty()).then(|| self.partial_since.unwrap_or(now));
+        (ended, result)
     }
 
-    fn frames(&mut self, ended: &mut Vec<EndEvent>) -> Result<(), String> {
-        while let Some(frame) = codec::next(&mut self.buffer)? {
-            self.inside = None;
+    fn process_frames(&mut self, ended: &mut Vec<EndEvent>) -> Result<(), String> {
+        while let Some(frame) = codec::take_frame(&mut self.buffer)? {
+            self.partial_since = None;
             match frame {
-                Frame::End { part, end, load, value } => {
-                    let out = |held: &&Held| held.call.part == part && held.stage.is_out();
-                    let Some(no) = self.calls.values().find(out).map(|held| held.call.no) else {
+                Frame::PartEnded { part, status, load, value } => {
+                    let outstanding = |tracked: &&TrackedCall| {
+                        tracked.call.part == part && tracked.stage.is_fully_written()
+                    };
+                    let Some(no) = self.calls.values().find(outstanding).map(|tracked| tracked.call.no)
+                    else {
                         // A late answer to a part that was given up, or a second answer, is ignored. An answer to a
                         // part that was never sent here must replace one that was, which will never arrive.
-                        if let Some(past) = self.past.iter_mut().find(|past| past.0 == part) {
+                        if let Some(past) = self.past_parts.iter_mut().find(|past| past.0 == part) {
                             past.1 = true;
                             continue;
                         }
@@ -350,38 +368,41 @@
                             "answer to part {part:?}, which is not outstanding on this connection"
                         ));
                     };
-                    if let Some(Held { stage: Stage::Written(at), .. }) = self.calls.remove(&no) {
-                        self.usual = (self.usual * (USUAL_OF - 1) + (self.heard - at)) / USUAL_OF;
+                    if let Some(TrackedCall { stage: Stage::Written(at), .. }) = self.calls.remove(&no) {
+                        self.average_response_time = (self.average_response_time
+                            * (RESPONSE_TIME_WEIGHT_DIVISOR - 1)
+                            + (self.last_input - at))
+                            / RESPONSE_TIME_WEIGHT_DIVISOR;
                     }
-                    self.pass(part, true);
-                    let (outcome, value) = match end {
-                        End::Served => (Outcome::Completed, Some(value)),
-                        End::Error => (Outcome::Errored, None),
-                        End::TurnedAway => (Outcome::Rejected, None),
+                    self.remember_past(part, true);
+                    let (outcome, value) = match status {
+                        PartStatus::Served => (Outcome::Completed, Some(value)),
+                        PartStatus::Failed => (Outcome::Errored, None),
+                        PartStatus::Rejected => (Outcome::Rejected, None),
                     };
                     ended.push(EndEvent::Call(no, CallEnd { outcome, value, load }));
                 }
-                Frame::Probed => {
-                    for no in self.proofs.pop_front().map(|(calls, _)| calls).unwrap_or_default() {
-                        if let Some(held) = self.calls.get(&no) {
-                            let part = held.call.part.clone();
-                            self.pass(part, false);
+                Frame::ProbeAnswer => {
+                    for no in self.proof_probes.pop_front().map(|(calls, _)| calls).unwrap_or_default() {
+                        if let Some(tracked) = self.calls.get(&no) {
+                            let part = tracked.call.part.clone();
+                            self.remember_past(part, false);
                             ended.push(self.end(no, Outcome::Cancelled));
                         }
                     }
                 }
-                Frame::Load { ok, load } => {
-                    if let Some((Some(no), _)) = self.probes.pop_front() {
+                Frame::LoadProbeAnswer { ok, load } => {
+                    if let Some((Some(no), _)) = self.load_probes.pop_front() {
                         ended.push(EndEvent::Probe(no, ok, load));
                     }
                 }
-                Frame::Unusable(why) => return Err(format!("the run store rejected a frame: {why}")),
+                Frame::Rejected(why) => return Err(format!("the run store rejected a frame: {why}")),
             }
         }
         // With nothing outstanding, these bytes belong to no answer, and the next answer would be read as their
         // continuation. However, a late answer to a part that was given up may still arrive, in several pieces.
-        let late = self.past.iter().any(|(_, answered)| !answered);
-        if !self.buffer.is_empty() && !late && !self.is_awaited() {
+        let late_answer_possible = self.past_parts.iter().any(|(_, answered)| !answered);
+        if !self.buffer.is_empty() && !late_answer_possible && !self.awaits_answer() {
             return Err("unexpected bytes while no answer is outstanding".into());
         }
         Ok(())
@@ -389,22 +410,22 @@
 
     /// Stops waiting for a call. Returns whether it was on this connection.
     pub fn give_up(&mut self, no: CallNo, now: Instant) -> bool {
-        let Some(held) = self.calls.get_mut(&no) else { return false };
-        match held.stage {
+        let Some(tracked) = self.calls.get_mut(&no) else { return false };
+        match tracked.stage {
             Stage::Queued => {
-                self.queue.retain(|item| *item != Item::Call(no));
+                self.queue.retain(|item| *item != QueueItem::Call(no));
                 self.calls.remove(&no);
             }
-            Stage::Writing => held.given_up = Some(false),
+            Stage::Writing => tracked.cancel_after_write = Some(false),
             Stage::Written(at) => {
-                self.note_silence(at, now);
-                self.drop_written(no);
+                self.mark_dead_if_silent(at, now);
+                self.cancel_written(no);
             }
             // The cancel frame is already queued or written.
-            Stage::Told | Stage::Asked => {
-                let part = held.call.part.clone();
+            Stage::Cancelling | Stage::ProofRequested => {
+                let part = tracked.call.part.clone();
                 self.calls.remove(&no);
-                self.pass(part, false);
+                self.remember_past(part, false);
             }
         }
         true
@@ -413,45 +434,45 @@
     /// Gives up a call that ends only once it is provably over: at once if none of it was written; otherwise with its
     /// answer, the answer to a later probe, or the end of the connection.
     pub fn give_up_with_proof(&mut self, no: CallNo, now: Instant) -> Option<EndEvent> {
-        let held = self.calls.get_mut(&no)?;
-        match held.stage {
+        let tracked = self.calls.get_mut(&no)?;
+        match tracked.stage {
             Stage::Queued => {
-                self.queue.retain(|item| *item != Item::Call(no));
+                self.queue.retain(|item| *item != QueueItem::Call(no));
                 return Some(self.end(no, Outcome::NotSent));
             }
-            Stage::Writing => held.given_up = Some(true),
+            Stage::Writing => tracked.cancel_after_write = Some(true),
             Stage::Written(at) => {
-                self.note_silence(at, now);
-                self.tell(no);
+                self.mark_dead_if_silent(at, now);
+                self.cancel_with_proof(no);
             }
-            Stage::Told | Stage::Asked => {}
+            Stage::Cancelling | Stage::ProofRequested => {}
         }
         None
     }
 
-    fn note_silence(&mut self, written: Instant, now: Instant) {
-        self.suspect |= self.heard < written && now - written >= SILENCE;
+    fn mark_dead_if_silent(&mut self, written: Instant, now: Instant) {
+        self.presumed_dead |= self.last_input < written && now - written >= DEAD_AFTER;
     }
 
     /// Queues the cancel frame of a written call and forgets the call.
-    fn drop_written(&mut self, no: CallNo) {
-        if let Some(Held { call: Call { part, .. }, .. }) = self.calls.remove(&no) {
-            self.queue.push_back(Item::GiveUp(part.clone()));
-            self.pass(part, false);
+    fn cancel_written(&mut self, no: CallNo) {
+        if let Some(TrackedCall { call: Call { part, .. }, .. }) = self.calls.remove(&no) {
+            self.queue.push_back(QueueItem::Cancel(part.clone()));
+            self.remember_past(part, false);
         }
     }
 
     /// Queues the cancel frame of a written call, but keeps the call until the run store has provably read that
     /// frame. One probe serves all cancel frames before it.
-    fn tell(&mut self, no: CallNo) {
-        let Some(held) = self.calls.get_mut(&no) else { return };
-        held.stage = Stage::Told;
-        let told = Item::GiveUp(held.call.part.clone());
-        match self.queue.iter().position(|item| matches!(item, Item::Proof(_))) {
-            Some(at) => self.queue.insert(at, told),
+    fn cancel_with_proof(&mut self, no: CallNo) {
+        let Some(tracked) = self.calls.get_mut(&no) else { return };
+        tracked.stage = Stage::Cancelling;
+        let cancel = QueueItem::Cancel(tracked.call.part.clone());
+        match self.queue.iter().position(|item| matches!(item, QueueItem::ProofProbe(_))) {
+            Some(at) => self.queue.insert(at, cancel),
             None => {
-                self.queue.push_back(told);
-                self.queue.extend(self.may_prove.then(|| Item::Proof(Vec::new())));
+                self.queue.push_back(cancel);
+                self.queue.extend(self.proof_probes_allowed.then(|| QueueItem::ProofProbe(Vec::new())));
             }
         }
     }
@@ -459,12 +480,12 @@
     /// Stops waiting for a probe. Returns whether it was on this connection.
     pub fn give_up_probe(&mut self, no: CallNo) -> bool {
         let queued = self.queue.len();
-        self.queue.retain(|item| *item != Item::Probe(no));
-        let heard = self.heard;
+        self.queue.retain(|item| *item != QueueItem::LoadProbe(no));
+        let last_input = self.last_input;
         let mut found = self.queue.len() < queued;
-        for (known, at) in self.probes.iter_mut().filter(|(known, _)| *known == Some(no)) {
+        for (known, at) in self.load_probes.iter_mut().filter(|(known, _)| *known == Some(no)) {
             *known = None;
-            self.suspect |= heard < *at;
+            self.presumed_dead |= last_input < *at;
             found = true;
         }
         found
@@ -473,25 +494,26 @@
     /// Ends all queued calls. Sends no further calls or probes.
     pub fn retire(&mut self) -> Vec<EndEvent> {
         self.allow_proof_probes(false);
-        self.queue.retain(|item| matches!(item, Item::GiveUp(_)));
-        let queued = |held: &Held| held.stage == Stage::Queued;
-        let nos: Vec<CallNo> =
-            self.calls.iter().filter(|(_, held)| queued(held)).map(|(no, _)| *no).collect();
-        nos.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
+        self.queue.retain(|item| matches!(item, QueueItem::Cancel(_)));
+        let queued = |tracked: &TrackedCall| tracked.stage == Stage::Queued;
+        let numbers: Vec<CallNo> =
+            self.calls.iter().filter(|(_, tracked)| queued(tracked)).map(|(no, _)| *no).collect();
+        numbers.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
     }
 
     /// Stops writing, and ends every probe and every call that was not written completely.
     pub fn stop_writing(&mut self) -> Vec<EndEvent> {
         let mut ended = Vec::new();
         for item in self.queue.drain(..).chain(std::mem::take(&mut self.writing)) {
-            if let Item::Probe(no) = item {
+            if let QueueItem::LoadProbe(no) = item {
                 ended.push(EndEvent::Probe(no, false, None));
             }
         }
-        for (no, _) in self.probes.drain(..) {
+        for (no, _) in self.load_probes.drain(..) {
             ended.extend(no.map(|no| EndEvent::Probe(no, false, None)));
         }
-        let unsent = self.calls.iter().filter(|(_, held)| !held.stage.is_out()).map(|(no, _)| *no);
+        let unsent =
+            self.calls.iter().filter(|(_, tracked)| !tracked.stage.is_fully_written()).map(|(no, _)| *no);
         for no in unsent.collect::<Vec<_>>() {
             ended.push(self.end(no, Outcome::ConnectFailed));
         }
@@ -500,12 +522,12 @@
 
     /// Ends everything on the connection because the connection has ended. If an answer was malformed, the run store
     /// is alive and received the outstanding calls, which failed there.
-    pub fn end_all(&mut self, spoilt: bool) -> Vec<EndEvent> {
+    pub fn end_all(&mut self, answer_malformed: bool) -> Vec<EndEvent> {
         let mut ended = self.stop_writing();
-        for (no, held) in std::mem::take(&mut self.calls) {
-            let outcome = match held.stage {
-                Stage::Told | Stage::Asked => Outcome::Cancelled,
-                _ if spoilt => Outcome::Errored,
+        for (no, tracked) in std::mem::take(&mut self.calls) {
+            let outcome = match tracked.stage {
+                Stage::Cancelling | Stage::ProofRequested => Outcome::Cancelled,
+                _ if answer_malformed => Outcome::Errored,
                 _ => Outcome::Reset,
             };
             ended.push(EndEvent::Call(no, CallEnd::bare(outcome)));
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -16,30 +16,30 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// How long it may take to establish a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Run stores close connections after this idle time.
-    pub keep_alive: Duration,
+    pub run_store_idle_timeout: Duration,
     /// Maximum number of concurrent calls on one connection, where the protocol supports several.
-    pub streams: usize,
+    pub max_calls_per_connection: usize,
     /// Maximum number of parts in one call, where the protocol supports several.
-    pub bundle: usize,
+    pub max_parts_per_call: usize,
     /// Maximum number of connections in all.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Whether several attempts of a part may run at once. If not, a connection closed by this side is read until the
     /// run store closes it too: only then is the run store certain to have noticed.
-    pub copies: bool,
+    pub parallel_attempts: bool,
     /// Whether run stores may be probed.
-    pub probes: bool,
+    pub probes_allowed: bool,
 }
 
 /// The address of a run store, and when its process started.
-type At = (SocketAddr, Option<Millis>);
+type Endpoint = (SocketAddr, Option<Millis>);
 
 /// Delay after this machine failed to create a connection.
-const NO_SOCKET_PAUSE: Duration = Duration::from_millis(50);
+const NO_SOCKET_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Returns the reason for the log when a connection could not be made.
-fn connect_failed(error: &io::Error) -> Reason {
+fn connect_failure_reason(error: &io::Error) -> Reason {
     match (error.kind(), SocketErrorKind::of(error)) {
         (io::ErrorKind::TimedOut, _) => Reason::ConnectTimeout,
         (_, SocketErrorKind::Connection) => Reason::ConnectFailed,
@@ -49,24 +49,24 @@
 
 /// Connections are closed after this share of the idle time after which run stores close them. Closing first avoids
 /// writing to a connection that is being closed.
-const IDLE_SHARE: f64 = 0.8;
+const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 
 impl Limits {
     /// Takes the limits from the settings, with a maximum number of connections.
-    pub fn from_settings(site: &SiteSettings, connections: usize) -> Self {
+    pub fn from_settings(site: &SiteSettings, max_connections: usize) -> Self {
         Limits {
-            connect: duration_from_millis(site.caps.connect_timeout_ms()),
-            keep_alive: duration_from_millis(site.caps.keepalive_ms()),
-            streams: site.caps.streams_per_conn() as usize,
-            bundle: site.domain.bundle_max() as usize,
-            connections,
-            copies: site.caps.parallel_tries,
-            probes: site.caps.probes,
+            connect_timeout: duration_from_millis(site.caps.connect_timeout_ms()),
+            run_store_idle_timeout: duration_from_millis(site.caps.keepalive_ms()),
+            max_calls_per_connection: site.caps.streams_per_conn() as usize,
+            max_parts_per_call: site.domain.bundle_max() as usize,
+            max_connections,
+            parallel_attempts: site.caps.parallel_tries,
+            probes_allowed: site.caps.probes,
         }
     }
 
-    fn idle(&self) -> Duration {
-        self.keep_alive.mul_f64(IDLE_SHARE)
+    fn idle_timeout(&self) -> Duration {
+        self.run_store_idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE)
     }
 }
 
--- a/src/transport/opensearch/answer/tests.rs
+++ b/src/transport/opensearch/answer/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn answer(timed_out: &str, failed: u64, hits: &str) -> String {
+fn response(timed_out: &str, failed: u64, hits: &str) -> String {
     format!(
         r#"{{"took":3,"timed_out":{timed_out},"_shards":{{"total":1,"successful":1,"failed":{failed}}},
         "hits":{{"total":{{"value":1,"relation":"eq"}},"max_score":1.0,"hits":{hits}}}}}"#
@@ -8,20 +8,20 @@
 }
 
 #[test]
-fn only_sound_answers_are_read() {
-    let sound = answer("false", 0, r#"[{"_id":"a","_score":1.0}]"#);
-    assert_eq!(SearchResponse::read(sound.as_bytes()).unwrap().hits.len(), 1);
-    let cut = &sound[..sound.len() - 4];
-    for bad in [
+fn only_valid_responses_are_accepted() {
+    let valid = response("false", 0, r#"[{"_id":"a","_score":1.0}]"#);
+    assert_eq!(SearchResponse::read(valid.as_bytes()).unwrap().hits.len(), 1);
+    let truncated = &valid[..valid.len() - 4];
+    for invalid in [
         "<html><body>502 Bad Gateway</body></html>".to_string(),
-        cut.to_string(),
-        answer("true", 0, "[]"),
-        answer("false", 1, "[]"),
-        answer("\"no\"", 0, "[]"),
-        answer("false", 0, r#"{"_id":"a"}"#),
-        answer("false", 0, r#"[{"_id":"a","_score":"high"}]"#),
+        truncated.to_string(),
+        response("true", 0, "[]"),
+        response("false", 1, "[]"),
+        response("\"no\"", 0, "[]"),
+        response("false", 0, r#"{"_id":"a"}"#),
+        response("false", 0, r#"[{"_id":"a","_score":"high"}]"#),
         "{}".to_string(),
     ] {
-        assert!(SearchResponse::read(bad.as_bytes()).is_err(), "{bad}");
+        assert!(SearchResponse::read(invalid.as_bytes()).is_err(), "{invalid}");
     }
 }
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -25,14 +25,16 @@
 use crate::http::write;
 use crate::log::{self, Reason};
 use crate::settings::SiteSettings;
-use crate::transport::{connect_failed, duration_from_millis, At, Limits, NO_SOCKET_PAUSE};
+use crate::transport::{
+    connect_failure_reason, duration_from_millis, Endpoint, Limits, NO_SOCKET_RETRY_DELAY,
+};
 use answer::SearchResponse;
 
 /// Maximum number of connections to one run store. Further searches wait for one of these.
-const MOST_AT_ONE: usize = 32;
+const MAX_CONNECTIONS_PER_RUN_STORE: usize = 32;
 /// Maximum size of a response in bytes. Every part in progress may hold one, so the limit keeps all of them together
 /// within the memory of the process.
-const MOST_ANSWER: usize = 512 * 1024;
+const MAX_RESPONSE_LEN: usize = 512 * 1024;
 
 /// Encodes the text of a part of a search: the parameters for its shard, and the client's body, unchanged. In this
 /// API, parameters take precedence over keys of the body.
@@ -61,38 +63,38 @@
     Connecting,
     Idle,
     /// It was idle, and is being closed to make room.
-    Leaving,
+    Closing,
     /// It has this job, whose request is not completely written.
-    Begun(CallNo),
+    Sending(CallNo),
     /// It has this job, whose request is completely written.
-    Written(CallNo),
+    Sent(CallNo),
 }
 
-struct Worker {
+struct Connection {
     stage: Cell<Stage>,
     jobs: (Sender<Job>, Receiver<Job>),
-    kill: (Sender<Reason>, Receiver<Reason>),
+    abort: (Sender<Reason>, Receiver<Reason>),
     /// Shuts down only the write side while a job is in progress.
-    end: (Sender<()>, Receiver<()>),
-    ends: Cell<bool>,
+    shutdown_write: (Sender<()>, Receiver<()>),
+    write_shut_down: Cell<bool>,
 }
 
 #[derive(Default)]
-struct Place {
-    at: Option<At>,
+struct RunStoreEntry {
+    endpoint: Option<Endpoint>,
     retired: bool,
     queue: VecDeque<Job>,
-    workers: Vec<Rc<Worker>>,
+    connections: Vec<Rc<Connection>>,
 }
 
 /// The transport with OpenSearch-style searches.
 pub struct SearchTransport {
     driver: Rc<Driver>,
     limits: Cell<Limits>,
-    places: RefCell<BTreeMap<ReplicaId, Place>>,
+    run_stores: RefCell<BTreeMap<ReplicaId, RunStoreEntry>>,
     /// Run stores without any connection that wait until one may be opened, in order.
-    lacking: RefCell<VecDeque<ReplicaId>>,
-    open: Cell<usize>,
+    awaiting_capacity: RefCell<VecDeque<ReplicaId>>,
+    open_connections: Cell<usize>,
 }
 
 impl SearchTransport {
@@ -101,23 +103,23 @@
         Rc::new(SearchTransport {
             driver,
             limits: Cell::new(limits),
-            places: RefCell::default(),
-            lacking: RefCell::default(),
-            open: Cell::new(0),
+            run_stores: RefCell::default(),
+            awaiting_capacity: RefCell::default(),
+            open_connections: Cell::new(0),
         })
     }
 
-    fn queue(self: &Rc<Self>, replica: &ReplicaId, job: Job) {
-        let refused = match self.places.borrow_mut().get_mut(replica) {
-            Some(place) if !place.retired && place.at.is_some() => {
-                place.queue.push_back(job);
+    fn enqueue(self: &Rc<Self>, run_store: &ReplicaId, job: Job) {
+        let refused = match self.run_stores.borrow_mut().get_mut(run_store) {
+            Some(entry) if !entry.retired && entry.endpoint.is_some() => {
+                entry.queue.push_back(job);
                 None
             }
             _ => Some(job),
         };
         match refused {
-            Some(job) => self.end(&job, Outcome::NotSent),
-            None => self.pump(replica),
+            Some(job) => self.end_job(&job, Outcome::NotSent),
+            None => self.dispatch(run_store),
         }
     }
 
@@ -125,102 +127,121 @@
     ///
     /// Only one connection is established at a time, so that a run store that has just started is not flooded with
     /// connections.
-    fn pump(self: &Rc<Self>, replica: &ReplicaId) {
-        let mut places = self.places.borrow_mut();
-        let Some(place) = places.get_mut(replica) else { return };
-        while !place.queue.is_empty() {
-            let stage = |stage: Stage| place.workers.iter().find(move |worker| worker.stage.get() == stage);
-            if let Some(worker) = stage(Stage::Idle) {
-                let Some(job) = place.queue.pop_front() else { return };
-                worker.stage.set(Stage::Begun(job.no()));
-                let _ = worker.jobs.0.try_send(job);
+    fn dispatch(self: &Rc<Self>, run_store: &ReplicaId) {
+        let mut run_stores = self.run_stores.borrow_mut();
+        let Some(entry) = run_stores.get_mut(run_store) else { return };
+        while !entry.queue.is_empty() {
+            let in_stage = |stage: Stage| {
+                entry.connections.iter().find(move |connection| connection.stage.get() == stage)
+            };
+            if let Some(connection) = in_stage(Stage::Idle) {
+                let Some(job) = entry.queue.pop_front() else { return };
+                connection.stage.set(Stage::Sending(job.no()));
+                let _ = connection.jobs.0.try_send(job);
                 continue;
             }
-            let Some((address, _)) = place.at.filter(|_| stage(Stage::Connecting).is_none()) else { return };
-            if place.workers.len() >= MOST_AT_ONE {
+            let Some((address, _)) = entry.endpoint.filter(|_| in_stage(Stage::Connecting).is_none()) else {
+                return;
+            };
+            if entry.connections.len() >= MAX_CONNECTIONS_PER_RUN_STORE {
                 return;
             }
-            if self.open.get() >= self.limits.get().connections {
+            if self.open_connections.get() >= self.limits.get().max_connections {
                 // Without any connection, nothing would ever take jobs from the queue.
-                if place.workers.is_empty() {
-                    drop(places);
-                    self.lack_room(replica);
+                if entry.connections.is_empty() {
+                    drop(run_stores);
+                    self.wait_for_capacity(run_store);
                 }
                 return;
             }
-            let worker = Rc::new(Worker {
+            let connection = Rc::new(Connection {
                 stage: Cell::new(Stage::Connecting),
                 jobs: async_channel::bounded(1),
-                kill: async_channel::bounded(1),
-                end: async_channel::bounded(1),
-                ends: Cell::new(false),
+                abort: async_channel::bounded(1),
+                shutdown_write: async_channel::bounded(1),
+                write_shut_down: Cell::new(false),
             });
-            place.workers.push(worker.clone());
-            self.open.set(self.open.get() + 1);
-            self.driver.executor().spawn(self.clone().keep(replica.clone(), address, worker)).detach();
+            entry.connections.push(connection.clone());
+            self.open_connections.set(self.open_connections.get() + 1);
+            self.driver
+                .executor()
+                .spawn(self.clone().run_connection(run_store.clone(), address, connection))
+                .detach();
             return;
         }
     }
 
     /// Lets the queue of a run store wait for a connection, and closes an idle connection to make room for it. That
     /// this aggregator holds many connections says nothing about the run store, which has not even been contacted.
-    fn lack_room(self: &Rc<Self>, replica: &ReplicaId) {
-        if self.lacking.borrow().contains(replica) {
+    fn wait_for_capacity(self: &Rc<Self>, run_store: &ReplicaId) {
+        if self.awaiting_capacity.borrow().contains(run_store) {
             return;
         }
-        self.lacking.borrow_mut().push_back(replica.clone());
-        let places = self.places.borrow();
-        let idle = |worker: &&Rc<Worker>| worker.stage.get() == Stage::Idle;
-        if let Some(worker) = places.values().flat_map(|place| &place.workers).find(idle) {
-            worker.stage.set(Stage::Leaving);
-            let _ = worker.kill.0.try_send(Reason::Full);
+        self.awaiting_capacity.borrow_mut().push_back(run_store.clone());
+        let run_stores = self.run_stores.borrow();
+        let idle = |connection: &&Rc<Connection>| connection.stage.get() == Stage::Idle;
+        if let Some(connection) = run_stores.values().flat_map(|entry| &entry.connections).find(idle) {
+            connection.stage.set(Stage::Closing);
+            let _ = connection.abort.0.try_send(Reason::Full);
         }
-        let (searches, id, limit) = (self.clone(), replica.clone(), self.limits.get().connect);
-        let given_up = async move {
+        let (transport, id, limit) = (self.clone(), run_store.clone(), self.limits.get().connect_timeout);
+        let expire = async move {
             Timer::after(limit).await;
-            searches.lacking.borrow_mut().retain(|lacking| *lacking != id);
-            let unmet =
-                searches.places.borrow_mut().get_mut(&id).filter(|place| place.workers.is_empty()).map(
+            transport.awaiting_capacity.borrow_mut().retain(|waiting| *waiting != id);
+            let without_connection = transport
+                .run_stores
+                .borrow_mut()
+                .get_mut(&id)
+                .filter(|entry| entry.connections.is_empty())
+                .map(
                     // Jobs that were queued later have waited for less time, but for the same reason, so they fail as
                     // well.
-                    |place| std::mem::take(&mut place.queue),
+                    |entry| std::mem::take(&mut entry.queue),
                 );
-            unmet.unwrap_or_default().iter().for_each(|job| searches.end(job, Outcome::NotSent));
+            without_connection
+                .unwrap_or_default()
+                .iter()
+                .for_each(|job| transport.end_job(job, Outcome::NotSent));
         };
-        self.driver.executor().spawn(given_up).detach();
+        self.driver.executor().spawn(expire).detach();
     }
 
     /// Retries the run stores that wait for a connection, after capacity may have become available.
-    fn pump_lacking(self: &Rc<Self>) {
-        for replica in self.lacking.take() {
-            self.pump(&replica);
+    fn dispatch_waiting(self: &Rc<Self>) {
+        for run_store in self.awaiting_capacity.take() {
+            self.dispatch(&run_store);
         }
     }
 
     /// Runs a connection, from connecting to its final log line.
-    async fn keep(self: Rc<Self>, replica: ReplicaId, address: SocketAddr, worker: Rc<Worker>) {
-        let kill = async { worker.kill.1.recv().await.unwrap_or(Reason::Retired) };
-        let reason = future::or(kill, self.talk(&replica, address, &worker)).await;
+    async fn run_connection(
+        self: Rc<Self>,
+        run_store: ReplicaId,
+        address: SocketAddr,
+        connection: Rc<Connection>,
+    ) {
+        let abort = async { connection.abort.1.recv().await.unwrap_or(Reason::Retired) };
+        let reason = future::or(abort, self.connect_and_serve(&run_store, address, &connection)).await;
         let mut lost = Vec::new();
-        if let Some(place) = self.places.borrow_mut().get_mut(&replica) {
-            place.workers.retain(|known| !Rc::ptr_eq(known, &worker));
-            let unborn = worker.stage.get() == Stage::Connecting;
-            if unborn && place.workers.is_empty() && reason != Reason::NoSocket {
-                lost.extend(place.queue.drain(..).map(|job| (job.no(), Outcome::ConnectFailed)));
+        if let Some(entry) = self.run_stores.borrow_mut().get_mut(&run_store) {
+            entry.connections.retain(|known| !Rc::ptr_eq(known, &connection));
+            let never_connected = connection.stage.get() == Stage::Connecting;
+            if never_connected && entry.connections.is_empty() && reason != Reason::NoSocket {
+                lost.extend(entry.queue.drain(..).map(|job| (job.no(), Outcome::ConnectFailed)));
             }
         }
-        self.forget(&replica);
-        self.open.set(self.open.get() - 1);
-        match worker.stage.get() {
-            Stage::Begun(no) => lost.push((no, Outcome::ConnectFailed)),
-            Stage::Written(no) => lost.push((no, Outcome::Reset)),
-            Stage::Connecting | Stage::Idle | Stage::Leaving => {}
+        self.remove_unused(&run_store);
+        self.open_connections.set(self.open_connections.get() - 1);
+        match connection.stage.get() {
+            Stage::Sending(no) => lost.push((no, Outcome::ConnectFailed)),
+            Stage::Sent(no) => lost.push((no, Outcome::Reset)),
+            Stage::Connecting | Stage::Idle | Stage::Closing => {}
         }
         log::ended(
             "run_store",
             Some(address),
             reason,
-            format_args!("name={} lost={}", replica.0, lost.len()),
+            format_args!("name={} lost={}", run_store.0, lost.len()),
         );
         for (no, outcome) in lost {
             // The number belongs to an attempt or to a probe. The core knows which, and ignores the other call.
@@ -229,51 +250,57 @@
         }
         if reason == Reason::NoSocket {
             // Queued jobs wait until a connection can be made, as they do when the connection limit is reached.
-            self.lack_room(&replica);
-            Timer::after(NO_SOCKET_PAUSE).await;
+            self.wait_for_capacity(&run_store);
+            Timer::after(NO_SOCKET_RETRY_DELAY).await;
         } else {
-            self.pump(&replica);
+            self.dispatch(&run_store);
         }
-        self.pump_lacking();
+        self.dispatch_waiting();
     }
 
     /// Drops the state of a retired run store without connections. Most never come back.
-    fn forget(&self, replica: &ReplicaId) {
-        let mut places = self.places.borrow_mut();
-        if places.get(replica).is_some_and(|place| place.retired && place.workers.is_empty()) {
-            places.remove(replica);
+    fn remove_unused(&self, run_store: &ReplicaId) {
+        let mut run_stores = self.run_stores.borrow_mut();
+        if run_stores.get(run_store).is_some_and(|entry| entry.retired && entry.connections.is_empty()) {
+            run_stores.remove(run_store);
         }
     }
 
-    async fn talk(self: &Rc<Self>, replica: &ReplicaId, address: SocketAddr, worker: &Worker) -> Reason {
-        let mut client = match Client::connect(address, self.limits.get().connect, MOST_ANSWER).await {
-            Ok(client) => client,
-            Err(error) => return connect_failed(&error),
-        };
+    async fn connect_and_serve(
+        self: &Rc<Self>,
+        run_store: &ReplicaId,
+        address: SocketAddr,
+        connection: &Connection,
+    ) -> Reason {
+        let mut client =
+            match Client::connect(address, self.limits.get().connect_timeout, MAX_RESPONSE_LEN).await {
+                Ok(client) => client,
+                Err(error) => return connect_failure_reason(&error),
+            };
         loop {
-            worker.stage.set(Stage::Idle);
-            self.pump(replica);
-            if worker.stage.get() == Stage::Idle && !self.lacking.borrow().is_empty() {
+            connection.stage.set(Stage::Idle);
+            self.dispatch(run_store);
+            if connection.stage.get() == Stage::Idle && !self.awaiting_capacity.borrow().is_empty() {
                 return Reason::Full;
             }
-            let job = async { worker.jobs.1.recv().await.map_err(|_| Reason::Retired) };
+            let job = async { connection.jobs.1.recv().await.map_err(|_| Reason::Retired) };
             let closed = async {
                 client.closed_while_idle().await;
                 Err(Reason::PeerClosed)
             };
-            let rested = async {
-                Timer::after(self.limits.get().idle()).await;
+            let idle_timeout = async {
+                Timer::after(self.limits.get().idle_timeout()).await;
                 Err(Reason::Idle)
             };
-            let job = match future::or(closed, future::or(job, rested)).await {
+            let job = match future::or(closed, future::or(job, idle_timeout)).await {
                 Ok(job) => job,
                 Err(reason) => {
                     // The job was assigned while the connection was ending and has not begun, so another connection
                     // takes it.
-                    if let Ok(job) = worker.jobs.1.try_recv() {
-                        worker.stage.set(Stage::Idle);
-                        if let Some(place) = self.places.borrow_mut().get_mut(replica) {
-                            place.queue.push_front(job);
+                    if let Ok(job) = connection.jobs.1.try_recv() {
+                        connection.stage.set(Stage::Idle);
+                        if let Some(entry) = self.run_stores.borrow_mut().get_mut(run_store) {
+                            entry.queue.push_front(job);
                         }
                     }
                     return reason;
@@ -281,55 +308,55 @@
             };
             if let Job::Search(call) = &job {
                 if call.is_late(self.driver.now()) {
-                    worker.stage.set(Stage::Idle);
-                    self.end(&job, Outcome::NotSent);
+                    connection.stage.set(Stage::Idle);
+                    self.end_job(&job, Outcome::NotSent);
                     continue;
                 }
             }
-            let answer = self.carry_out(&mut client, &job, address, worker).await;
-            worker.stage.set(match worker.stage.get() {
-                Stage::Written(_) if answer.is_ok() => Stage::Idle,
+            let response = self.execute(&mut client, &job, address, connection).await;
+            connection.stage.set(match connection.stage.get() {
+                Stage::Sent(_) if response.is_ok() => Stage::Idle,
                 stage => stage,
             });
-            match answer {
-                Ok(answer) => {
-                    let keep = answer.keep_alive;
-                    self.answered(&job, answer);
-                    if worker.ends.get() || worker.end.1.try_recv().is_ok() {
+            match response {
+                Ok(response) => {
+                    let keep_alive = response.keep_alive;
+                    self.report_response(&job, response);
+                    if connection.write_shut_down.get() || connection.shutdown_write.1.try_recv().is_ok() {
                         return Reason::Asked;
                     }
-                    if !keep {
+                    if !keep_alive {
                         return Reason::PeerClosed;
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::InvalidData => {
                     // The response is not valid HTTP. The search may have run, and may still be running.
-                    if !self.limits.get().copies {
+                    if !self.limits.get().parallel_attempts {
                         client.linger().await;
                     }
-                    worker.stage.set(Stage::Idle);
-                    self.end(&job, Outcome::Errored);
+                    connection.stage.set(Stage::Idle);
+                    self.end_job(&job, Outcome::Errored);
                     return Reason::Malformed;
                 }
-                Err(_) if worker.ends.get() => return Reason::Asked,
+                Err(_) if connection.write_shut_down.get() => return Reason::Asked,
                 Err(_) => return Reason::Reset,
             }
         }
     }
 
-    async fn carry_out(
+    async fn execute(
         &self,
         client: &mut Client,
         job: &Job,
         address: SocketAddr,
-        worker: &Worker,
+        connection: &Connection,
     ) -> io::Result<Message> {
         let host = address.to_string();
         let request = match job {
             Job::Probe(_) => write::request("GET", "/", &host, &[], &[]),
             Job::Search(call) => {
-                let cut = call.text.iter().position(|byte| *byte == b'\n').unwrap_or(0);
-                let parameters = String::from_utf8_lossy(&call.text[..cut]);
+                let line_end = call.text.iter().position(|byte| *byte == b'\n').unwrap_or(0);
+                let parameters = String::from_utf8_lossy(&call.text[..line_end]);
                 let wait = (call.until - self.driver.now()).max(1.0) as u64;
                 let target = format!(
                     "/{}/_search?preference=_shards:{}&{parameters}&timeout={wait}ms\
@@ -339,44 +366,44 @@
                 let mut headers =
                     vec![("Content-Type", "application/json"), ("X-Opaque-Id", call.query.as_str())];
                 headers.extend(call.key.as_deref().map(|key| ("Idempotency-Key", key)));
-                write::request("POST", &target, &host, &headers, &call.text[cut + 1..])
+                write::request("POST", &target, &host, &headers, &call.text[line_end + 1..])
             }
         };
-        let begun = self.driver.now();
+        let started = self.driver.now();
         let limit = match job {
-            Job::Search(call) => duration_from_millis(call.allowed_until - begun),
-            Job::Probe(_) => self.limits.get().connect,
+            Job::Search(call) => duration_from_millis(call.allowed_until - started),
+            Job::Probe(_) => self.limits.get().connect_timeout,
         };
         let written = within(limit, client.write(&request)).await;
         if let Job::Search(call) = job {
-            self.driver.progress(call, begun, written.is_ok());
+            self.driver.progress(call, started, written.is_ok());
         }
         written?;
-        worker.stage.set(Stage::Written(job.no()));
+        connection.stage.set(Stage::Sent(job.no()));
         if matches!(job, Job::Search(_)) {
             self.driver.count(|counters| counters.tries += 1);
         }
-        let ends = client.shutdown_write_when(async {
-            let _ = worker.end.1.recv().await;
-            worker.ends.set(true);
+        let shutdown_when_asked = client.shutdown_write_when(async {
+            let _ = connection.shutdown_write.1.recv().await;
+            connection.write_shut_down.set(true);
         });
-        let ends = async {
-            ends.await;
+        let shutdown_when_asked = async {
+            shutdown_when_asked.await;
             future::pending().await
         };
-        future::or(client.read(), ends).await
+        future::or(client.read(), shutdown_when_asked).await
     }
 
-    fn answered(&self, job: &Job, answer: Message) {
+    fn report_response(&self, job: &Job, response: Message) {
         let Job::Search(call) = job else {
-            self.driver.probe_ended(job.no(), answer.start.1 == "200", None);
+            self.driver.probe_ended(job.no(), response.start.1 == "200", None);
             return;
         };
-        let end = match answer.start.1.as_str() {
-            "200" => match SearchResponse::read(&answer.body) {
+        let end = match response.start.1.as_str() {
+            "200" => match SearchResponse::read(&response.body) {
                 Ok(_) => CallEnd {
                     outcome: Outcome::Completed,
-                    value: Some(answer.body.as_slice().into()),
+                    value: Some(response.body.as_slice().into()),
                     load: None,
                 },
                 Err(why) => {
@@ -391,7 +418,7 @@
         self.driver.call_ended(call.no, end);
     }
 
-    fn end(&self, job: &Job, outcome: Outcome) {
+    fn end_job(&self, job: &Job, outcome: Outcome) {
         match job {
             Job::Search(call) => self.driver.call_ended(call.no, CallEnd::bare(outcome)),
             Job::Probe(no) => self.driver.probe_ended(*no, false, None),
@@ -399,47 +426,50 @@
     }
 
     /// Removes a job from the queue, or closes the connection that carries it.
-    fn take_back(&self, replica: &ReplicaId, no: CallNo) {
-        let mut places = self.places.borrow_mut();
-        let Some(place) = places.get_mut(replica) else { return };
-        place.queue.retain(|job| job.no() != no);
-        let has = |worker: &&Rc<Worker>| matches!(worker.stage.get(), Stage::Begun(n) | Stage::Written(n) if n == no);
-        if let Some(worker) = place.workers.iter().find(has) {
-            let _ = worker.kill.0.try_send(Reason::Asked);
+    fn cancel(&self, run_store: &ReplicaId, no: CallNo) {
+        let mut run_stores = self.run_stores.borrow_mut();
+        let Some(entry) = run_stores.get_mut(run_store) else { return };
+        entry.queue.retain(|job| job.no() != no);
+        let has_job =
+            |c: &&Rc<Connection>| matches!(c.stage.get(), Stage::Sending(n) | Stage::Sent(n) if n == no);
+        if let Some(connection) = entry.connections.iter().find(has_job) {
+            let _ = connection.abort.0.try_send(Reason::Asked);
         }
     }
 
     /// Gives up a search so that it ends here only once it is over at its run store. A search whose request is not
     /// completely written cannot have run.
-    fn call_back(&self, replica: &ReplicaId, no: CallNo) {
-        let mut unsent = false;
-        if let Some(place) = self.places.borrow_mut().get_mut(replica) {
-            let queued = place.queue.len();
-            place.queue.retain(|job| job.no() != no);
-            unsent = place.queue.len() < queued;
-            for worker in &place.workers {
-                match worker.stage.get() {
-                    Stage::Begun(has) if has == no => {
-                        worker.stage.set(Stage::Leaving);
-                        let _ = worker.kill.0.try_send(Reason::Asked);
-                        unsent = true;
+    fn cancel_with_proof(&self, run_store: &ReplicaId, no: CallNo) {
+        let mut never_sent = false;
+        if let Some(entry) = self.run_stores.borrow_mut().get_mut(run_store) {
+            let queued = entry.queue.len();
+            entry.queue.retain(|job| job.no() != no);
+            never_sent = entry.queue.len() < queued;
+            for connection in &entry.connections {
+                match connection.stage.get() {
+                    Stage::Sending(job) if job == no => {
+                        connection.stage.set(Stage::Closing);
+                        let _ = connection.abort.0.try_send(Reason::Asked);
+                        never_sent = true;
                     }
-                    Stage::Written(has) if has == no => {
-                        let _ = worker.end.0.try_send(());
+                    Stage::Sent(job) if job == no => {
+                        let _ = connection.shutdown_write.0.try_send(());
                     }
                     _ => {}
                 }
             }
         }
-        if unsent {
+        if never_sent {
             self.driver.call_ended(no, CallEnd::bare(Outcome::NotSent));
         }
     }
 
-    fn close(&self, replica: &ReplicaId, reason: Reason, which: impl Fn(Stage) -> bool) {
-        if let Some(place) = self.places.borrow().get(replica) {
-            for worker in place.workers.iter().filter(|worker| which(worker.stage.get())) {
-                let _ = worker.kill.0.try_send(reason);
+    fn close(&self, run_store: &ReplicaId, reason: Reason, matches_stage: impl Fn(Stage) -> bool) {
+        if let Some(entry) = self.run_stores.borrow().get(run_store) {
+            for connection in
+                entry.connections.iter().filter(|connection| matches_stage(connection.stage.get()))
+            {
+                let _ = connection.abort.0.try_send(reason);
             }
         }
     }
@@ -447,74 +477,77 @@
 
 impl RunStores for Rc<SearchTransport> {
     fn send(&self, call: Call) {
-        let replica = call.replica.clone();
-        self.queue(&replica, Job::Search(call));
+        let run_store = call.replica.clone();
+        self.enqueue(&run_store, Job::Search(call));
     }
 
-    fn give_up(&self, replica: &ReplicaId, no: CallNo, await_proof: bool) {
+    fn give_up(&self, run_store: &ReplicaId, no: CallNo, await_proof: bool) {
         if await_proof {
-            self.call_back(replica, no);
+            self.cancel_with_proof(run_store, no);
         } else {
-            self.take_back(replica, no);
+            self.cancel(run_store, no);
         }
     }
 
-    fn probe(&self, replica: &ReplicaId, no: CallNo) {
-        self.queue(replica, Job::Probe(no));
+    fn probe(&self, run_store: &ReplicaId, no: CallNo) {
+        self.enqueue(run_store, Job::Probe(no));
     }
 
-    fn probe_timed_out(&self, replica: &ReplicaId, no: CallNo) {
-        self.take_back(replica, no);
+    fn probe_timed_out(&self, run_store: &ReplicaId, no: CallNo) {
+        self.cancel(run_store, no);
     }
 
-    fn close_idle(&self, replica: &ReplicaId) {
-        self.close(replica, Reason::Asked, |stage| stage == Stage::Idle);
+    fn close_idle(&self, run_store: &ReplicaId) {
+        self.close(run_store, Reason::Asked, |stage| stage == Stage::Idle);
     }
 
-    fn retire(&self, replica: &ReplicaId) {
-        let queued = self.places.borrow_mut().get_mut(replica).map(|place| {
-            place.retired = true;
-            std::mem::take(&mut place.queue)
+    fn retire(&self, run_store: &ReplicaId) {
+        let queued = self.run_stores.borrow_mut().get_mut(run_store).map(|entry| {
+            entry.retired = true;
+            std::mem::take(&mut entry.queue)
         });
         // A request that is not completely written has not run, and must not be sent any more.
-        self.close(replica, Reason::Retired, |stage| !matches!(stage, Stage::Written(_)));
-        queued.unwrap_or_default().iter().for_each(|job| self.end(job, Outcome::NotSent));
-        self.forget(replica);
+        self.close(run_store, Reason::Retired, |stage| !matches!(stage, Stage::Sent(_)));
+        queued.unwrap_or_default().iter().for_each(|job| self.end_job(job, Outcome::NotSent));
+        self.remove_unused(run_store);
     }
 
     fn places(&self) -> usize {
-        self.places.borrow().len()
+        self.run_stores.borrow().len()
     }
 
     fn open(&self) -> usize {
-        self.open.get()
+        self.open_connections.get()
     }
 
     fn room(&self, connections: usize) {
-        self.limits.set(Limits { connections, ..self.limits.get() });
-        self.pump_lacking();
+        self.limits.set(Limits { max_connections: connections, ..self.limits.get() });
+        self.dispatch_waiting();
     }
 
     fn apply_settings(&self, site: &SiteSettings) {
-        self.limits.set(Limits::from_settings(site, self.limits.get().connections));
+        self.limits.set(Limits::from_settings(site, self.limits.get().max_connections));
     }
 
-    fn locate(&self, replica: &ReplicaId, address: SocketAddr, started: Option<Millis>) {
-        let at = Some((address, started));
-        if self.places.borrow().get(replica).is_some_and(|place| place.at != at) {
+    fn locate(&self, run_store: &ReplicaId, address: SocketAddr, started: Option<Millis>) {
+        let endpoint = Some((address, started));
+        if self.run_stores.borrow().get(run_store).is_some_and(|entry| entry.endpoint != endpoint) {
             // Connections to an earlier process of that run store are dead, even if no error has shown it yet. Where
             // only one attempt of a part may run at once, searches on them count as running until the connections
             // show that they are over.
-            let waits = |stage| !self.limits.get().copies && matches!(stage, Stage::Written(_));
-            self.close(replica, Reason::Retired, |stage| !waits(stage));
-            if let Some(place) = self.places.borrow().get(replica) {
-                for worker in place.workers.iter().filter(|worker| waits(worker.stage.get())) {
-                    let _ = worker.end.0.try_send(());
+            let keeps_reading =
+                |stage| !self.limits.get().parallel_attempts && matches!(stage, Stage::Sent(_));
+            self.close(run_store, Reason::Retired, |stage| !keeps_reading(stage));
+            if let Some(entry) = self.run_stores.borrow().get(run_store) {
+                for connection in
+                    entry.connections.iter().filter(|connection| keeps_reading(connection.stage.get()))
+                {
+                    let _ = connection.shutdown_write.0.try_send(());
                 }
             }
         }
-        let mut places = self.places.borrow_mut();
-        let place = places.entry(replica.clone()).or_default();
-        (place.at, place.retired) = (at, false);
+        let mut run_stores = self.run_stores.borrow_mut();
+        let entry = run_stores.entry(run_store.clone()).or_default();
+        (entry.endpoint, entry.retired) = (endpoint, false);
     }
 }
