--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -134,7 +134,7 @@
         Reason::Full
     }
 
-    /// Returns the response to a request, unless the client leaves first. The handler is told if a pipelined request
+    /// Returns the response to a request, unless the client leaves first. The handler is notified if a pipelined request
     /// has an earlier deadline, and then answers by that time.
     async fn answer(&mut self, request: ReceivedRequest) -> Result<Response, Interruption> {
         let (deadline_sender, deadline_receiver) = async_channel::unbounded();
--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -92,7 +92,7 @@
     load_probes: VecDeque<(Option<CallNo>, Instant)>,
     /// Written probes that prove calls to be over, oldest first, each with its calls and the time of writing.
     proof_probes: VecDeque<(Vec<CallNo>, Instant)>,
-    /// Whether such probes may be sent.
+    /// Whether probes that prove calls to be over may be sent.
     proof_probes_allowed: bool,
     writing: Vec<QueueItem>,
     /// Parts that were answered or given up, oldest first, and whether an answer has arrived.
