--- a/src/directory/dns_sd.rs
+++ b/src/directory/dns_sd.rs
@@ -23,7 +23,7 @@
 use crate::http::client::within;
 use crate::log::{self, Reason};
 use crate::net::Stream;
-use crate::transport::span;
+use crate::transport::duration_from_millis;
 
 /// The time-out of one try of a query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
@@ -97,7 +97,7 @@
                 Ok(_) => self.driver.apply_directory_update(DirectoryUpdate::Changes(Vec::new())),
                 Err(why) => return why,
             }
-            Timer::after(span(config.refresh_ms)).await;
+            Timer::after(duration_from_millis(config.refresh_ms)).await;
         }
     }
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::asking::TOLD_WITHIN;
 use crate::core::drive::Driver;
-use crate::http::door::Door;
+use crate::http::client_gate::ClientGate;
 use crate::http::parse::Headers;
 use crate::http::write::Response;
 
@@ -35,8 +35,8 @@
 /// Without any list of run stores the check fails only during the first `TOLD_WITHIN` after the start, in which a
 /// reachable discovery service delivers it. After that the list may stay away for long, and it is better to refuse
 /// clients with a retry time than to hide an aggregator that can serve as soon as the list arrives.
-fn health(door: &Door, driver: &Driver) -> Response {
-    if !door.takes_clients() {
+fn health(client_gate: &ClientGate, driver: &Driver) -> Response {
+    if !client_gate.accepts_clients() {
         Response::text(503, "draining")
     } else if driver.run_stores() == 0 && driver.age() < TOLD_WITHIN {
         Response::text(503, "no run store is listed yet")
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -16,13 +16,13 @@
 
 use crate::core::drive::{millis, Driver};
 use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
-use crate::http::door::Door;
-use crate::http::inbox::Arrived;
-use crate::http::parse::{Bad, Message};
-use crate::http::server::{Handler, Local, Refused};
+use crate::http::client_gate::ClientGate;
+use crate::http::inbox::ReceivedRequest;
+use crate::http::parse::{Message, MessageError};
+use crate::http::server::{Handler, LocalBoxFuture, RefusalReason};
 use crate::http::write::Response;
 use crate::log;
-use crate::transport::opensearch::carry;
+use crate::transport::opensearch::encode_part_text;
 use search::{Operation, RequestError, Search};
 
 /// The longest accepted opaque id or tenant, in bytes.
@@ -33,15 +33,15 @@
 /// The OpenSearch-style front.
 pub struct OpenSearch {
     driver: Rc<Driver>,
-    door: Rc<Door>,
+    client_gate: Rc<ClientGate>,
     /// The number of the last query, from which an id is made for queries without `X-Opaque-Id`.
     last_query_no: Cell<u64>,
 }
 
 impl OpenSearch {
     /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
-    pub fn new(driver: Rc<Driver>, door: Rc<Door>) -> Self {
-        OpenSearch { driver, door, last_query_no: Cell::new(0) }
+    pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>) -> Self {
+        OpenSearch { driver, client_gate, last_query_no: Cell::new(0) }
     }
 
     /// Returns the total number of shards.
@@ -56,7 +56,7 @@
     }
 
     /// Builds the query for the core from a search and its request.
-    fn build_query(&self, search: &Search, arrived: &Arrived) -> Result<QueryRequest, RequestError> {
+    fn build_query(&self, search: &Search, arrived: &ReceivedRequest) -> Result<QueryRequest, RequestError> {
         let request = &arrived.message;
         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
         let weight = 1.0 / shards.len().max(1) as f64;
@@ -89,17 +89,17 @@
                 .into_iter()
                 .map(|shard| PartRequest { shard, weight, hint: None, key: None })
                 .collect(),
-            text: carry(&search.shard_parameters(), &request.body).into(),
+            text: encode_part_text(&search.shard_parameters(), &request.body).into(),
         })
     }
 }
 
 impl Handler for OpenSearch {
-    fn handle(&self, arrived: Arrived, earlier_deadline: Receiver<Instant>) -> Local<Response> {
+    fn handle(&self, arrived: ReceivedRequest, earlier_deadline: Receiver<Instant>) -> LocalBoxFuture<Response> {
         let request = &arrived.message;
         let opaque_id = request.headers.get("x-opaque-id").map(str::to_string);
         let response = match (request.start.0.as_str(), request.start.1.as_str()) {
-            ("GET", "/healthz") => crate::front::health(&self.door, &self.driver),
+            ("GET", "/healthz") => crate::front::health(&self.client_gate, &self.driver),
             ("GET", "/counters") => Response::text(200, &self.driver.counters().to_string()),
             ("GET" | "POST", path) => {
                 let index = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
@@ -108,7 +108,7 @@
                     .and_then(|search| self.build_query(&search, &arrived).map(|query| (search, query)));
                 match query.map(|(search, query)| (search, self.driver.ask(query))) {
                     Ok((search, Ok(pending))) => {
-                        let arrived_at = arrived.at;
+                        let arrived_at = arrived.received_at;
                         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
                         return Box::pin(async move {
                             let final_answer = pending.verdict_before(earlier_deadline).await;
@@ -136,16 +136,16 @@
         Box::pin(async move { with_opaque_id(response, opaque_id) })
     }
 
-    fn bad(&self, bad: Bad) -> Response {
+    fn error_response(&self, bad: MessageError) -> Response {
         self.reject("", RequestError(bad.status(), "parsing_exception", bad.to_string()))
     }
 
-    fn waits(&self, request: &Message) -> Option<Duration> {
+    fn client_timeout(&self, request: &Message) -> Option<Duration> {
         let search = Search::parse(request, self.shards()).ok()?;
         self.driver.wait_of(&search.index, search.timeout)
     }
 
-    fn refuse(&self, why: Refused) -> Response {
+    fn refuse(&self, why: RefusalReason) -> Response {
         with_retry_after(error(503, "rejected_execution_exception", why.text()), REFUSED_RETRY_AFTER_MS)
     }
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -10,10 +10,10 @@
 
 use crate::core::drive::{millis, Driver, Pending};
 use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
-use crate::http::door::Door;
-use crate::http::inbox::Arrived;
-use crate::http::parse::{Bad, Message};
-use crate::http::server::{Handler, Local, Refused};
+use crate::http::client_gate::ClientGate;
+use crate::http::inbox::ReceivedRequest;
+use crate::http::parse::{Message, MessageError};
+use crate::http::server::{Handler, LocalBoxFuture, RefusalReason};
 use crate::http::write::Response;
 use crate::log;
 
@@ -58,7 +58,7 @@
 /// The front for the platform's own protocol.
 pub struct Platform {
     driver: Rc<Driver>,
-    door: Rc<Door>,
+    client_gate: Rc<ClientGate>,
     /// The ids of open queries. Part ids on the wire are derived from them, so two open queries must not share one.
     open_ids: Rc<RefCell<HashSet<String>>>,
 }
@@ -77,12 +77,12 @@
 
 impl Platform {
     /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
-    pub fn new(driver: Rc<Driver>, door: Rc<Door>) -> Self {
-        Platform { driver, door, open_ids: Rc::default() }
+    pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>) -> Self {
+        Platform { driver, client_gate, open_ids: Rc::default() }
     }
 
     /// Reads a query, reserves its id and passes it to the core.
-    fn start_query(&self, request: &Arrived, path: &str) -> Result<(ReservedId, Pending), Response> {
+    fn start_query(&self, request: &ReceivedRequest, path: &str) -> Result<(ReservedId, Pending), Response> {
         let class = class_of(path);
         let query = read_query(request, class, self.driver.is_keyed(class))
             .map_err(|why| self.reject(class, 400, &why))?;
@@ -105,11 +105,11 @@
 }
 
 impl Handler for Platform {
-    fn handle(&self, request: Arrived, earlier_deadline: Receiver<Instant>) -> Local<Response> {
+    fn handle(&self, request: ReceivedRequest, earlier_deadline: Receiver<Instant>) -> LocalBoxFuture<Response> {
         let start = &request.message.start;
         let path = path_of(&request.message);
         let response = match (start.0.as_str(), path) {
-            ("GET", "/healthz") => super::health(&self.door, &self.driver),
+            ("GET", "/healthz") => super::health(&self.client_gate, &self.driver),
             ("GET", "/counters") => Response::text(200, &self.driver.counters().to_string()),
             ("POST", _) => match self.start_query(&request, path) {
                 Ok((reserved, pending)) => {
@@ -128,16 +128,16 @@
         Box::pin(async move { response })
     }
 
-    fn bad(&self, bad: Bad) -> Response {
+    fn error_response(&self, bad: MessageError) -> Response {
         self.reject("", bad.status(), &bad.to_string())
     }
 
-    fn waits(&self, request: &Message) -> Option<Duration> {
+    fn client_timeout(&self, request: &Message) -> Option<Duration> {
         let requested = request.headers.get("x-timeout").and_then(|text| parse_timeout(text).ok());
         self.driver.wait_of(class_of(path_of(request)), requested)
     }
 
-    fn refuse(&self, why: Refused) -> Response {
+    fn refuse(&self, why: RefusalReason) -> Response {
         Response::text(503, why.text()).retry_after(REFUSED_RETRY_AFTER_MS)
     }
 }
@@ -153,7 +153,7 @@
 }
 
 /// Reads a query from its request.
-fn read_query(arrived: &Arrived, path_class: &str, keyed: bool) -> Result<QueryRequest, String> {
+fn read_query(arrived: &ReceivedRequest, path_class: &str, keyed: bool) -> Result<QueryRequest, String> {
     let request = &arrived.message;
     let header = |name: &str| request.headers.get(name);
     let class = header("x-priority-class").unwrap_or(path_class);
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -65,7 +65,7 @@
             }
             Ok(sendmsg(stream, &[IoSlice::new(b"s")], &mut control, SendFlags::NOSIGNAL)?)
         };
-        net::again(|| self.stream.write_with(send)).await.map(drop)
+        net::retry_transient(|| self.stream.write_with(send)).await.map(drop)
     }
 
     /// Receives sockets.
@@ -90,7 +90,7 @@
             }
             Ok(sockets)
         };
-        net::again(|| self.stream.read_with(receive)).await
+        net::retry_transient(|| self.stream.read_with(receive)).await
     }
 }
 
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,5 +1,5 @@
-//! A listening server: connections are accepted within the limit on descriptors, and idle ones make room for others.
-//! What happens on each is in [`super::connection`].
+//! An HTTP server: accepts connections up to a limit and closes idle ones to make room for others.
+//! [`super::connection`] handles each connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -16,167 +16,180 @@
 use async_net::{TcpListener, TcpStream};
 use futures_lite::future;
 
+use super::client_gate::ClientGate;
 use super::connection::Connection;
-use super::door::Door;
-use super::inbox::Arrived;
-use super::parse::{Bad, Message};
+use super::inbox::ReceivedRequest;
+use super::parse::{Message, MessageError};
 use super::write::Response;
 use crate::log::{self, Reason};
-use crate::net::{Fault, Stream};
+use crate::net::{SocketErrorKind, Stream};
 
-/// A future on the one thread.
-pub type Local<T> = Pin<Box<dyn Future<Output = T>>>;
+/// A boxed future that runs on the single thread.
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// What answers requests. Its future is dropped if the client leaves.
+/// Answers requests. The future of a request is dropped if its client leaves.
 pub trait Handler {
-    /// Answers a request, by an earlier time if one is told meanwhile: then a request behind it is due.
-    fn handle(&self, request: Arrived, sooner: Receiver<Instant>) -> Local<Response>;
-    /// How long the client of a request waits from its last byte on, if that is known.
-    fn waits(&self, request: &Message) -> Option<Duration>;
-    /// The answer to what cannot be read.
-    fn bad(&self, bad: Bad) -> Response;
-    /// The answer to what is not taken up at all, for some reason: trying again is harmless.
-    fn refuse(&self, why: Refused) -> Response;
+    /// Answers a request. `earlier_deadlines` delivers earlier times by which to answer, because a pipelined request
+    /// has an earlier deadline.
+    fn handle(
+        &self,
+        request: ReceivedRequest,
+        earlier_deadlines: Receiver<Instant>,
+    ) -> LocalBoxFuture<Response>;
+    /// Returns how long the client waits for the response after the last byte of its request, if that is known.
+    fn client_timeout(&self, request: &Message) -> Option<Duration>;
+    /// Returns the response to input that was rejected.
+    fn error_response(&self, error: MessageError) -> Response;
+    /// Returns the response to a request that is not processed at all, so that the client can safely retry it.
+    fn refuse(&self, reason: RefusalReason) -> Response;
 }
 
-/// Why a request is not taken up at all.
+/// Why a request is not processed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
-    /// Its connection is one too many.
-    Full,
-    /// It came behind one that was to be the last on its connection.
-    AfterLast,
+pub enum RefusalReason {
+    /// The connection exceeds the connection limit.
+    TooManyConnections,
+    /// It was pipelined after the last request to be answered on its connection.
+    ConnectionClosing,
 }
 
-impl Refused {
-    /// The reason in words.
+impl RefusalReason {
+    /// Returns the reason as text for the response.
     pub fn text(self) -> &'static str {
         match self {
-            Refused::Full => "too many connections",
-            Refused::AfterLast => "the request before was to be the last on this connection",
+            RefusalReason::TooManyConnections => "too many connections",
+            RefusalReason::ConnectionClosing => "the connection closes after the previous request",
         }
     }
 }
 
-/// How long things may take, and how many there may be.
+/// Timeouts and limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Connections that are served at once. An eighth more is borne, to be told that there is no room.
-    pub connections: usize,
-    /// Idle time between requests.
-    pub idle: Duration,
-    /// From a request's first byte to its last; for the first request, from its connection on.
-    pub request: Duration,
-    /// Writing an answer.
-    pub write: Duration,
-    /// Whether a connection may carry another request.
-    pub keep: bool,
+    /// Maximum number of connections that are served at once. An eighth more are accepted, only to be refused.
+    pub max_connections: usize,
+    /// How long a connection may be idle between requests.
+    pub idle_timeout: Duration,
+    /// Time from the first byte of a request to its last. For the first request, it counts from the accept.
+    pub request_timeout: Duration,
+    /// Time for writing a response.
+    pub write_timeout: Duration,
+    /// Whether a connection may carry more than one request.
+    pub keep_alive: bool,
 }
 
 impl Limits {
-    /// The usual times, for so many connections. A client that sends nothing of use is owed an error or a close
-    /// within 3 s of its connecting, and one that has asked may keep its connection for longer.
-    pub fn for_connections(connections: usize) -> Self {
+    /// Returns the default timeouts with a limit on connections. A client that sends no valid request gets an error
+    /// or a close within 3 s of connecting; one that has made a request may keep its connection for longer.
+    pub fn for_connections(max_connections: usize) -> Self {
         let millis = Duration::from_millis;
-        Limits { connections, idle: millis(2000), request: millis(2200), write: millis(3000), keep: true }
+        Limits {
+            max_connections,
+            idle_timeout: millis(2000),
+            request_timeout: millis(2200),
+            write_timeout: millis(3000),
+            keep_alive: true,
+        }
     }
 }
 
-/// Once the door is shut, the front still sends new connections for a while, and clients use those they have:
-/// one that has stood idle for so long is not about to be used.
-pub const KEEP_IDLE: Duration = Duration::from_millis(500);
-/// The time in which the first byte of a client that means to ask has come.
-const FIRST_BYTE: Duration = Duration::from_millis(500);
-/// Connections kept without a request may take one in so many of the room.
-const KEPT_SHARE: usize = 4;
-/// The first place in the order of idle connections of one that has asked.
-const ASKED: (bool, u64) = (true, 0);
-/// The wait after an accept that failed, for want of descriptors for example. All that wait behind it wait as well.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// The log tells of such failures once in so long.
-const SAY_FAILED: Duration = Duration::from_secs(1);
-
-/// A listening server.
+/// After the gate closes, clients are still routed here for a while, and connected ones use the connections they
+/// have. A connection that was idle for this long is unlikely to be used again.
+pub const IDLE_GRACE: Duration = Duration::from_millis(500);
+/// Time in which the first byte of a client that intends to make a request is expected.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Connections that are idle after a request may occupy at most one part in this many of the connection limit.
+const KEPT_IDLE_DIVISOR: usize = 4;
+/// The smallest key of a connection that has made a request, in the order of idle connections.
+const FIRST_WITH_REQUESTS: (bool, u64) = (true, 0);
+/// Delay after a failed accept, for example when no descriptor was left. The other connections in the queue wait as
+/// well.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Minimum interval between log lines about failed accepts.
+const ACCEPT_ERROR_LOG_INTERVAL: Duration = Duration::from_secs(1);
+
+/// An HTTP server.
 pub struct Server {
-    /// Whose connections these are, for the log.
+    /// The kind of its connections, for the log.
     kind: &'static str,
     executor: Rc<LocalExecutor<'static>>,
     pub(super) handler: Box<dyn Handler>,
     pub(super) limits: Limits,
-    /// Connections that are served at once, which may be fewer for a while than the limits say.
-    room: Cell<usize>,
-    open: Cell<usize>,
-    last: Cell<u64>,
-    /// Whether nothing more is read, as the process is about to end.
-    ending: Cell<bool>,
-    /// When the listener's queue was seen empty last: what waits there has come since.
-    queue_empty: Cell<Instant>,
-    /// When the log told last of an accept that failed.
-    said_failed: Cell<Option<Instant>>,
-    pub(super) door: Rc<Door>,
-    /// Connections that stand idle, those that never asked first and then longest first.
-    idle: RefCell<BTreeMap<(bool, u64), Idle>>,
-    /// Signalled when a connection has ended.
-    ended: (Sender<()>, Receiver<()>),
+    /// Maximum number of connections served at once. It may be lower for a while than the configured limit.
+    max_connections: Cell<usize>,
+    open_connections: Cell<usize>,
+    last_idle_sequence: Cell<u64>,
+    /// Whether to read nothing more because the process is about to end.
+    reading_stopped: Cell<bool>,
+    /// When the accept queue was last seen empty. The connections in it have arrived since then.
+    accept_queue_empty_at: Cell<Instant>,
+    /// When a failed accept was last logged.
+    accept_error_logged_at: Cell<Option<Instant>>,
+    pub(super) client_gate: Rc<ClientGate>,
+    /// Idle connections: first those without any request, then the others, each group from the longest idle.
+    idle: RefCell<BTreeMap<(bool, u64), IdleConnection>>,
+    /// Signals that a connection has ended.
+    connection_ended: (Sender<()>, Receiver<()>),
 }
 
 impl Server {
-    /// A server that answers by a handler.
+    /// Creates a server that answers requests with `handler`.
     pub fn new(
         kind: &'static str,
         executor: Rc<LocalExecutor<'static>>,
         handler: Box<dyn Handler>,
         limits: Limits,
-        door: Rc<Door>,
+        client_gate: Rc<ClientGate>,
     ) -> Rc<Self> {
         Rc::new(Server {
             kind,
             executor,
             handler,
             limits,
-            room: Cell::new(limits.connections),
-            open: Cell::new(0),
-            last: Cell::new(0),
-            ending: Cell::new(false),
-            queue_empty: Cell::new(Instant::now()),
-            said_failed: Cell::new(None),
-            door,
+            max_connections: Cell::new(limits.max_connections),
+            open_connections: Cell::new(0),
+            last_idle_sequence: Cell::new(0),
+            reading_stopped: Cell::new(false),
+            accept_queue_empty_at: Cell::new(Instant::now()),
+            accept_error_logged_at: Cell::new(None),
+            client_gate,
             idle: RefCell::default(),
-            ended: async_channel::bounded(1),
+            connection_ended: async_channel::bounded(1),
         })
     }
 
-    /// The number of open connections.
-    pub fn open(&self) -> usize {
-        self.open.get()
+    /// Returns the number of open connections.
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 
-    /// Nothing more is read behind the requests that are in hand: the process ends once these are answered.
+    /// Reads nothing after the requests that were already received. The process ends once these are answered.
     pub fn stop_reading(&self) {
-        self.ending.set(true);
+        self.reading_stopped.set(true);
     }
 
-    /// Whether nothing more is read.
-    pub(super) fn is_ending(&self) -> bool {
-        self.ending.get()
+    /// Returns whether reading has stopped.
+    pub(super) fn is_reading_stopped(&self) -> bool {
+        self.reading_stopped.get()
     }
 
-    /// The one drain, by hand or before the end: whenever the door is shut, connections that stand idle get a
-    /// moment in which they are still used, and are closed. Those that come later have the same moment each.
+    /// Drains idle connections, whether the gate was closed by an operator or for shutdown: after the gate closes,
+    /// idle connections can still be used for a moment and are then closed. Connections that arrive later get the
+    /// same time each.
     pub async fn drain(self: Rc<Self>) {
         loop {
-            self.door.shut().await;
-            Timer::after(KEEP_IDLE).await;
-            if !self.door.is_open() {
-                self.close_idle(KEEP_IDLE);
+            self.client_gate.closed().await;
+            Timer::after(IDLE_GRACE).await;
+            if !self.client_gate.is_open() {
+                self.close_idle(IDLE_GRACE);
             }
         }
     }
 
-    /// Closes the connections that have stood idle for some time.
-    fn close_idle(&self, stood: Duration) {
+    /// Closes the connections that have been idle for at least `min_idle`.
+    fn close_idle(&self, min_idle: Duration) {
         self.idle.borrow_mut().retain(|_, (since, close)| {
-            let keep = since.elapsed() < stood;
+            let keep = since.elapsed() < min_idle;
             if !keep {
                 let _ = close.try_send(Reason::Shutdown);
             }
@@ -184,176 +197,186 @@
         });
     }
 
-    /// Serves so many connections at once from now on.
-    pub fn set_room(&self, connections: usize) {
-        self.room.set(connections);
-        // Whoever waits for room looks again.
-        let _ = self.ended.0.try_send(());
+    /// Sets the maximum number of connections served at once.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
+        // Wake the accept loop, which may be waiting for capacity.
+        let _ = self.connection_ended.0.try_send(());
     }
 
-    /// Accepts connections for good.
+    /// Accepts connections forever.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
-            self.has_room().await;
-            let came = match future::poll_once(listener.accept()).await {
-                Some(came) => came,
+            self.wait_for_capacity().await;
+            let accepted = match future::poll_once(listener.accept()).await {
+                Some(accepted) => accepted,
                 None => {
-                    let came = listener.accept().await;
-                    self.queue_empty.set(Instant::now());
-                    came
+                    let accepted = listener.accept().await;
+                    self.accept_queue_empty_at.set(Instant::now());
+                    accepted
                 }
             };
-            self.take(came).await;
+            self.handle_accepted(accepted).await;
         }
     }
 
-    /// Accepts what has come by now: what waits in the listener's queue would be reset with it.
-    pub async fn accept_rest(self: &Rc<Self>, listener: &TcpListener) {
+    /// Accepts the connections that are already in the accept queue; closing the listener would reset them.
+    pub async fn accept_queued(self: &Rc<Self>, listener: &TcpListener) {
         loop {
-            self.has_room().await;
+            self.wait_for_capacity().await;
             match future::poll_once(listener.accept()).await {
-                Some(came) => self.take(came).await,
+                Some(accepted) => self.handle_accepted(accepted).await,
                 None => return,
             }
         }
     }
 
-    /// An accepted connection that is dropped unanswered would be a lost query. What is over the limit waits in
-    /// the listener's queue instead; refusals are brief, so room comes soon.
-    async fn has_room(&self) {
-        while self.open.get() >= self.room.get() + self.room.get() / 8 {
-            let _ = self.ended.1.recv().await;
+    /// Waits until another connection may be accepted. Dropping an accepted connection without an answer would lose a
+    /// query, so connections above the limit wait in the accept queue instead. Refusals are brief, so capacity is
+    /// soon available.
+    async fn wait_for_capacity(&self) {
+        while self.open_connections.get() >= self.max_connections.get() + self.max_connections.get() / 8 {
+            let _ = self.connection_ended.1.recv().await;
         }
     }
 
-    async fn take(self: &Rc<Self>, came: io::Result<(TcpStream, SocketAddr)>) {
-        match came {
+    async fn handle_accepted(self: &Rc<Self>, accepted: io::Result<(TcpStream, SocketAddr)>) {
+        match accepted {
             Ok((stream, peer)) => {
-                self.welcome(stream, peer);
-                // Its first bytes are looked at before the next connection may push it out.
+                self.spawn_connection(stream, peer);
+                // Let the new connection read its first bytes before the next accept may evict it.
                 future::yield_now().await;
             }
             Err(error) => {
-                self.say_failed(&error);
-                match Fault::of(&error) {
-                    // No descriptor is left: connections wait in the queue until one is.
-                    Fault::Room => {
-                        self.close_longest_idle(FIRST_BYTE);
-                        Timer::after(ACCEPT_PAUSE).await;
+                self.log_accept_error(&error);
+                match SocketErrorKind::of(&error) {
+                    // No descriptor is left: connections wait in the accept queue until one is free.
+                    SocketErrorKind::ResourceLimit => {
+                        self.close_longest_idle(FIRST_BYTE_TIMEOUT);
+                        Timer::after(ACCEPT_RETRY_DELAY).await;
                     }
-                    Fault::Machine => {
-                        Timer::after(ACCEPT_PAUSE).await;
+                    SocketErrorKind::LocalHost => {
+                        Timer::after(ACCEPT_RETRY_DELAY).await;
                     }
-                    // That connection came to nothing, and the next one may be there.
-                    Fault::Connection => future::yield_now().await,
+                    // Only this connection failed, and the next one may be waiting.
+                    SocketErrorKind::Connection => future::yield_now().await,
                 }
             }
         }
     }
 
-    fn say_failed(&self, error: &io::Error) {
-        if self.said_failed.get().is_none_or(|said| said.elapsed() >= SAY_FAILED) {
-            self.said_failed.set(Some(Instant::now()));
+    fn log_accept_error(&self, error: &io::Error) {
+        if self
+            .accept_error_logged_at
+            .get()
+            .is_none_or(|logged_at| logged_at.elapsed() >= ACCEPT_ERROR_LOG_INTERVAL)
+        {
+            self.accept_error_logged_at.set(Some(Instant::now()));
             log::line(&format!("accept failed: {error}"));
         }
     }
 
-    /// Makes room; says whether a connection stood idle. One that never asked has to have stood for some time, unless
-    /// such are many.
+    /// Closes one idle connection to make room. Returns whether there was one. A connection without any request is
+    /// closed only if it was idle for [`FIRST_BYTE_TIMEOUT`], if there are many of these, or, where no other
+    /// connection is idle, if it was idle for `min_idle`.
     ///
-    /// Silent connections by the hundred must not push out those of clients who ask, so that one which has long
-    /// said nothing goes first, or any once they hold half of the room. But a new one is silent until its first
-    /// request has come: where clients keep theirs, the longest kept makes room for it.
-    fn close_longest_idle(&self, stood_for: Duration) -> bool {
+    /// Hundreds of silent connections must not evict those of clients that make requests, so a connection that has
+    /// long been silent is closed first, or any silent one once they occupy more than half of the limit. But a new
+    /// connection is silent until its first request has arrived: if the others are kept open by clients with earlier
+    /// requests, the longest idle of those is closed instead.
+    fn close_longest_idle(&self, min_idle: Duration) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let silent = idle.range(..ASKED).next().map(|(key, (since, _))| (*key, since.elapsed()));
-        let many = idle.range(..ASKED).count() > self.room.get() / 2;
-        let kept = idle.range(ASKED..).next().map(|(key, _)| *key);
+        let silent =
+            idle.range(..FIRST_WITH_REQUESTS).next().map(|(key, (since, _))| (*key, since.elapsed()));
+        let many_silent = idle.range(..FIRST_WITH_REQUESTS).count() > self.max_connections.get() / 2;
+        let kept = idle.range(FIRST_WITH_REQUESTS..).next().map(|(key, _)| *key);
         let longest = match silent {
-            Some((key, stood)) if many || stood >= FIRST_BYTE => Some(key),
-            Some((key, stood)) if kept.is_none() && stood >= stood_for => Some(key),
+            Some((key, idle_time)) if many_silent || idle_time >= FIRST_BYTE_TIMEOUT => Some(key),
+            Some((key, idle_time)) if kept.is_none() && idle_time >= min_idle => Some(key),
             _ => kept,
         };
         let close = longest.and_then(|key| idle.remove(&key));
         close.is_some_and(|(_, close)| close.try_send(Reason::Full).is_ok())
     }
 
-    /// Closes the connection kept longest where clients keep too many: those who ask once and stay would hold the
-    /// room that others need for their requests.
-    fn close_kept(&self) {
+    /// Closes the connection that has been idle longest after a request, if too many of these are open. Clients that
+    /// make one request and stay connected would otherwise take the capacity that others need.
+    fn close_excess_kept(&self) {
         let mut idle = self.idle.borrow_mut();
-        if idle.range(ASKED..).count() > self.room.get() / KEPT_SHARE {
-            let longest = idle.range(ASKED..).next().map(|(key, _)| *key);
+        if idle.range(FIRST_WITH_REQUESTS..).count() > self.max_connections.get() / KEPT_IDLE_DIVISOR {
+            let longest = idle.range(FIRST_WITH_REQUESTS..).next().map(|(key, _)| *key);
             if let Some((_, close)) = longest.and_then(|key| idle.remove(&key)) {
                 let _ = close.try_send(Reason::Full);
             }
         }
     }
 
-    fn welcome(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr) {
-        // From its first write on: what the system holds back goes with a connection that is reset.
+    fn spawn_connection(self: &Rc<Self>, stream: TcpStream, peer: SocketAddr) {
+        // Disable Nagle's algorithm before the first write: bytes that it holds back are lost if the connection is
+        // reset.
         let stream = Stream::from(stream);
         let _ = stream.set_nodelay();
-        let refused = self.open.get() >= self.room.get() && !self.close_longest_idle(Duration::ZERO);
-        self.open.set(self.open.get() + 1);
-        let came = self.queue_empty.get();
+        let refused = self.open_connections.get() >= self.max_connections.get()
+            && !self.close_longest_idle(Duration::ZERO);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let earliest_arrival = self.accept_queue_empty_at.get();
         let server = self.clone();
         let task = async move {
-            let mut connection = Connection::new(&server, stream, came);
+            let mut connection = Connection::new(&server, stream, earliest_arrival);
             let reason = match refused {
                 true => connection.refuse().await,
                 false => connection.serve().await.unwrap_or(Reason::Reset),
             };
-            let (requests, lasted) = (connection.requests(), connection.age().as_millis());
+            let (requests, duration_ms) = (connection.requests(), connection.age().as_millis());
             drop(connection);
-            server.open.set(server.open.get() - 1);
-            let _ = server.ended.0.try_send(());
-            log::ended(server.kind, Some(peer), reason, format_args!("requests={requests} ms={lasted}"));
+            server.open_connections.set(server.open_connections.get() - 1);
+            let _ = server.connection_ended.0.try_send(());
+            log::ended(server.kind, Some(peer), reason, format_args!("requests={requests} ms={duration_ms}"));
         };
         self.executor.spawn(task).detach();
     }
 }
 
-/// Since when a connection stands idle, and how to close it.
-type Idle = (Instant, Sender<Reason>);
+/// When a connection became idle, and the channel that closes it.
+type IdleConnection = (Instant, Sender<Reason>);
 
-/// A connection's place among those that stand idle, until this is dropped.
-pub(super) struct IdlePlace<'s> {
+/// The registration of an idle connection, removed when this is dropped.
+pub(super) struct IdleRegistration<'s> {
     server: &'s Server,
     key: (bool, u64),
     closed: Receiver<Reason>,
 }
 
-impl IdlePlace<'_> {
-    /// Waits until the server closes the connection.
+impl IdleRegistration<'_> {
+    /// Waits until the server closes the connection, and returns the reason.
     pub(super) async fn closed(&self) -> Reason {
         self.closed.recv().await.unwrap_or(Reason::Shutdown)
     }
 }
 
-impl Drop for IdlePlace<'_> {
+impl Drop for IdleRegistration<'_> {
     fn drop(&mut self) {
         self.server.idle.borrow_mut().remove(&self.key);
     }
 }
 
 impl Server {
-    /// A connection stands idle from now on, and may be closed at any time.
-    pub(super) fn stand_idle(&self, asked: bool) -> IdlePlace<'_> {
+    /// Registers a connection as idle. From now on the server may close it at any time.
+    pub(super) fn register_idle(&self, had_requests: bool) -> IdleRegistration<'_> {
         let (close, closed) = async_channel::bounded(1);
-        self.last.set(self.last.get() + 1);
-        let key = (asked, self.last.get());
+        self.last_idle_sequence.set(self.last_idle_sequence.get() + 1);
+        let key = (had_requests, self.last_idle_sequence.get());
         self.idle.borrow_mut().insert(key, (Instant::now(), close));
-        self.close_kept();
-        IdlePlace { server: self, key, closed }
+        self.close_excess_kept();
+        IdleRegistration { server: self, key, closed }
     }
 
-    /// How long a connection may stand idle.
-    pub(super) fn idle_limit(&self, asked: bool) -> Duration {
-        match asked {
-            _ if !self.door.is_open() => KEEP_IDLE,
-            true => self.limits.idle,
-            false => self.limits.request,
+    /// Returns how long a connection may be idle.
+    pub(super) fn idle_timeout(&self, had_requests: bool) -> Duration {
+        match had_requests {
+            _ if !self.client_gate.is_open() => IDLE_GRACE,
+            true => self.limits.idle_timeout,
+            false => self.limits.request_timeout,
         }
     }
 }
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,7 +1,8 @@
-//! TCP connections whose calls fail only where the connection is at fault, and what the errors of calls say.
+//! Non-blocking TCP streams that retry transient errors, and the classification of socket errors.
 //!
-//! An interrupted call, or one for which the system has no memory just now, says nothing of the connection: it is made
-//! again. Ended by it, a connection would take along what was read from it and is owed an answer.
+//! A call that was interrupted, or for which the kernel had no memory, does not mean that the connection is broken,
+//! so it is retried. Closing the connection instead would lose requests that were already read from it and still need
+//! an answer.
 
 use std::future::Future;
 use std::io;
@@ -15,25 +16,27 @@
 use futures_lite::{AsyncRead, AsyncWrite};
 use rustix::io::Errno;
 
-/// The wait after a call for which the system had no memory.
-const LACK_PAUSE: Duration = Duration::from_millis(5);
+/// Delay before retrying a call that failed because the kernel was out of memory.
+const OUT_OF_MEMORY_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// What the error of a call that makes or accepts a connection says.
+/// Classifies an error from connecting or accepting a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
-    /// This process or machine has no descriptor or memory for one more connection.
-    Room,
-    /// This machine cannot make connections just now, whoever the peer is.
-    Machine,
-    /// It is the fault of that one connection, or of its peer.
+pub enum SocketErrorKind {
+    /// This process or machine has no file descriptor or memory for another connection.
+    ResourceLimit,
+    /// This machine cannot make connections at the moment, regardless of the peer.
+    LocalHost,
+    /// The error concerns only this connection or its peer.
     Connection,
 }
 
-impl Fault {
-    /// What an error says, by socket(2), connect(2) and accept(2).
-    pub fn of(error: &io::Error) -> Fault {
+impl SocketErrorKind {
+    /// Classifies an error according to socket(2), connect(2) and accept(2).
+    pub fn of(error: &io::Error) -> SocketErrorKind {
         match Errno::from_io_error(error) {
-            Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => Fault::Room,
+            Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
+                SocketErrorKind::ResourceLimit
+            }
             Some(
                 Errno::ADDRNOTAVAIL
                 | Errno::ADDRINUSE
@@ -43,48 +46,50 @@
                 | Errno::NETUNREACH
                 | Errno::PERM
                 | Errno::ACCESS,
-            ) => Fault::Machine,
-            _ => Fault::Connection,
+            ) => SocketErrorKind::LocalHost,
+            _ => SocketErrorKind::Connection,
         }
     }
 }
 
-/// Whether the system had no memory for a call on an open connection.
-fn is_lack_of_memory(error: &io::Error) -> bool {
+/// Returns whether a call on an open connection failed because the kernel was out of memory.
+fn is_out_of_memory(error: &io::Error) -> bool {
     matches!(Errno::from_io_error(error), Some(Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Makes a call until it succeeds or fails for good.
+/// Repeats a call until it succeeds or fails with an error that is not transient.
 ///
 /// # Errors
-/// The call's own, if it is neither an interruption nor want of memory.
-pub async fn again<T, F: Future<Output = io::Result<T>>>(mut call: impl FnMut() -> F) -> io::Result<T> {
+/// Returns the call's error, unless the call was interrupted or the kernel was out of memory.
+pub async fn retry_transient<T, F: Future<Output = io::Result<T>>>(
+    mut call: impl FnMut() -> F,
+) -> io::Result<T> {
     loop {
         match call().await {
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(error) if is_lack_of_memory(&error) => {
-                Timer::after(LACK_PAUSE).await;
+            Err(error) if is_out_of_memory(&error) => {
+                Timer::after(OUT_OF_MEMORY_RETRY_DELAY).await;
             }
             outcome => return outcome,
         }
     }
 }
 
-/// A connection. Clones are the same connection.
+/// A stream that retries transient errors. Clones share the same connection.
 #[derive(Debug)]
 pub struct Stream<S = TcpStream> {
     inner: S,
-    reading: Pause,
-    writing: Pause,
+    read_delay: RetryDelay,
+    write_delay: RetryDelay,
 }
 
-/// The wait before a call is made again.
+/// The delay before a failed call is retried, while one is running.
 #[derive(Debug, Default)]
-struct Pause(Option<Timer>);
+struct RetryDelay(Option<Timer>);
 
-impl Pause {
-    /// Makes a call until it succeeds, would block, or fails for good.
-    fn call<S: Unpin, T>(
+impl RetryDelay {
+    /// Polls a call until it succeeds, would block, or fails with an error that is not transient.
+    fn poll_with_retry<S: Unpin, T>(
         &mut self,
         inner: &mut S,
         context: &mut Context<'_>,
@@ -97,7 +102,9 @@
             }
             match ready!(call(Pin::new(inner), context)) {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_lack_of_memory(&error) => self.0 = Some(Timer::after(LACK_PAUSE)),
+                Err(error) if is_out_of_memory(&error) => {
+                    self.0 = Some(Timer::after(OUT_OF_MEMORY_RETRY_DELAY))
+                }
                 outcome => return Poll::Ready(outcome),
             }
         }
@@ -106,7 +113,7 @@
 
 impl<S> From<S> for Stream<S> {
     fn from(inner: S) -> Self {
-        Stream { inner, reading: Pause::default(), writing: Pause::default() }
+        Stream { inner, read_delay: RetryDelay::default(), write_delay: RetryDelay::default() }
     }
 }
 
@@ -117,45 +124,45 @@
 }
 
 impl Stream {
-    /// Connects.
+    /// Connects to an address and disables Nagle's algorithm.
     ///
     /// # Errors
-    /// If that fails; see [`Fault::of`].
+    /// Returns the connection error; [`SocketErrorKind::of`] classifies it.
     pub async fn connect(to: SocketAddr) -> io::Result<Self> {
         let inner = TcpStream::connect(to).await?;
-        // What the system holds back goes with a connection that is reset.
+        // Bytes that Nagle's algorithm holds back are lost if the connection is reset.
         inner.set_nodelay(true)?;
         Ok(inner.into())
     }
 
-    /// Has what is written sent at once.
+    /// Disables Nagle's algorithm, so that written data is sent at once.
     ///
     /// # Errors
-    /// If the connection is gone.
+    /// Returns an error if the connection is closed.
     pub fn set_nodelay(&self) -> io::Result<()> {
         self.inner.set_nodelay(true)
     }
 
-    /// Looks at what would be read next, and leaves it unread.
+    /// Reads the next bytes without consuming them.
     ///
     /// # Errors
-    /// If the connection has broken.
+    /// Returns an error if the connection is broken.
     pub async fn peek(&self, bytes: &mut [u8]) -> io::Result<usize> {
         loop {
             match self.inner.peek(bytes).await {
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                Err(error) if is_lack_of_memory(&error) => {
-                    Timer::after(LACK_PAUSE).await;
+                Err(error) if is_out_of_memory(&error) => {
+                    Timer::after(OUT_OF_MEMORY_RETRY_DELAY).await;
                 }
                 outcome => return outcome,
             }
         }
     }
 
-    /// Ends this side, or both.
+    /// Shuts down one or both directions of the connection.
     ///
     /// # Errors
-    /// If the connection is gone.
+    /// Returns an error if the connection is closed.
     pub fn shutdown(&self, side: Shutdown) -> io::Result<()> {
         self.inner.shutdown(side)
     }
@@ -167,8 +174,8 @@
         context: &mut Context<'_>,
         bytes: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        let Stream { inner, reading, .. } = &mut *self;
-        reading.call(inner, context, |inner, context| inner.poll_read(context, bytes))
+        let Stream { inner, read_delay, .. } = &mut *self;
+        read_delay.poll_with_retry(inner, context, |inner, context| inner.poll_read(context, bytes))
     }
 }
 
@@ -178,13 +185,13 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let Stream { inner, writing, .. } = &mut *self;
-        writing.call(inner, context, |inner, context| inner.poll_write(context, bytes))
+        let Stream { inner, write_delay, .. } = &mut *self;
+        write_delay.poll_with_retry(inner, context, |inner, context| inner.poll_write(context, bytes))
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let Stream { inner, writing, .. } = &mut *self;
-        writing.call(inner, context, |inner, context| inner.poll_flush(context))
+        let Stream { inner, write_delay, .. } = &mut *self;
+        write_delay.poll_with_retry(inner, context, |inner, context| inner.poll_flush(context))
     }
 
     fn poll_close(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -11,10 +11,10 @@
 use crate::core::drive::Driver;
 use crate::counters;
 use crate::handover::{Message, PeerSender};
-use crate::http::door::Door;
-use crate::http::inbox::Arrived;
+use crate::http::client_gate::ClientGate;
+use crate::http::inbox::ReceivedRequest;
 use crate::http::parse::{self, Bad};
-use crate::http::server::{Handler, Limits, Local, Refused, Server};
+use crate::http::server::{Handler, Limits, LocalBoxFuture, RefusalReason, Server};
 use crate::http::target::Target;
 use crate::http::write::Response;
 use crate::log;
@@ -28,15 +28,15 @@
 /// Handles operators' calls.
 pub struct OperatorApi {
     driver: Rc<Driver>,
-    door: Rc<Door>,
+    client_gate: Rc<ClientGate>,
     peer: Rc<PeerSender>,
 }
 
 impl OperatorApi {
     /// Creates a handler that acts on `driver` and `door`, and forwards manual drains over `peer` to the other process
     /// during a handover.
-    pub fn new(driver: Rc<Driver>, door: Rc<Door>, peer: Rc<PeerSender>) -> Self {
-        OperatorApi { driver, door, peer }
+    pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>, peer: Rc<PeerSender>) -> Self {
+        OperatorApi { driver, client_gate, peer }
     }
 
     /// Accepts and answers calls on `listener`.
@@ -119,7 +119,7 @@
 
     /// Shuts clients out or lets them in again.
     fn set_shut(&self, shut: bool, status: &str) -> Response {
-        if !self.door.by_hand(shut) {
+        if !self.client_gate.set_closed_by_operator(shut) {
             return Response::text(409, "this process is shutting down or has handed over");
         }
         log::line(&format!("operator: {status}"));
@@ -136,7 +136,7 @@
 }
 
 impl Handler for OperatorApi {
-    fn handle(&self, request: Arrived, _: Receiver<Instant>) -> Local<Response> {
+    fn handle(&self, request: ReceivedRequest, _: Receiver<Instant>) -> LocalBoxFuture<Response> {
         let request = request.message;
         let (method, target) = (&request.start.0, &request.start.1);
         if method == "PUT" {
@@ -146,16 +146,16 @@
         Box::pin(async move { response })
     }
 
-    fn bad(&self, bad: Bad) -> Response {
+    fn error_response(&self, bad: MessageError) -> Response {
         Response::text(bad.status(), &bad.to_string())
     }
 
     /// Returns no time-out, as all calls are answered immediately.
-    fn waits(&self, _: &parse::Message) -> Option<Duration> {
+    fn client_timeout(&self, _: &parse::Message) -> Option<Duration> {
         None
     }
 
-    fn refuse(&self, why: Refused) -> Response {
+    fn refuse(&self, why: RefusalReason) -> Response {
         Response::text(503, why.text())
     }
 }
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -15,10 +15,10 @@
 
 use crate::config::Config;
 use crate::handover::{self, new, old, PeerSender};
-use crate::http::server::KEEP_IDLE;
+use crate::http::server::IDLE_GRACE;
 use crate::log;
 use crate::operator::OperatorApi;
-use crate::transport::span;
+use crate::transport::duration_from_millis;
 use program::Program;
 use signals::Told;
 
@@ -59,7 +59,7 @@
         if let Ok(at) = listener.local_addr() {
             log::line(&format!("operators call {at}"));
         }
-        let operator = OperatorApi::new(program.driver.clone(), program.door.clone(), wire);
+        let operator = OperatorApi::new(program.driver.clone(), program.client_gate.clone(), wire);
         executor.spawn(operator.serve(executor.clone(), listener)).detach();
     }
     if let Some(at) = program.address() {
@@ -74,8 +74,8 @@
     until_told_to_end(&mut signals, attend).await;
     // Planned end: go on accepting, answer everything, then leave.
     log::line("draining");
-    program.door.leave();
-    let left = span(program.driver.longest_deadline()).min(MOST_COUNTED) + LAST_WAIT;
+    program.client_gate.shut_down();
+    let left = duration_from_millis(program.driver.longest_deadline()).min(MOST_COUNTED) + LAST_WAIT;
     let end = Instant::now() + left;
     // Whatever is taken, now or later, is answered before.
     program.driver.end_by(left - LAST_WRITE);
@@ -86,7 +86,7 @@
     };
     executor.spawn(stop_reading).detach();
     let drained = async {
-        Timer::after(KEEP_IDLE + KEEP_ACCEPTING).await;
+        Timer::after(IDLE_GRACE + KEEP_ACCEPTING).await;
         program.close().await;
         while !program.is_done() {
             Timer::after(LOOK_EVERY).await;
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -25,7 +25,7 @@
 use crate::front::opensearch::OpenSearch;
 use crate::front::platform::Platform;
 use crate::handover::{HandoverState, HeldResources, Process};
-use crate::http::door::Door;
+use crate::http::client_gate::ClientGate;
 use crate::http::server::{Handler, Limits, Server};
 use crate::log;
 use crate::settings::SiteSettings;
@@ -33,8 +33,8 @@
 use crate::store::{self, Store};
 use crate::trace::control::Control;
 use crate::transport;
-use crate::transport::frames::Frames;
-use crate::transport::opensearch::Searches;
+use crate::transport::frames::FrameTransport;
+use crate::transport::opensearch::SearchTransport;
 
 /// How long a start waits for the peers of the store.
 const PEERS_WAIT: Duration = Duration::from_millis(2000);
@@ -51,7 +51,7 @@
     executor: Rc<LocalExecutor<'static>>,
     pub(super) driver: Rc<Driver>,
     pub(super) server: Rc<Server>,
-    pub(super) door: Rc<Door>,
+    pub(super) client_gate: Rc<ClientGate>,
     pub(super) reloads: Reloads,
     /// The clients' socket, until the end; and the store's.
     listener: RefCell<Option<TcpListener>>,
@@ -101,10 +101,10 @@
                 driver.record(true).map_err(|why| format!("key trace.dir: {why}"))?;
             }
         }
-        let limits = transport::Limits::of(&site, config.run_store_connections(0));
+        let limits = transport::Limits::from_settings(&site, config.run_store_connections(0));
         let stores: Rc<dyn RunStores> = match config.api {
-            Api::Platform => Rc::new(Frames::new(driver.clone(), limits)),
-            Api::Opensearch => Rc::new(Searches::new(driver.clone(), limits)),
+            Api::Platform => Rc::new(FrameTransport::new(driver.clone(), limits)),
+            Api::Opensearch => Rc::new(SearchTransport::new(driver.clone(), limits)),
         };
         let (known, version) = known_list(&config, state.as_ref(), store.as_ref().map(|(store, _)| &**store));
         let (listing, reload) = directory(&config, version, &driver)?;
@@ -114,14 +114,14 @@
         if let Some((store, _)) = &store {
             executor.spawn(keep_directory(store.clone(), driver.clone())).detach();
         }
-        let door = Rc::new(Door::default());
-        door.by_hand(state.as_ref().is_some_and(|state| state.shut_by_operator));
+        let client_gate = Rc::new(ClientGate::default());
+        client_gate.set_closed_by_operator(state.as_ref().is_some_and(|state| state.shut_by_operator));
         let front: Box<dyn Handler> = match config.api {
-            Api::Platform => Box::new(Platform::new(driver.clone(), door.clone())),
-            Api::Opensearch => Box::new(OpenSearch::new(driver.clone(), door.clone())),
+            Api::Platform => Box::new(Platform::new(driver.clone(), client_gate.clone())),
+            Api::Opensearch => Box::new(OpenSearch::new(driver.clone(), client_gate.clone())),
         };
         let limits = Limits::for_connections(config.client_connections(0));
-        let server = Server::new("client", executor.clone(), front, limits, door.clone());
+        let server = Server::new("client", executor.clone(), front, limits, client_gate.clone());
         executor.spawn(server.clone().drain()).detach();
         let copy = store.as_ref().map(|(store, _)| store.clone());
         let reloads = Reloads::new(path.into(), config.clone(), driver.clone(), reload, copy);
@@ -130,7 +130,7 @@
             executor,
             driver,
             server,
-            door,
+            client_gate,
             reloads,
             listener: RefCell::new(Some(listener)),
             store,
@@ -159,7 +159,7 @@
         let (accepting, listener) = (self.accepting.take(), self.listener.take());
         if let (Some(accepting), Some(listener)) = (accepting, listener) {
             drop(accepting);
-            self.server.accept_rest(&listener).await;
+            self.server.accept_queued(&listener).await;
         }
     }
 
@@ -180,7 +180,7 @@
 
     /// Whether nothing is left that a client waits for.
     pub fn is_done(&self) -> bool {
-        self.driver.open_queries() == 0 && self.server.open() == 0
+        self.driver.open_queries() == 0 && self.server.open_connections() == 0
     }
 }
 
@@ -204,7 +204,7 @@
             discovery: self.reloads.discovery(),
             takeover_state: self.driver.takeover_state(),
             now: Some(self.driver.now()),
-            shut_by_operator: self.door.is_shut_by_hand(),
+            shut_by_operator: self.client_gate.is_closed_by_operator(),
             recording: self.driver.recording().map(Control::is_on),
             entries: self.store.as_ref().map(|(store, _)| store.entries()).unwrap_or_default(),
             held: self.held(),
@@ -212,19 +212,19 @@
     }
 
     fn held(&self) -> HeldResources {
-        let descriptors = OTHER_DESCRIPTORS + self.server.open() + self.driver.connections();
+        let descriptors = OTHER_DESCRIPTORS + self.server.open_connections() + self.driver.connections();
         HeldResources { open: self.driver.held(), descriptors }
     }
 
     fn stop_accepting(&self) {
         drop(self.accepting.take());
-        self.door.hand_over(true);
+        self.client_gate.set_handed_over(true);
     }
 
     fn resume_accepting(&self) {
-        if !self.door.is_leaving() {
+        if !self.client_gate.is_shutting_down() {
             log::line("handover: the new process is gone, this one serves again");
-            self.door.hand_over(false);
+            self.client_gate.set_handed_over(false);
             self.accept();
         }
     }
@@ -235,7 +235,7 @@
 
     fn reserve_for_peer(&self, held: Option<HeldResources>) {
         let HeldResources { open, descriptors } = held.unwrap_or_default();
-        self.server.set_room(self.config.client_connections(descriptors));
+        self.server.set_max_connections(self.config.client_connections(descriptors));
         self.driver.leave_room(open, self.config.run_store_connections(descriptors));
     }
 }
