--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -1,4 +1,4 @@
-//! Stage 2, admit: what the limit on held queries and parts has room for goes to the router.
+//! Stage 2, admit: passes a query on to the router, unless the limit on open queries and parts is reached.
 
 use super::ledger::{Ledger, Part, Query};
 use super::{Command, Core, FinalAnswer, QueryNo, QueryRequest};
@@ -13,8 +13,8 @@
         deadline: Millis,
         ask: QueryRequest,
     ) {
-        // At the limit a query is turned away before the router hears of it, so that what is held
-        // stays bounded whatever comes in. Nothing of it has run: a refusal is safe.
+        // At the limit a query is refused before the router sees it, so that the memory held stays bounded
+        // under any load. None of its parts has run, so a refusal is safe.
         let late = deadline <= now;
         if self.ledger.open() + self.held_elsewhere >= self.max_open || late {
             self.counters.turned_away += 1;
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -1,4 +1,4 @@
-//! Stage 6, book: a query gets its one final answer, under the guards that the rules need, and is closed.
+//! Stage 6, book: gives a query its final answer, enforces the rules on answers, and removes the query.
 
 use super::ledger::{Ledger, Query};
 use super::{Command, Core, FinalAnswer, QueryNo};
@@ -6,12 +6,12 @@
 use crate::hash::draw;
 use ironpaddle_trace::record::How;
 
-/// Sums of weights may fall short by this much.
+/// Tolerance for rounding when a sum of weights is compared with a limit.
 const SHARE_SLACK: f64 = 0.0001;
-/// Aims in which half of what this core turned away by itself is forgotten.
+/// Half-life of the refusals that the retry advice is based on, as a multiple of the class's aim.
 const FORGET_AIMS: f64 = 4.0;
 
-/// The log tells of each cause once in so many milliseconds; the figures count all.
+/// Minimum interval in milliseconds between two log lines for the same cause; the counters count every query.
 const SAY_CAUSE: Millis = 10_000.0;
 
 impl Core {
@@ -20,8 +20,8 @@
         let Some(query) = self.ledger.queries.get(&no) else { return };
         let class = &self.classes.at(query.class).class;
         let (answers, share) = self.ledger.answers(query);
-        // Guards the rule on honest answers, whatever was asked for: never under the least share, never
-        // marked whole unless it is.
+        // Enforces the rule on honest answers, independently of the router's request: an answer never has
+        // less than the least share, and is marked whole only if it is.
         let whole = whole && share + SHARE_SLACK >= class.whole_from;
         let enough = !answers.is_empty() && share + SHARE_SLACK >= class.least_share;
         let parts = query.parts.len();
@@ -34,7 +34,7 @@
         }
     }
 
-    /// How long a client should stay away whose query this core ends by itself.
+    /// Returns the retry advice for a query that this core itself ends.
     pub(super) fn advice(&mut self, now: Millis, class: usize) -> Millis {
         let aim = self.classes.at(class).class.aim;
         let half = aim * FORGET_AIMS;
@@ -42,13 +42,13 @@
         self.advice.wait(aim, self.settings.max_retry_after, (now, half), draw(&mut self.chance))
     }
 
-    /// A query went on to the router.
+    /// Records that a query was admitted, for the retry advice.
     pub(super) fn taken_up(&mut self, now: Millis, class: usize) {
         let half = self.classes.at(class).class.aim * FORGET_AIMS;
         self.advice.note(false, now, half);
     }
 
-    /// A failure; only clients of what is safe to repeat are asked back.
+    /// Returns a failure. Retry advice is given only for classes that are safe to repeat.
     fn failed(&mut self, now: Millis, class: usize, cause: Cause) -> FinalAnswer {
         let safe = self.classes.at(class).class.repeat == RepeatPolicy::Safe;
         FinalAnswer::Failed { retry_after: if safe { self.advice(now, class) } else { 0.0 }, cause }
@@ -64,7 +64,7 @@
         let Some(query) = self.ledger.queries.get(&no) else { return };
         let class = query.class;
         let unsafe_class = self.classes.at(class).class.repeat == RepeatPolicy::Unsafe;
-        // A refusal says that trying again is harmless: never where an unsafe part may have run.
+        // A refusal means that a retry is safe, which it is not if a part of an unsafe class may have run.
         let verdict = match verdict {
             FinalAnswer::Refused { cause, .. } if unsafe_class && self.ledger.may_have_run(query) => {
                 self.failed(now, class, cause)
@@ -80,7 +80,7 @@
         self.commands.push_back(Command::Answer { query: no, answer: verdict });
     }
 
-    /// Tells people of a cause, once in a while for each.
+    /// Logs the cause of a query without an answer, at most once per [`CAUSE_LOG_INTERVAL`] for each cause.
     pub(super) fn say_cause(&mut self, now: Millis, class: usize, cause: Cause) {
         let said = self.said.get(cause.code()).copied();
         if said.is_none_or(|at| now - at >= SAY_CAUSE) {
@@ -105,7 +105,7 @@
         Some(query)
     }
 
-    /// The client has left: the router is told, and nothing is owed any more.
+    /// Removes a query whose client has left, and informs the router.
     pub fn client_gone(&mut self, now: Millis, no: QueryNo) {
         self.trace_verdict(now, no, How::Left, None);
         if self.forget(now, no).is_some() {
@@ -114,11 +114,13 @@
         }
     }
 
-    /// Guards the rule on lost queries: what the router still holds when the client's time is up, or the process's, is
-    /// answered from what is in, or else fails. Whoever could wait longer is asked back where that is harmless.
+    /// Enforces the rule on lost queries: a query that is still open when its client's or the process's time
+    /// is up gets a partial answer from the received parts if that is allowed, and fails otherwise. If only
+    /// the process's time is up and a retry is safe, it is refused with retry advice, as its client could
+    /// wait longer.
     pub(super) fn end_overdue(&mut self, now: Millis) {
         let overdue = self.ledger.deadlines.overdue(now);
-        // The router is late itself, and cannot say why any more.
+        // The router itself is late and cannot give a cause any more.
         let cause = if self.ledger.run_stores.is_empty() { Cause::NoList } else { Cause::Overdue };
         for no in overdue {
             let query = &self.ledger.queries[&no];
--- a/src/core/classes.rs
+++ b/src/core/classes.rs
@@ -1,5 +1,5 @@
-//! The classes by their places. A place stays what it is for as long as queries of it are held, whatever other
-//! settings say meanwhile.
+//! The classes by index. An index keeps its class as long as queries of that class are open, even if other
+//! settings are applied in the meantime.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,29 +7,30 @@
 use crate::api::{Class, Millis};
 use crate::settings::SiteSettings;
 
-/// What a class is.
+/// A class of queries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Kind {
-    /// Its name.
+    /// The name of the class.
     pub name: Arc<str>,
     /// How long clients wait for an answer.
     pub deadline: Millis,
-    /// The router's view.
+    /// The class as the router sees it.
     pub class: Class,
 }
 
-/// The classes.
+/// All classes by index, and the indexes of those in the current settings.
 #[derive(Debug, Default)]
 pub struct Classes {
     places: Vec<Kind>,
-    /// The places of those that may be asked for.
+    /// The indexes of the classes in the current settings.
     names: BTreeMap<Arc<str>, usize>,
 }
 
 impl Classes {
-    /// Takes the classes of some settings. One that was there already keeps its place; another gets the one that
-    /// its name had, or any that is not held, or a new one. A place that is neither held nor needed becomes like one that is needed, so
-    /// that a class that is gone has no bearing on anything.
+    /// Applies the classes of the settings. An unchanged class keeps its index; a new or changed class gets
+    /// the index that its name had, or any unused index, or a new one. An index that is neither in use nor
+    /// needed gets a copy of the first class of the settings, so that a removed class has no influence on
+    /// anything.
     pub fn take(&mut self, site: &SiteSettings, held: impl Fn(usize) -> bool) {
         let told = site.router_settings().classes;
         let kinds: Vec<Kind> = site
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Places in the order of another process, as what it learned goes by them. None of them is held.
+    /// Restores the order of another process's classes, as the state that its router has learned refers to
+    /// their indexes. No index is in use yet.
     pub fn in_order(&mut self, names: &[String], site: &SiteSettings) {
         *self = Classes::default();
         self.take(site, |_| false);
@@ -81,32 +83,32 @@
         self.take(site, |_| false);
     }
 
-    /// The names by place, also of classes that may not be asked for.
+    /// Returns the names by index, including classes that are no longer in the settings.
     pub fn order(&self) -> Vec<String> {
         self.places.iter().map(|kind| kind.name.to_string()).collect()
     }
 
-    /// The place of a class that may be asked for.
+    /// Returns the index of a class in the current settings.
     pub fn named(&self, name: &str) -> Option<usize> {
         self.names.get(name).copied()
     }
 
-    /// The names that may be asked for.
+    /// Returns the names of the classes in the current settings.
     pub fn names(&self) -> impl Iterator<Item = &Arc<str>> {
         self.names.keys()
     }
 
-    /// What stands at a place.
+    /// Returns the class at an index.
     pub fn at(&self, place: usize) -> &Kind {
         &self.places[place]
     }
 
-    /// All places, as the router knows them.
+    /// Returns the classes of all indexes in the router's form.
     pub fn for_router(&self) -> Vec<Class> {
         self.places.iter().map(|kind| kind.class.clone()).collect()
     }
 
-    /// The longest time that any query may take.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Millis {
         self.places.iter().map(|kind| kind.deadline).fold(0.0, f64::max)
     }
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -1,5 +1,5 @@
-//! Drives a [`Core`] in real time: clock, step spacing, a timer for each wait, and the hand-over of
-//! orders to the outside world.
+//! Drives a [`Core`] in real time: provides its clock, spaces its steps, runs its timers, and passes its
+//! commands to transports, directories and fronts.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::HashMap;
@@ -22,50 +22,53 @@
 use crate::settings::SiteSettings;
 use crate::trace::control::Control;
 
-/// A transport to run stores. What it is told takes effect at once; it reports ends to the [`Driver`].
+/// A transport to run stores. Its methods take effect at once; ends of calls and probes are reported to the
+/// [`Driver`].
 pub trait RunStores {
-    /// Starts an attempt. It ends by one [`Driver::call_ended`], unless it is given up.
+    /// Starts an attempt. The transport reports its end by one [`Driver::call_ended`], unless it is
+    /// abandoned.
     fn send(&self, call: Call);
-    /// Gives up an attempt. Either its end is booked and nothing more is reported of it, or it is to be proved that the
-    /// attempt is over: it then ends by one [`Driver::call_ended`] once its run store has read that it was given up, has
-    /// answered it, has ended its connection, or can never have had it whole. That may never be; the core then gives it
-    /// up once more, with its end booked.
+    /// Abandons an attempt. Without `await_proof` its end is already recorded, and the transport reports
+    /// nothing more of it. With `await_proof` the transport reports its end by one [`Driver::call_ended`] as
+    /// soon as it is proved to be over: its run store has read the cancellation, has answered it, has closed
+    /// its connection, or can never have received the whole request. That may never happen; the core then
+    /// abandons the attempt once more, without `await_proof`.
     fn give_up(&self, replica: &ReplicaId, no: CallNo, await_proof: bool);
-    /// Starts a probe. It ends by one [`Driver::probe_ended`] or by its time.
+    /// Starts a probe. It ends by one [`Driver::probe_ended`] or by its timeout.
     fn probe(&self, replica: &ReplicaId, no: CallNo);
-    /// The time of a probe is over.
+    /// Informs the transport that a probe has timed out.
     fn probe_timed_out(&self, replica: &ReplicaId, no: CallNo);
-    /// Closes connections that carry nothing.
+    /// Closes the idle connections to a run store.
     fn close_idle(&self, replica: &ReplicaId);
-    /// Starts nothing new at a run store, queued attempts included.
+    /// Stops sending to a run store, including queued attempts.
     fn retire(&self, replica: &ReplicaId);
-    /// A run store listens here; an earlier process of its name is no more.
+    /// Sets the address of a run store; an earlier process of the same name no longer exists.
     fn locate(&self, replica: &ReplicaId, address: std::net::SocketAddr, started: Option<Millis>);
-    /// The number of run stores of which anything is kept.
+    /// Returns the number of run stores that the transport keeps any state of.
     fn places(&self) -> usize;
-    /// The number of connections.
+    /// Returns the number of open connections.
     fn open(&self) -> usize;
-    /// There may be so many connections from now on.
+    /// Sets the maximum number of connections.
     fn room(&self, connections: usize);
-    /// Takes up other settings.
+    /// Applies new settings.
     fn apply_settings(&self, site: &SiteSettings);
 }
 
 /// A directory of run stores.
 pub trait Directory {
-    /// Starts the watch unless it is on. News go to [`Driver::apply_directory_update`].
+    /// Starts the watch unless it is running. Updates are passed to [`Driver::apply_directory_update`].
     fn watch(&self);
-    /// The version of the list that was told last, if lists have versions here.
+    /// Returns the version of the latest list, if lists of this directory have versions.
     fn version(&self) -> Option<u64> {
         None
     }
 }
 
-/// A core with its clock and its neighbours.
+/// A core with its clock, timers, transport and directory.
 pub struct Driver {
     core: RefCell<Core>,
     executor: Rc<LocalExecutor<'static>>,
-    /// The clock's origin, as Unix time and as an instant: from there on it only runs forward.
+    /// The clock's origin, as Unix time and as an instant; from there on the clock is monotonic.
     origin: (Millis, Instant),
     signal: (Sender<()>, Receiver<()>),
     waiting: RefCell<HashMap<QueryNo, Waiting>>,
@@ -75,13 +78,13 @@
     recording: OnceCell<Control>,
 }
 
-/// No wait is longer than this, in seconds.
+/// Longest wait in seconds; longer ones are capped.
 const MOST_WAIT_S: f64 = 1e9;
 
-/// Where a query's verdict goes, and the timer of its deadline.
+/// The channel for a query's final answer, and the timer of its deadline.
 type Waiting = (Sender<FinalAnswer>, Task<()>);
 
-/// A query that was taken. Dropped before its verdict, it counts as left by its client.
+/// An accepted query. If it is dropped before its final answer, its client counts as gone.
 pub struct Pending {
     driver: Rc<Driver>,
     no: QueryNo,
@@ -89,13 +92,13 @@
 }
 
 impl Driver {
-    /// A driver for a core; [`Driver::connect`] completes it.
+    /// Returns a driver for a core; [`Driver::connect`] completes it.
     pub fn new(core: Core, executor: Rc<LocalExecutor<'static>>) -> Rc<Self> {
         Driver::going_on_from(core, executor, wall_clock())
     }
 
-    /// The same, with the clock of a process from which this one takes over, which shows a time just now. Times that
-    /// are handed over mean the same to both, however the wall clock was stepped.
+    /// Returns a driver whose clock continues that of the process that it takes over from, which shows `now`.
+    /// Times in the handover thus mean the same to both processes, even if the wall clock is stepped.
     pub fn going_on_from(core: Core, executor: Rc<LocalExecutor<'static>>, now: Millis) -> Rc<Self> {
         Rc::new(Driver {
             core: RefCell::new(core),
@@ -110,39 +113,40 @@
         })
     }
 
-    /// Names the neighbours. Only the first call counts.
+    /// Sets the transport and the directory. Only the first call has an effect.
     pub fn connect(&self, stores: Rc<dyn RunStores>, directory: Rc<dyn Directory>) {
         let _ = self.stores.set(stores);
         let _ = self.directory.set(directory);
     }
 
-    /// The executor that everything runs on.
+    /// Returns the executor that all tasks run on.
     pub fn executor(&self) -> &Rc<LocalExecutor<'static>> {
         &self.executor
     }
 
-    /// The time now, in milliseconds since the Unix epoch; it only runs forward.
+    /// Returns the current time in milliseconds since the Unix epoch; it is monotonic.
     pub fn now(&self) -> Millis {
         since(self.origin)
     }
 
-    /// A point of the clock as an instant, for timers.
+    /// Converts a time of this clock to an instant, for timers.
     pub fn instant(&self, at: Millis) -> Instant {
         self.origin.1 + Duration::from_secs_f64(((at - self.origin.0) / 1000.0).clamp(0.0, MOST_WAIT_S))
     }
 
-    /// Changes what is counted.
+    /// Updates the counters.
     pub fn count(&self, change: impl FnOnce(&mut Counters)) {
         change(&mut self.core.borrow_mut().counters);
     }
 
-    /// A request of a class was answered with an error before it became a query.
+    /// Records a request that was answered with an error before it became a query.
     pub fn not_taken(&self, class: &str) {
         let now = self.now();
         self.core.borrow_mut().not_taken(now, class);
     }
 
-    /// The bytes of an attempt: the first was written at some time, and the last just now, if it was.
+    /// Records in the trace that the first byte of an attempt was written at `begun` or, if `written`, that
+    /// the last byte has just been written.
     pub fn progress(&self, call: &Call, begun: Millis, written: bool) {
         if self.recording.get().is_some() {
             let now = self.now();
@@ -152,20 +156,20 @@
         }
     }
 
-    /// Puts in the switch of the recording. Only the first call counts.
+    /// Sets the control of trace recording. Only the first call has an effect.
     pub fn set_recording(&self, control: Control) {
         let _ = self.recording.set(control);
     }
 
-    /// The switch of the recording, if there is one.
+    /// Returns the control of trace recording, if tracing is configured.
     pub fn recording(&self) -> Option<&Control> {
         self.recording.get()
     }
 
-    /// Switches the recording on or off, if there is one.
+    /// Switches trace recording on or off, if tracing is configured.
     ///
     /// # Errors
-    /// If it cannot be switched on.
+    /// Returns a message if recording cannot be started.
     pub fn record(&self, on: bool) -> Result<(), String> {
         let Some(control) = self.recording.get() else { return Ok(()) };
         let (origin, now) = (self.origin, self.now());
@@ -177,14 +181,14 @@
         Ok(())
     }
 
-    /// Has the recording begin another segment.
+    /// Begins a new segment of the trace.
     pub fn rotate(&self) {
         if let Some(control) = self.recording.get() {
             control.rotate(&mut self.core.borrow_mut());
         }
     }
 
-    /// An operator has called.
+    /// Records an operator's call in the trace.
     pub fn note_call(&self, call: &str) {
         let now = self.now();
         if let Some(trace_writer) = self.core.borrow_mut().trace_writer() {
@@ -192,54 +196,54 @@
         }
     }
 
-    /// The counts so far.
+    /// Returns the counters.
     pub fn counters(&self) -> Counters {
         let core = self.core.borrow();
         let places = self.stores.get().map_or(0, |stores| stores.places());
         Counters { run_stores: core.run_stores(), places, ..core.counters.clone() }
     }
 
-    /// What is so just now.
+    /// Returns the gauges.
     pub fn gauges(&self) -> Gauges {
         self.core.borrow().gauges()
     }
 
-    /// The number of queries that are owed an answer.
+    /// Returns the number of queries that wait for their final answer.
     pub fn open_queries(&self) -> usize {
         self.waiting.borrow().len()
     }
 
-    /// Takes a run store out by hand, or brings it back; `false` if no such was ever listed. From the return on
-    /// nothing more is begun there.
+    /// Drains a run store manually, or restores it. Returns `false` if it was never listed. Once this
+    /// returns, no call is started at a drained run store.
     pub fn set_manual_drain(self: &Rc<Self>, now: Millis, id: &ReplicaId, out: bool) -> bool {
         let known = self.core.borrow_mut().set_manual_drain(now, id, out);
         self.run_commands();
         known
     }
 
-    /// The same, as another process of this aggregator was told at some time.
+    /// Applies a manual drain or restore that another process of this aggregator accepted at `at`.
     pub fn apply_manual_drain(self: &Rc<Self>, at: Millis, id: &ReplicaId, out: bool) {
         self.core.borrow_mut().apply_manual_drain(at, id, out);
         self.run_commands();
     }
 
-    /// What a process that takes over is to know.
+    /// Returns the state for the process that takes over.
     pub fn takeover_state(&self) -> TakeoverState {
         self.core.borrow().takeover_state()
     }
 
-    /// Queries and parts that are held.
+    /// Returns the number of open queries plus their parts without an answer.
     pub fn held(&self) -> usize {
         self.core.borrow().held()
     }
 
-    /// Connections to run stores.
+    /// Returns the number of connections to run stores.
     pub fn connections(&self) -> usize {
         self.stores.get().map_or(0, |stores| stores.open())
     }
 
-    /// Leaves room for what another process of this aggregator holds: queries and parts, and by that only so
-    /// many connections to run stores here.
+    /// Sets the number of queries and parts that another process of this aggregator holds, and the number of
+    /// run-store connections that remain for this process.
     pub fn leave_room(&self, held: usize, connections: usize) {
         self.core.borrow_mut().leave_room(held);
         if let Some(stores) = self.stores.get() {
@@ -247,20 +251,20 @@
         }
     }
 
-    /// The number of run stores that are listed.
+    /// Returns the number of listed run stores.
     pub fn run_stores(&self) -> usize {
         self.core.borrow().run_stores()
     }
 
-    /// The version of the list, where its directory has one.
+    /// Returns the version of the list, if the directory has versions.
     pub fn version(&self) -> Option<u64> {
         self.directory.get()?.version()
     }
 
-    /// Takes up other settings, here and in the transport.
+    /// Applies new settings to the core and the transport.
     ///
     /// # Errors
-    /// Says which setting contradicts itself; then nothing is changed.
+    /// Returns a message that names the inconsistent setting; nothing is changed then.
     pub fn apply_settings(&self, site: &SiteSettings) -> Result<(), String> {
         self.core.borrow_mut().apply_settings(site)?;
         if let Some(stores) = self.stores.get() {
@@ -270,35 +274,35 @@
         Ok(())
     }
 
-    /// The longest time that any query may take.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Millis {
         self.core.borrow().longest_deadline()
     }
 
-    /// The process ends after so long: no query, held or still to come, is waited for any longer.
+    /// Sets the time left until the process exits. No open or later query is waited for any longer.
     pub fn end_by(self: &Rc<Self>, left: Duration) {
         let at = Instant::now() + left;
         self.core.borrow_mut().end_by(self.now() + millis(left));
         self.wake_at(at).detach();
     }
 
-    /// How long it has been there.
+    /// Returns the time since this driver was created.
     pub fn age(&self) -> Millis {
         self.now() - self.origin.0
     }
 
-    /// Whether queries of a class carry a key.
+    /// Returns whether queries of a class need an idempotency key.
     pub fn is_keyed(&self, class: &str) -> bool {
         self.core.borrow().is_keyed(class)
     }
 
-    /// How long the client of a query waits, if there is such a class.
+    /// Returns how long the client of a query waits, or `None` if there is no such class.
     pub fn wait_of(&self, class: &str, stated: Option<Millis>) -> Option<Duration> {
         let wait = self.core.borrow().wait_of(class, stated)?;
         Some(Duration::from_secs_f64((wait / 1000.0).clamp(0.0, MOST_WAIT_S)))
     }
 
-    /// A query is to end by some time, if that is sooner than its own.
+    /// Moves the deadline of a query forward to `at`, if that is earlier.
     fn end_query_by(self: &Rc<Self>, no: QueryNo, at: Instant) {
         let left = at.saturating_duration_since(Instant::now());
         self.core.borrow_mut().end_query_by(no, self.now() + millis(left));
@@ -308,7 +312,7 @@
         }
     }
 
-    /// A step at some time, unless the task is dropped before.
+    /// Wakes the driver for a step at `at`, unless the task is dropped before.
     fn wake_at(self: &Rc<Self>, at: Instant) -> Task<()> {
         let driver = self.clone();
         self.executor.spawn(async move {
@@ -317,33 +321,33 @@
         })
     }
 
-    /// How many shards there are, if that is known.
+    /// Returns the number of shards, if known.
     pub fn shards(&self) -> Option<u32> {
         self.core.borrow().shards()
     }
 
-    /// The list of run stores as last told.
+    /// Returns the latest list of run stores.
     pub fn directory(&self) -> Vec<super::ListedRunStore> {
         self.core.borrow().directory()
     }
 
-    /// Takes a query.
+    /// Submits a query.
     ///
     /// # Errors
-    /// Says why it was not taken.
+    /// Returns why the query was rejected.
     pub fn ask(self: &Rc<Self>, ask: QueryRequest) -> Result<Pending, InvalidQuery> {
         let now = self.now();
         let wait = self.core.borrow().wait_of(&ask.class, ask.timeout).unwrap_or(0.0) - ask.waited;
         let no = self.core.borrow_mut().take_in(now, ask)?;
         let (sender, verdict) = async_channel::bounded(1);
-        // The query's own timer: the step after it fails whatever is still held.
+        // The timer of the query's deadline: the step after it ends the query if it is still open.
         let timer = self.wake_at(self.instant(now + wait));
         self.waiting.borrow_mut().insert(no, (sender, timer));
         self.run_commands();
         Ok(Pending { driver: self.clone(), no, verdict })
     }
 
-    /// An attempt has ended. Only the first end counts.
+    /// Records the end of an attempt. Only the first end counts.
     pub fn call_ended(&self, no: CallNo, end: CallEnd) {
         self.timers.borrow_mut().remove(&no);
         let now = self.now();
@@ -351,21 +355,21 @@
         self.wake();
     }
 
-    /// A probe has ended. Only the first end counts.
+    /// Records the end of a probe. Only the first end counts.
     pub fn probe_ended(&self, no: CallNo, ok: bool, load: Option<LoadReport>) {
         self.timers.borrow_mut().remove(&no);
         self.core.borrow_mut().probe_ended(no, ok, load);
         self.wake();
     }
 
-    /// News of the list of run stores.
+    /// Applies an update of the list of run stores.
     pub fn apply_directory_update(self: &Rc<Self>, news: DirectoryUpdate) {
         self.note_clock();
         self.core.borrow_mut().apply_directory_update(news);
         self.run_commands();
     }
 
-    /// Steps the core whenever something happened or is due, at most once a tick.
+    /// Steps the core whenever an event or a timer requires it, at most once per tick.
     pub async fn run(self: Rc<Self>) {
         let mut last: Option<Instant> = None;
         loop {
@@ -380,7 +384,7 @@
                 let _ = self.signal.1.recv().await;
             })
             .await;
-            // Events are batched a tick, as on the bench.
+            // Events are batched per tick, as in the simulator.
             let tick = Duration::from_secs_f64(self.core.borrow().tick() / 1000.0);
             if let Some(last) = last.filter(|last| last.elapsed() < tick) {
                 Timer::at(last + tick).await;
@@ -401,7 +405,7 @@
         self.core.borrow_mut().note_clock(now, wall_clock() - now);
     }
 
-    /// Whether something that was told waits for the next step.
+    /// Returns whether events wait for the next step.
     pub fn has_pending_events(&self) -> bool {
         self.core.borrow().has_pending_events()
     }
@@ -412,7 +416,8 @@
 
     fn run_commands(self: &Rc<Self>) {
         loop {
-            // The borrow ends before the order is carried out, as that may report back at once.
+            // The borrow has to end before the command runs, as the command may call back into the core at
+            // once.
             let command = self.core.borrow_mut().next_command();
             let Some(command) = command else { break };
             self.run_command(command);
@@ -472,17 +477,17 @@
     }
 }
 
-/// A span in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn millis(span: Duration) -> Millis {
     span.as_secs_f64() * 1000.0
 }
 
-/// The wall clock, in Unix milliseconds. It may be stepped at any time.
+/// Returns the wall-clock time in Unix milliseconds. The wall clock may be stepped at any time.
 fn wall_clock() -> Millis {
     millis(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
 }
 
-/// The time since an origin of the clock, in Unix milliseconds.
+/// Returns the present time of a clock with this origin, in Unix milliseconds.
 fn since(origin: (Millis, Instant)) -> Millis {
     origin.0 + millis(origin.1.elapsed())
 }
@@ -495,7 +500,7 @@
 }
 
 impl Pending {
-    /// The same, by an earlier time if one is told meanwhile.
+    /// Waits for the final answer. The deadline moves forward to each instant that `sooner` delivers.
     pub async fn verdict_before(&self, sooner: Receiver<Instant>) -> FinalAnswer {
         let end_sooner = async {
             while let Ok(at) = sooner.recv().await {
@@ -508,7 +513,7 @@
 }
 
 impl Drop for Pending {
-    /// A client that left before its answer: the core hears of it, and its parts are called back.
+    /// Reports a client that left before its answer to the core, which cancels the attempts of its query.
     fn drop(&mut self) {
         let held = self.driver.waiting.borrow_mut().remove(&self.no);
         if held.is_some() {
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger of queries, parts and attempts: plain records, kept in step by the stages.
+//! The ledger: records of open queries, parts, attempts, probes and run stores, which the stages keep
+//! consistent.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
@@ -8,73 +9,75 @@
 use crate::api::{Attempt, Millis, Outcome, PartId, QueryId, Replica, ReplicaId};
 use crate::exact::OrderedTime;
 
-/// A query that is owed a final answer.
+/// A query that has not had its final answer.
 #[derive(Debug)]
 pub struct Query {
     /// The client's id.
     pub client_id: String,
-    /// Its class, by its place.
+    /// The index of its class.
     pub class: usize,
-    /// Its group, if the settings name it.
+    /// The name of its tenant group, if the settings contain it.
     pub group: Option<Arc<str>>,
-    /// When it was taken.
+    /// When it was accepted.
     pub taken: Millis,
-    /// When its time is over.
+    /// When the client stops waiting.
     pub deadline: Millis,
-    /// Whether an answer that is not whole is welcome.
+    /// Whether the client accepts a partial answer.
     pub partial: bool,
-    /// Its key, in a keyed class.
+    /// Its idempotency key, in a keyed class.
     pub key: Option<Arc<str>>,
-    /// What each part carries.
+    /// The payload that each part carries.
     pub text: Rc<[u8]>,
-    /// Its parts, by the router's ids.
+    /// The router's ids of its parts.
     pub parts: Vec<PartId>,
 }
 
-/// A part of such a query.
+/// A part of an open query.
 #[derive(Debug)]
 pub struct Part {
-    /// Its query.
+    /// The number of its query.
     pub query: QueryNo,
     /// Its shard.
     pub shard: u32,
     /// Its share of the answer.
     pub weight: f64,
-    /// Attempts made so far.
+    /// The number of attempts made so far.
     pub attempts: u32,
-    /// Attempts that are still out.
+    /// The number of outstanding attempts.
     pub out: u32,
-    /// Whether an attempt of it may be out of which nothing more is heard: it was made while a part might be out twice.
+    /// Whether an attempt that the core no longer tracks may still be running at a run store: it was made
+    /// while parallel attempts were allowed, and its end need not have been proved.
     pub unproved: bool,
-    /// When the first attempt was sent that has ended and may have run.
+    /// When the first of the attempts that have ended and may have run was sent.
     pub may_have_run: Option<Millis>,
-    /// Its answer, once it is in.
+    /// Its answer, once received.
     pub value: Option<Rc<[u8]>>,
 }
 
 /// An attempt that has not ended.
 #[derive(Debug, Clone)]
 pub struct Out {
-    /// The part, which may be over by now.
+    /// The part, which may no longer be held.
     pub part: PartId,
     /// Its number among the part's attempts.
     pub attempt: Attempt,
-    /// Where it went.
+    /// The run store that it was sent to.
     pub replica: ReplicaId,
     /// When it was sent.
     pub sent: Millis,
-    /// How it is to end for the router, once it is given up and waits for the proof that it is over.
+    /// The outcome to report to the router once the attempt is proved to have ended; set when it is
+    /// abandoned.
     pub given_up: Option<Outcome>,
 }
 
-/// What is known of a run store's place.
+/// What the core knows of a listed run store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunStoreEntry {
-    /// Its line in the list as last told.
+    /// Its line in the latest list.
     pub listed: Replica,
-    /// The line as it holds here, under what operators say.
+    /// The same line after operators' manual drains are applied.
     pub replica: Replica,
-    /// Where it listens, and since when its process runs.
+    /// The address that it listens on and the start time of its process.
     pub at: Option<(std::net::SocketAddr, Option<Millis>)>,
 }
 
@@ -88,14 +91,14 @@
     pub(super) calls: HashMap<(PartId, Attempt), CallNo>,
     pub(super) probes: Probes,
     pub(super) run_stores: BTreeMap<ReplicaId, RunStoreEntry>,
-    /// The deadline of each query, so that a step looks only at those that are over.
+    /// The deadlines of open queries in order, so that a step visits only the overdue ones.
     pub(super) deadlines: Deadlines,
-    /// Parts that are not in.
+    /// The number of parts without an answer.
     pub(super) open_parts: usize,
     last: u64,
 }
 
-/// Probes that are out, and the run stores that they went to.
+/// Outstanding probes, and the run stores that they were sent to.
 #[derive(Debug, Default)]
 pub(super) struct Probes {
     out: HashMap<CallNo, ReplicaId>,
@@ -103,18 +106,18 @@
 }
 
 impl Probes {
-    /// Whether one to a run store is out.
+    /// Returns whether a probe of a run store is outstanding.
     pub(super) fn is_out(&self, replica: &ReplicaId) -> bool {
         self.probed.contains(replica)
     }
 
-    /// One goes out to a run store to which none is out.
+    /// Adds a probe of a run store that has no outstanding one.
     pub(super) fn insert(&mut self, no: CallNo, replica: ReplicaId) {
         self.probed.insert(replica.clone());
         self.out.insert(no, replica);
     }
 
-    /// One has ended: where it went, unless it had ended before.
+    /// Removes a probe and returns its run store; `None` if the probe had already ended.
     pub(super) fn remove(&mut self, no: &CallNo) -> Option<ReplicaId> {
         let replica = self.out.remove(no)?;
         self.probed.remove(&replica);
@@ -135,7 +138,7 @@
         self.0.remove(&(OrderedTime(deadline), no));
     }
 
-    /// The queries whose deadline has come, in the order in which they were taken.
+    /// Returns the queries whose deadline has passed, in the order in which they were accepted.
     pub(super) fn overdue(&self, now: Millis) -> Vec<QueryNo> {
         let mut over: Vec<_> =
             self.0.iter().take_while(|(deadline, _)| deadline.0 <= now).map(|(_, no)| *no).collect();
@@ -145,30 +148,31 @@
 }
 
 impl Ledger {
-    /// The next number, of queries, calls and probes alike.
+    /// Returns the next number; queries, calls and probes share one sequence.
     pub(super) fn number(&mut self) -> u64 {
         self.last += 1;
         self.last
     }
 
-    /// Queries held, and parts of theirs that are not in.
+    /// Returns the number of open queries plus their parts without an answer.
     pub fn open(&self) -> usize {
         self.queries.len() + self.open_parts
     }
 
-    /// No query's deadline is later than this from now on.
+    /// Caps the deadlines of all open queries.
     pub(super) fn end_by(&mut self, at: Millis) {
         self.queries.values_mut().for_each(|query| query.deadline = query.deadline.min(at));
         let deadlines = self.queries.iter().map(|(no, query)| (OrderedTime(query.deadline), *no));
         self.deadlines = Deadlines(deadlines.collect());
     }
 
-    /// Parts may be out twice no longer: those that have been sent may be out already, as far as can be proved.
+    /// Stops parallel attempts. Parts that have been sent are marked, as earlier attempts of theirs may still
+    /// be running.
     pub(super) fn forbid_copies(&mut self) {
         self.parts.values_mut().for_each(|part| part.unproved |= part.attempts > 0);
     }
 
-    /// A query's deadline is no later than this from now on.
+    /// Caps the deadline of a query.
     pub(super) fn end_query_by(&mut self, no: QueryNo, at: Millis) {
         if let Some(query) = self.queries.get_mut(&no).filter(|query| at < query.deadline) {
             self.deadlines.remove(no, query.deadline);
@@ -177,7 +181,7 @@
         }
     }
 
-    /// The answers that are in, and their weight.
+    /// Returns the answers received for a query, and the sum of their weights.
     pub(super) fn answers(&self, query: &Query) -> (Vec<PartAnswer>, f64) {
         let mut weight = 0.0;
         let mut answers = Vec::with_capacity(query.parts.len());
@@ -190,13 +194,13 @@
         (answers, weight)
     }
 
-    /// Whether any part of a query may have run or is out.
+    /// Returns whether any part of a query may have run or has an outstanding attempt.
     pub(super) fn may_have_run(&self, query: &Query) -> bool {
         let ran = |part: &Part| part.may_have_run.is_some() || part.out > 0 || part.value.is_some();
         query.parts.iter().filter_map(|id| self.parts.get(id)).any(ran)
     }
 
-    /// The router's id of a query.
+    /// Returns the router's id of a query.
     pub(super) fn query_id(no: QueryNo) -> QueryId {
         QueryId(Arc::from(format!("q{}", no.0)))
     }
--- a/src/core/ledger/tests.rs
+++ b/src/core/ledger/tests.rs
@@ -6,7 +6,7 @@
 use crate::core::{CallEnd, Command, Core, DirectoryUpdate, ListedRunStore, PartRequest, QueryRequest};
 use crate::settings::SiteSettings;
 
-/// Something that may happen to a core; numbers stand for any of what is there.
+/// Something that may happen to a core. A `usize` selects one of the open attempts, probes or queries.
 #[derive(Debug, Clone)]
 enum Happens {
     Ask { parts: u32, timeout: f64, partial: bool },
@@ -78,7 +78,7 @@
     }
 }
 
-/// The place of any of so many.
+/// Returns the element that `which` selects, modulo the number of elements, or `None` if there are none.
 fn any_of<T: Copy + Ord>(mut all: Vec<T>, which: usize) -> Option<T> {
     all.sort_unstable();
     (!all.is_empty()).then(|| all[which % all.len()])
@@ -120,7 +120,7 @@
     }
 }
 
-/// What is kept as it changes equals what a walk over all finds.
+/// Checks that the counts and indexes that are updated incrementally equal those recomputed from all records.
 fn recount(ledger: &Ledger, now: Millis) {
     let open = ledger.parts.values().filter(|part| part.value.is_none()).count();
     assert_eq!(ledger.open(), ledger.queries.len() + open);
@@ -133,7 +133,7 @@
     probed.sort();
     let mut known: Vec<_> = ledger.probes.probed.iter().cloned().collect();
     known.sort();
-    assert_eq!(probed, known, "one probe at a time for each run store");
+    assert_eq!(probed, known, "at most one probe of each run store is outstanding");
 }
 
 proptest! {
@@ -149,11 +149,11 @@
             recount(&core.ledger, now);
             while let Some(command) = core.next_command() {
                 if let Command::Answer { query, .. } = command {
-                    assert!(!core.ledger.queries.contains_key(&query), "it is closed");
+                    assert!(!core.ledger.queries.contains_key(&query), "an answered query is removed");
                 }
             }
         }
-        // Whatever is left ends by its deadline, and nothing is kept of it.
+        // Everything left ends by its deadline, and no record of it remains.
         core.step(now + 1000.0);
         recount(&core.ledger, now + 1000.0);
         assert_eq!(core.ledger.open(), 0);
--- a/src/core/manual_drain.rs
+++ b/src/core/manual_drain.rs
@@ -1,7 +1,8 @@
-//! What operators have said of run stores, laid over what any directory tells.
+//! Manual drains: operators' drain and restore calls for run stores, which override the directory's list.
 //!
-//! One that is out by hand drains, whatever is told of it. One that is back was restarted meanwhile, as far as
-//! anybody knows here: discovery is seconds behind, and may tell of it late or not at all.
+//! A manually drained run store counts as draining, even if the list says that it is active. A restored one
+//! counts as restarted since, as its restart is the usual reason for the drain, and discovery lags by seconds
+//! and may report the restart late or never.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
@@ -10,27 +11,28 @@
 use super::{Core, DirectoryUpdate};
 use crate::api::{Millis, Replica, ReplicaId, ReplicaState};
 
-/// Ids of run stores that were listed once which are remembered.
+/// Number of ids of formerly listed run stores that are remembered.
 const MOST_GONE: usize = 4096;
-/// How long one that is back and not listed is remembered.
+/// Milliseconds for which a restored run store that is not listed is remembered.
 const BACK_FOR: Millis = 600_000.0;
 
-/// Run stores of which operators have spoken.
+/// Run stores that operators have drained or restored.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ManualDrains {
     out: BTreeSet<ReplicaId>,
-    /// When each that is back was called back.
+    /// When each restored run store was restored.
     back: BTreeMap<ReplicaId, Millis>,
-    /// Ids that were listed once and are not.
+    /// Ids that were listed before and are not now.
     gone: Gone,
 }
 
-/// The latest ids that were listed once and are not, oldest first.
+/// The most recently removed ids, oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "VecDeque<ReplicaId>", into = "VecDeque<ReplicaId>")]
 struct Gone {
     order: VecDeque<ReplicaId>,
-    /// The same ids: a region may go at once, and each of its run stores is looked for here.
+    /// The same ids as a set: a whole region may be removed at once, and each of its run stores is looked up
+    /// here.
     known: HashSet<ReplicaId>,
 }
 
@@ -65,27 +67,28 @@
 }
 
 impl ManualDrains {
-    /// A line of the list as it holds here.
+    /// Returns a line of the list with manual drains and restores applied.
     pub(super) fn over(&self, told: &Replica) -> Replica {
         let mut line = told.clone();
         if self.out.contains(&line.id) && line.state == ReplicaState::Active {
             line.state = ReplicaState::Draining;
         }
-        // A start that is told and lies before the call back is the restart that the call speaks of, or older.
+        // A listed start time before the restore is that of the restart for which the run store was drained,
+        // or older.
         let back = self.back.get(&line.id).copied();
         line.started = back.filter(|at| line.started.is_none_or(|told| told <= *at)).or(line.started);
         line
     }
 
-    /// A run store is no longer listed.
+    /// Records that a run store is no longer listed.
     pub(super) fn forget(&mut self, id: &ReplicaId) {
         self.gone.push(id);
     }
 }
 
 impl Core {
-    /// Takes a run store out by hand, or brings it back; `false` if no such was ever listed. Said again, it
-    /// changes nothing.
+    /// Drains a run store manually, or restores it. Returns `false` if it was never listed. Repeating the
+    /// call has no effect.
     pub fn set_manual_drain(&mut self, now: Millis, id: &ReplicaId, out: bool) -> bool {
         let known = self.ledger.run_stores.contains_key(id) || self.manual_drains.gone.contains(id);
         if known {
@@ -94,7 +97,8 @@
         known
     }
 
-    /// The same, as another process of this aggregator was told at some time: there it was listed.
+    /// Applies a manual drain or restore that another process of this aggregator accepted at `at`; that
+    /// process had the run store in its list.
     pub fn apply_manual_drain(&mut self, at: Millis, id: &ReplicaId, out: bool) {
         let changed = match out {
             true => self.manual_drains.out.insert(id.clone()),
@@ -106,8 +110,8 @@
             if !out {
                 self.manual_drains.back.insert(id.clone(), at);
             }
-            // The list as last told, under what operators say now. It is none that the directory has sent, so that
-            // a watch that is being waited for is still waited for.
+            // Reapplies the latest list with the changed manual drains. It is passed as `Cached`, as the
+            // directory has not sent it: a pending request to the directory stays pending.
             self.apply_directory_update(DirectoryUpdate::Cached(self.directory()));
         }
     }
--- a/src/core/manual_drain/tests.rs
+++ b/src/core/manual_drain/tests.rs
@@ -4,12 +4,16 @@
 fn the_latest_that_are_gone_are_known_and_written_in_their_order() {
     let id = |no: usize| ReplicaId::from(format!("s-{no}").as_str());
     let mut drains = ManualDrains::default();
-    // Each goes twice in a row, as on a list that names it and then on none.
+    // Each is forgotten twice in a row, as when a line reports it as gone and the next list lacks it.
     (0..MOST_GONE + 3).flat_map(|no| [no, no]).for_each(|no| drains.forget(&id(no)));
     let known: Vec<_> = (0..MOST_GONE + 3).filter(|no| drains.gone.contains(&id(*no))).collect();
     assert_eq!(known, (3..MOST_GONE + 3).collect::<Vec<_>>());
     let order: VecDeque<_> = known.into_iter().map(id).collect();
     let written = serde_json::to_value(&drains).unwrap();
-    assert_eq!(written["gone"], serde_json::to_value(order).unwrap(), "as processes before this one read it");
+    assert_eq!(
+        written["gone"],
+        serde_json::to_value(order).unwrap(),
+        "the format that earlier versions read"
+    );
     assert_eq!(serde_json::from_value::<ManualDrains>(written).unwrap(), drains);
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,12 +1,11 @@
-//! The core: it drives the router and knows no wire.
+//! The core: drives the router, independently of any wire protocol.
 //!
-//! Fronts, run-store transports and directories meet it through the small types
-//! of this file. [`Core`] itself does no input or output and reads no clock: it
-//! is told what happened and when, and hands out [`Command`]s. [`drive::Driver`]
-//! gives it a clock, timers and the outside world.
+//! Fronts, run-store transports and directories use it through the small types of this file. [`Core`] itself
+//! does no input or output and reads no clock: it is given events and their times, and returns [`Command`]s.
+//! [`drive::Driver`] adds a clock, timers, transports and directories.
 //!
-//! A request passes the stages [`take_in`], [`admit`], [`route`], [`send`],
-//! [`relay`] and [`book`]; each is a unit that works on the ledger.
+//! A query passes the stages [`take_in`], [`admit`], [`route`], [`send`], [`relay`] and [`book`]. Each stage
+//! is a module that works on the [`ledger`].
 
 pub mod admit;
 pub mod book;
@@ -38,54 +37,54 @@
 use ledger::{Ledger, RunStoreEntry};
 use manual_drain::ManualDrains;
 
-/// A query as a front took it from its client.
+/// A query as a front received it from its client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueryRequest {
-    /// The client's id of the query; part ids on the wires are made from it.
+    /// The client's id of the query. The ids of the parts on the wire are derived from it.
     pub id: String,
-    /// The name of its class.
+    /// The name of the query's class.
     pub class: String,
-    /// The name of its tenant, if it has one.
+    /// The name of the query's tenant, if it has one.
     pub tenant: Option<String>,
-    /// How long the client waits; `None` for the class's give-up time.
+    /// How long the client waits; `None` for the deadline of the class.
     pub timeout: Option<Millis>,
-    /// How much of that is over, as it waited for its turn.
+    /// How much of that time has passed while the query was queued in the front.
     pub waited: Millis,
-    /// Whether the client marked it as a repeat.
+    /// Whether the client marked the query as a retry.
     pub retried: bool,
-    /// Whether an answer that is not whole is welcome.
+    /// Whether the client accepts a partial answer.
     pub partial: bool,
-    /// The key by which run stores know its repeats, in a keyed class; see [`Core::is_keyed`].
+    /// The idempotency key by which run stores recognize repeats, in a keyed class; see [`Core::is_keyed`].
     pub key: Option<Arc<str>>,
-    /// Its parts.
+    /// The parts of the query.
     pub parts: Vec<PartRequest>,
-    /// What each part has to carry to its run store.
+    /// The payload that each part carries to its run store.
     pub text: Rc<[u8]>,
 }
 
-/// A part of an [`QueryRequest`].
+/// A part of a [`QueryRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartRequest {
-    /// Its shard.
+    /// The shard that the part reads or writes.
     pub shard: u32,
-    /// Its share of the answer.
+    /// The part's share of the answer; the shares of a query add up to 1.
     pub weight: f64,
-    /// A guess at its work.
+    /// An estimate of the part's work, if there is one.
     pub hint: Option<Millis>,
-    /// What it is about, where parts carry keys.
+    /// The key that the part reads or writes, where parts carry keys.
     pub key: Option<Arc<str>>,
 }
 
-/// Why an [`QueryRequest`] was not taken. Nothing is owed for it.
+/// Why a [`QueryRequest`] was not accepted. It gets no [`FinalAnswer`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum InvalidQuery {
-    /// Its class is not in the settings.
+    /// The class is not in the settings.
     UnknownClass,
-    /// It contradicts itself; the text says how.
+    /// The request is inconsistent; the text says how.
     Malformed(String),
 }
 
-/// The number of a query that was taken, unique over the life of a core.
+/// The number of an accepted query, unique over the life of a core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryNo(pub u64);
 
@@ -93,36 +92,36 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallNo(pub u64);
 
-/// The one final answer to a query.
+/// The final answer to a query; each query gets exactly one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FinalAnswer {
-    /// Served from the parts that are in.
+    /// Served from the parts that have been answered.
     Served {
         /// Whether the answer is whole.
         whole: bool,
-        /// The parts that are in.
+        /// The answers of the parts.
         answers: Vec<PartAnswer>,
-        /// The number of parts that were asked for.
+        /// The number of parts of the query.
         parts: usize,
     },
-    /// Refused: trying again is harmless.
+    /// Refused: a retry is safe.
     Refused {
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry; 0 for no advice.
         retry_after: Millis,
-        /// Why.
+        /// The cause.
         cause: Cause,
     },
-    /// Failed, with no word on its effects.
+    /// Failed: parts of the query may have run.
     Failed {
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry; 0 for no advice.
         retry_after: Millis,
-        /// Why.
+        /// The cause.
         cause: Cause,
     },
 }
 
 impl FinalAnswer {
-    /// Why it is no answer, if it is none.
+    /// Returns why the query was refused or failed, or `None` if it was served.
     pub fn cause(&self) -> Option<Cause> {
         match self {
             FinalAnswer::Served { .. } => None,
@@ -131,19 +130,19 @@
     }
 }
 
-/// A part's answer, as a run store gave it.
+/// The answer to a part, as a run store gave it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PartAnswer {
-    /// The part's shard.
+    /// The shard of the part.
     pub shard: u32,
-    /// The value, unchanged.
+    /// The value that the run store returned, unchanged.
     pub value: Rc<[u8]>,
 }
 
 /// An attempt of a part, for a transport to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// Its number, under which it ends.
+    /// The number under which the transport reports the end of the attempt.
     pub no: CallNo,
     /// The run store.
     pub replica: ReplicaId,
@@ -153,102 +152,105 @@
     pub query: String,
     /// The class's name.
     pub class: Arc<str>,
-    /// The number of its query, and its own among the part's attempts.
+    /// The number of the query, and the number of the attempt among those of its part.
     pub of: (QueryNo, u32),
-    /// The query's key, in a keyed class.
+    /// The query's idempotency key, in a keyed class.
     pub key: Option<Arc<str>>,
     /// The shard.
     pub shard: u32,
-    /// The time at which the core stops waiting.
+    /// When the core stops waiting for the attempt.
     pub until: Millis,
-    /// The end of the time in which its class may be repeated, if this is a repeat: it may wait for a connection after
-    /// it was decided on, and its last byte has to be out by then.
+    /// The end of the window in which a repeat may be sent, if this attempt is a repeat. The attempt may wait
+    /// for a connection after the decision to send it, and its last byte has to be written by this time.
     pub allowed_until: Millis,
-    /// What the part carries.
+    /// The payload of the part.
     pub text: Rc<[u8]>,
 }
 
 impl Call {
-    /// Whether it may be begun no more, as its time is over or its class may not be repeated any longer.
+    /// Returns whether it is too late to start the attempt, as it has timed out or its class may no longer be
+    /// repeated.
     pub fn is_late(&self, now: Millis) -> bool {
         now > self.until.min(self.allowed_until)
     }
 }
 
-/// What a transport reports of a call's end.
+/// The end of a call as its transport reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallEnd {
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The part's answer, where it was served.
+    /// The part's answer, if it was served.
     pub value: Option<Rc<[u8]>>,
-    /// The run store's load report, if one came along.
+    /// The run store's load report, if the response carried one.
     pub load: Option<crate::api::LoadReport>,
 }
 
 impl CallEnd {
-    /// An end that brought nothing along.
+    /// Returns an end that carries neither an answer nor a load report.
     pub fn bare(outcome: Outcome) -> Self {
         CallEnd { outcome, value: None, load: None }
     }
 }
 
-/// A line of a directory: the router's view of a run store, and where it listens.
+/// A line of a directory: a run store as the router sees it, and its address.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedRunStore {
-    /// The router's view.
+    /// The run store as the router sees it.
     pub replica: crate::api::Replica,
-    /// The address it listens on; `None` on a line that only says it is gone.
+    /// The address it listens on; `None` on a line that only reports the run store as gone.
     pub address: Option<std::net::SocketAddr>,
 }
 
-/// News from a directory.
+/// An update from a directory.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectoryUpdate {
-    /// The list as it was last known, maybe old.
+    /// The last known list, which may be out of date.
     Cached(Vec<ListedRunStore>),
     /// The whole list.
     Full(Vec<ListedRunStore>),
     /// The lines that changed.
     Changes(Vec<ListedRunStore>),
-    /// The directory could not be asked; the old list stands.
+    /// The directory could not be reached; the previous list stays in force.
     Failed,
-    /// A watch on the directory has fallen silent: it is broken, and what it missed is not known.
+    /// A watch on the directory has stopped responding. It counts as broken, and the updates that it missed
+    /// are unknown.
     Silent,
 }
 
-/// Something for the outside world to do.
+/// A command from the core to its transports, directory, fronts or log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Carry out an attempt.
+    /// Start an attempt.
     Send(Call),
-    /// Give up an attempt.
+    /// Abandon an attempt.
     Abandon {
         /// The run store.
         replica: ReplicaId,
         /// The attempt.
         no: CallNo,
-        /// Whether it is waited for until it is proved to be over there. Else its end is already booked.
+        /// Whether the core waits for proof that the attempt has ended at the run store. Otherwise its end is
+        /// already recorded.
         await_proof: bool,
     },
     /// Probe a run store.
     Probe {
         /// The run store.
         replica: ReplicaId,
-        /// The probe's number.
+        /// The number of the probe.
         no: CallNo,
     },
     /// Close idle connections to a run store.
     CloseIdle(ReplicaId),
-    /// Send nothing new to a run store, what is queued for it included.
+    /// Start nothing new at a run store, including calls that are queued for it.
     Retire(ReplicaId),
-    /// A run store listens at this address, as a process started at that time.
+    /// Use this address for a run store, whose process started at the given time.
     Locate {
         /// The run store.
         replica: ReplicaId,
-        /// Where it listens.
+        /// The address that it listens on.
         address: std::net::SocketAddr,
-        /// When its process started.
+        /// When its process started, if known.
         started: Option<Millis>,
     },
     /// Watch the directory.
@@ -260,58 +262,60 @@
         /// The answer.
         answer: FinalAnswer,
     },
-    /// A line for the people on call.
+    /// Write a line to the log for operators.
     Log(String),
 }
 
-/// The state of one aggregator, without input or output.
+/// The state of one aggregator. It does no input or output.
 pub struct Core {
     router: Router,
     classes: Classes,
-    /// The places of tenants by their names.
+    /// The indexes of tenants by name.
     tenants: BTreeMap<Arc<str>, usize>,
     settings: Settings,
     site: SiteSettings,
-    /// When the log last told of each cause.
+    /// When each cause was last logged, by its code.
     said: BTreeMap<&'static str, Millis>,
-    /// The recording, if one is on.
+    /// The trace writer, while a trace is recorded.
     trace_writer: Option<Box<TraceWriter>>,
     max_open: usize,
-    /// Queries and parts that another process of this aggregator holds.
+    /// Queries and parts that another process of this aggregator holds during a handover.
     held_elsewhere: usize,
-    /// How many shards there are, if that is known.
+    /// The number of shards, if known.
     shards: Option<u32>,
-    /// When the process is to end.
+    /// When the process will exit; no deadline is later.
     ends: Millis,
     probe_timeout: Millis,
     ledger: Ledger,
     manual_drains: ManualDrains,
-    /// When run stores started, and the time now by the clock that they are placed on, once it was told.
+    /// The start times of run stores, and the present time of the clock that they are expressed in, once it
+    /// is known.
     starts: StartTimes,
     clock: Option<Millis>,
-    /// When it was told for the first time.
+    /// When [`Core::note_clock`] was first called.
     began: Option<Millis>,
-    /// Whether the directory has told a list.
+    /// Whether the directory has sent a list.
     listed: bool,
-    /// The watch on the agent, where lists are pushed, and on the service, should that fall silent.
+    /// The watch on the agent, where lists are pushed, and the watch on the discovery service, in case it
+    /// stops responding.
     agent: WatchSchedule,
     service: WatchSchedule,
     chance: u64,
-    /// How much this core has refused by itself.
+    /// The rate at which this core itself refuses queries, from which it derives retry advice.
     advice: RetryAdvice,
-    /// Events that wait for the next step.
+    /// Events for the next step.
     inbox: Vec<Event>,
     commands: VecDeque<Command>,
     wake: Option<Millis>,
-    /// What was counted.
+    /// The counters.
     pub counters: Counters,
 }
 
 impl Core {
-    /// A core with nothing known but its settings.
+    /// Returns a core that knows only its settings.
     ///
     /// # Errors
-    /// Says which setting contradicts itself.
+    /// Returns a message that names the inconsistent setting.
     pub fn new(site: &SiteSettings, seed: u64) -> Result<Self, String> {
         let mut core = Core {
             router: Router::new(site.router_settings(), seed)?,
@@ -345,10 +349,10 @@
         Ok(core)
     }
 
-    /// Takes up other settings. Queries under way keep their class; new ones of a class that is gone are not taken.
+    /// Applies new settings. Open queries keep their class; new queries of a removed class are rejected.
     ///
     /// # Errors
-    /// Says which setting contradicts itself; then nothing is changed.
+    /// Returns a message that names the inconsistent setting; nothing is changed then.
     pub fn apply_settings(&mut self, site: &SiteSettings) -> Result<(), String> {
         let mut settings = site.router_settings();
         settings.check()?;
@@ -372,62 +376,65 @@
         Ok(())
     }
 
-    /// The longest time that any query may take.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Millis {
         self.classes.longest_deadline()
     }
 
-    /// The process ends at some time, and no query outlives it.
+    /// Sets the time at which the process exits, and caps the deadline of every query to it.
     pub fn end_by(&mut self, at: Millis) {
         self.ends = at;
         self.ledger.end_by(at);
     }
 
-    /// The time now, and how far the wall clock is ahead of it. Until it is told, starts are taken as lists state them.
+    /// Sets the current time and the lead of the wall clock over it. Before the first call, start times are
+    /// taken as lists state them.
     pub fn note_clock(&mut self, now: Millis, wall_ahead: Millis) {
         self.began.get_or_insert(now);
         self.clock = Some(now);
         self.starts.note_wall_clock(wall_ahead);
     }
 
-    /// How long the client of a query waits: as it states, and no longer than its class is given up for.
+    /// Returns how long the client of a query waits: the stated time, capped by the deadline of its class;
+    /// `None` if there is no such class.
     pub fn wait_of(&self, class: &str, stated: Option<Millis>) -> Option<Millis> {
         let most = self.classes.at(self.classes.named(class)?).deadline;
         Some(stated.unwrap_or(most).min(most))
     }
 
-    /// A query is to end by some time, if that is sooner than its own.
+    /// Moves the deadline of a query forward to `at`, if that is earlier.
     pub fn end_query_by(&mut self, no: QueryNo, at: Millis) {
         self.ledger.end_query_by(no, at);
     }
 
-    /// Whether queries of a class carry a key, without which no part of theirs may reach a run store.
+    /// Returns whether queries of a class need an idempotency key, without which none of their parts may be
+    /// sent.
     pub fn is_keyed(&self, class: &str) -> bool {
         let at = self.classes.named(class);
         at.is_some_and(|at| matches!(self.classes.at(at).class.repeat, RepeatPolicy::Keyed { .. }))
     }
 
-    /// How many shards there are, if that is known.
+    /// Returns the number of shards, if known.
     pub fn shards(&self) -> Option<u32> {
         self.shards
     }
 
-    /// The least time between two steps.
+    /// Returns the minimum time between two steps.
     pub fn tick(&self) -> Millis {
         self.settings.tick
     }
 
-    /// How long a probe may take.
+    /// Returns the timeout of a probe.
     pub fn probe_timeout(&self) -> Millis {
         self.probe_timeout
     }
 
-    /// Whether something waits for a step.
+    /// Returns whether a step is needed now.
     pub fn has_pending_events(&self) -> bool {
         !self.inbox.is_empty() || self.watching().is_broken()
     }
 
-    /// When the next step is due, if nothing happens before.
+    /// Returns when the next step is needed if nothing happens before.
     pub fn wake_at(&self) -> Option<Millis> {
         self.wake.into_iter().chain(self.watching().due()).reduce(f64::min)
     }
@@ -440,17 +447,18 @@
         }
     }
 
-    /// Whether lists come to an agent of this aggregator's own. The router never asks for such.
+    /// Returns whether lists are pushed to this aggregator's local agent. The router never requests a list
+    /// then.
     fn is_pushed(&self) -> bool {
         self.settings.discovery == Discovery::Pushed
     }
 
-    /// The number of run stores of which anything is kept.
+    /// Returns the number of run stores that the core keeps an entry for.
     pub fn run_stores(&self) -> usize {
         self.ledger.run_stores.len()
     }
 
-    /// What is so just now, for the figures.
+    /// Returns the gauges for the metrics.
     pub fn gauges(&self) -> Gauges {
         let parked: HashSet<_> = self.router.parked().collect();
         let places = self.ledger.run_stores.iter();
@@ -464,7 +472,7 @@
         }
     }
 
-    /// Takes the next order, in the order of their making.
+    /// Removes and returns the oldest pending command.
     pub fn next_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -1,14 +1,15 @@
-//! Stage 5, relay: ends of attempts reach the router, and values wait in the ledger for the answer.
+//! Stage 5, relay: reports ends of attempts to the router and keeps their values in the ledger for the
+//! answer.
 
 use super::{CallEnd, CallNo, Core};
 use crate::api::{AttemptEnded, Event, LoadReport, Millis, Outcome};
 
 impl Core {
-    /// An attempt has ended. Only the first end of each counts.
+    /// Records the end of an attempt. Only the first end of each attempt counts.
     pub fn call_ended(&mut self, now: Millis, no: CallNo, end: CallEnd) {
         let Some(out) = self.ledger.out.remove(&no) else { return };
-        // An answer that crossed its being given up holds, and so does the proof that it never ran. The rest only says
-        // that it is over.
+        // An answer that arrives after the attempt was abandoned is still used, and so is proof that the
+        // attempt never ran. Any other end only proves that the attempt is over.
         let told =
             end.outcome == Outcome::Completed || end.outcome == Outcome::Errored || end.outcome.never_ran();
         let end = match out.given_up.filter(|_| !told) {
@@ -38,7 +39,7 @@
         }));
     }
 
-    /// A probe has ended, by its answer or by its time. Only the first end counts.
+    /// Records the end of a probe, by its response or by its timeout. Only the first end counts.
     pub fn probe_ended(&mut self, no: CallNo, ok: bool, load: Option<LoadReport>) {
         if let Some(replica) = self.ledger.probes.remove(&no) {
             let load = load.filter(|_| self.clock.is_none_or(|now| self.starts.is_sure(&replica, now)));
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -1,4 +1,4 @@
-//! Stage 3, route: the router is stepped with all that came in, and its actions become orders.
+//! Stage 3, route: steps the router with the pending events and turns its actions into commands.
 
 use std::collections::HashSet;
 
@@ -8,11 +8,12 @@
 use crate::hash::draw;
 use crate::starts::StartSource;
 
-/// An answer of the directory that comes sooner than this after the start tells what it had before.
+/// Milliseconds after the start within which changes from the directory count as its initial state instead of
+/// as new changes.
 const PROMPT: Millis = 200.0;
 
 impl Core {
-    /// Hands the router all that happened by `now` and carries out what it says.
+    /// Passes all events up to `now` to the router and carries out the actions that it returns.
     pub fn step(&mut self, now: Millis) {
         self.trace_segment(now);
         self.end_overdue(now);
@@ -56,10 +57,11 @@
 
     fn probe(&mut self, replica: crate::api::ReplicaId) {
         let place = self.ledger.run_stores.get(&replica);
-        // Nothing new goes to one that drains, a probe of an earlier park included.
+        // Nothing new is sent to a draining run store, including probes from before the drain.
         let listed =
             place.is_some_and(|place| place.at.is_some() && place.replica.state == ReplicaState::Active);
-        // One probe at a time for each run store: a second would only add load to one in trouble.
+        // Each run store has at most one outstanding probe: a second one would only add load to a run store
+        // in trouble.
         if self.ledger.probes.is_out(&replica) {
             return;
         }
@@ -73,13 +75,14 @@
         self.commands.push_back(Command::Probe { replica, no });
     }
 
-    /// Takes news of the list of run stores.
+    /// Applies an update of the list of run stores.
     pub fn apply_directory_update(&mut self, mut news: DirectoryUpdate) {
         self.place_starts(&mut news);
         let (listed, whole) = match &news {
             DirectoryUpdate::Cached(lines) | DirectoryUpdate::Full(lines) => (lines.as_slice(), true),
             DirectoryUpdate::Changes(lines) => (lines.as_slice(), false),
-            // The router's own waits are for a service that fails.
+            // The service's watch schedules its own retry; the router's retry delays are for a service that
+            // fails.
             DirectoryUpdate::Silent if !self.is_pushed() => {
                 return self.service.silent(draw(&mut self.chance));
             }
@@ -113,7 +116,7 @@
         }));
     }
 
-    /// The list as last told, whatever operators say.
+    /// Returns the latest list, without operators' manual drains.
     pub fn directory(&self) -> Vec<ListedRunStore> {
         let line = |place: &RunStoreEntry| {
             let told = &place.listed;
@@ -124,7 +127,7 @@
         self.ledger.run_stores.values().map(line).collect()
     }
 
-    /// Places the starts that lines state on the process's clock.
+    /// Converts the start times that lines state to the process's clock.
     fn place_starts(&mut self, news: &mut DirectoryUpdate) {
         let whole = matches!(news, DirectoryUpdate::Full(_));
         let (lines, told) = match news {
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Whether no watch can have waited for news yet since the process began.
+    /// Returns whether the process started so recently that no watch can have waited for a change yet.
     fn is_prompt(&self) -> bool {
         let (Some(began), Some(now)) = (self.began, self.clock) else { return true };
         now - began <= PROMPT
@@ -166,11 +169,12 @@
                 self.commands.push_back(Command::Locate { replica: id.clone(), address, started });
             }
         } else {
-            // The drain rule counts queued and connecting sends too.
+            // The drain rule also counts calls that are queued or connecting.
             self.commands.push_back(Command::Retire(id.clone()));
         }
         if state == ReplicaState::Gone {
-            // Run stores are replaced by new ones with new names all day: nothing is kept of the old ones.
+            // Run stores are continually replaced by new ones with new names, so nothing is kept of removed
+            // ones.
             self.ledger.run_stores.remove(&id);
             self.manual_drains.forget(&id);
             self.starts.forget(&id);
--- a/src/core/send.rs
+++ b/src/core/send.rs
@@ -1,4 +1,5 @@
-//! Stage 4, send: an attempt gets its record and goes to the transport, or ends at once.
+//! Stage 4, send: records an attempt and passes it to the transport, or ends it at once if it may not be
+//! sent.
 
 use super::ledger::Out;
 use super::{Call, CallEnd, CallNo, Command, Core};
@@ -6,11 +7,12 @@
 
 impl Core {
     pub(super) fn send(&mut self, now: Millis, part: PartId, replica: ReplicaId, timeout: Millis) {
-        // The router numbers a part's attempts by its sends; the ledger keeps the same count.
+        // The router numbers the attempts of a part in the order of its sends; the ledger counts the same
+        // way.
         let Some(record) = self.ledger.parts.get_mut(&part) else { return };
         let attempt = Attempt(record.attempts);
         record.attempts += 1;
-        // Guards the rule on second copies, whatever was asked for.
+        // Enforces the rule against parallel attempts, independently of the router's request.
         let copy = (record.out > 0 || record.unproved) && !self.settings.parallel_attempts;
         record.out += 1;
         let (of, shard, ran) = (record.query, record.shard, record.may_have_run);
@@ -48,9 +50,10 @@
         }
     }
 
-    /// The core stops waiting for an attempt. Its end is booked first, so that whatever the transport still reports of
-    /// it is no second one. But where its part may be sent again and may not be out twice, it is out until the transport
-    /// has the proof that it is over, and only then does the router hear of its end.
+    /// Stops waiting for an attempt. Its end is normally recorded at once, so that a later report from the
+    /// transport is ignored. But where the part may be sent again and parallel attempts are forbidden, the
+    /// attempt stays outstanding until the transport has proof that it has ended; only then does the router
+    /// get its end.
     fn give_up(&mut self, now: Millis, no: CallNo, outcome: Outcome) {
         let Some(out) = self.ledger.out.get(&no) else { return };
         if !self.may_go_again(now, out) {
@@ -62,7 +65,8 @@
         }
     }
 
-    /// Whether another attempt of a part could follow this one, which would be its second copy while this one is out.
+    /// Returns whether another attempt of the part could follow; it would run in parallel with this one while
+    /// this one is outstanding.
     fn may_go_again(&self, now: Millis, out: &Out) -> bool {
         let Some(part) = self.ledger.parts.get(&out.part).filter(|part| part.value.is_none()) else {
             return false;
@@ -73,7 +77,7 @@
         !self.settings.parallel_attempts && now < query.deadline && repeat.allows(Some(ran), now)
     }
 
-    /// An attempt ends for the router at once, and the transport forgets it.
+    /// Ends an attempt for the router at once and tells the transport to drop it.
     fn let_go(&mut self, now: Millis, no: CallNo, outcome: Outcome) {
         if let Some(out) = self.ledger.out.get(&no) {
             self.commands.push_back(Command::Abandon {
@@ -85,7 +89,8 @@
         }
     }
 
-    /// A part is held no more, so that nothing of it can be sent again: what was given up is waited for no longer.
+    /// Ends the abandoned attempts of a part that is no longer held. As the part cannot be sent again, no
+    /// proof of their end is needed.
     pub(super) fn release(&mut self, now: Millis, part: &PartId, attempts: u32) {
         for attempt in (0..attempts).map(Attempt) {
             let no = self.ledger.calls.get(&(part.clone(), attempt)).copied();
@@ -96,7 +101,7 @@
         }
     }
 
-    /// The time of an attempt is over.
+    /// Abandons an attempt that has timed out.
     pub fn call_timed_out(&mut self, now: Millis, no: CallNo) {
         self.give_up(now, no, Outcome::TimedOut);
     }
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -1,4 +1,5 @@
-//! What a core leaves to the core of a process that takes over from it, and what two such cores share meanwhile.
+//! The state that a core passes to the core of the process that takes over, and the capacity that the two
+//! share meanwhile.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,23 +8,24 @@
 use crate::settings::SiteSettings;
 use crate::starts::StartTimes;
 
-/// What the rules see as one aggregator's, beside the list of run stores.
+/// The state of an aggregator that outlives a process, other than the list of run stores.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TakeoverState {
-    /// What operators have said.
+    /// Operators' manual drains.
     #[serde(rename = "hand")]
     pub manual_drains: ManualDrains,
-    /// When run stores started, by the clock that both share; a process of an older version does not say.
+    /// When run stores started, on the clock that both processes share. Processes of older versions do not
+    /// send it.
     #[serde(default)]
     starts: StartTimes,
-    /// What the router has learned, by the places of classes.
+    /// The state that the router has learned, which refers to classes by index.
     learned: String,
-    /// The classes by their places.
+    /// The names of the classes by index.
     classes: Vec<String>,
 }
 
 impl Core {
-    /// What the process that takes over is to know.
+    /// Returns the state for the process that takes over.
     pub fn takeover_state(&self) -> TakeoverState {
         TakeoverState {
             manual_drains: self.manual_drains.clone(),
@@ -33,10 +35,11 @@
         }
     }
 
-    /// Takes that over, before any list; says whether what was learned could be read.
+    /// Restores the state of the previous process; has to be called before any list is applied. Returns
+    /// whether the learned state could be read.
     ///
     /// # Errors
-    /// Says which setting contradicts itself.
+    /// Returns a message that names the inconsistent setting.
     pub fn restore_takeover_state(
         &mut self,
         site: &SiteSettings,
@@ -49,12 +52,13 @@
         Ok(self.router.import_learned(&state.learned))
     }
 
-    /// Queries and parts that are held.
+    /// Returns the number of open queries plus their parts without an answer.
     pub fn held(&self) -> usize {
         self.ledger.open()
     }
 
-    /// Leaves room for what another process of this aggregator holds, under the limit on both.
+    /// Sets the number of queries and parts that another process of this aggregator holds; the limit applies
+    /// to both together.
     pub fn leave_room(&mut self, held: usize) {
         self.held_elsewhere = held;
     }
--- a/src/core/trace_events.rs
+++ b/src/core/trace_events.rs
@@ -1,4 +1,4 @@
-//! What the core tells a recording, where one is on.
+//! The events that the core writes to a trace, while one is recorded.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use crate::trace::writer::QueryEnd;
 use crate::trace::MODULE;
 
-/// How a verdict counts.
+/// Returns how the trace records a final answer.
 pub(super) fn how(verdict: &FinalAnswer) -> How {
     match verdict {
         FinalAnswer::Served { whole: true, .. } => How::Whole,
@@ -20,32 +20,32 @@
     }
 }
 
-/// The group of a query, if the settings name it.
+/// Returns the tenant group of a query, if the settings contain it.
 fn group_of<'a>(groups: &'a BTreeMap<Arc<str>, usize>, ask: &QueryRequest) -> Option<&'a Arc<str>> {
     groups.get_key_value(ask.tenant.as_deref()?).map(|(name, _)| name)
 }
 
 impl Core {
-    /// Records from now on, or no more; gives back the tape that was on.
+    /// Starts or stops recording to a trace writer, and returns the previous one.
     pub fn record(&mut self, now: Millis, trace_writer: Option<TraceWriter>) -> Option<TraceWriter> {
         let before = std::mem::replace(&mut self.trace_writer, trace_writer.map(Box::new));
         self.trace_segment(now);
         before.map(|trace_writer| *trace_writer)
     }
 
-    /// The recording, if one is on.
+    /// Returns the trace writer, while a trace is recorded.
     pub fn trace_writer(&mut self) -> Option<&mut TraceWriter> {
         self.trace_writer.as_deref_mut()
     }
 
-    /// Records the counts if they are due.
+    /// Writes the counters to the trace if their interval has passed.
     pub fn trace_due(&mut self, now: Millis) {
         if let Some(trace_writer) = &mut self.trace_writer {
             trace_writer.counts(now, &self.counters, self.ledger.queries.len(), false);
         }
     }
 
-    /// Ends the recording in good order, by the last counts.
+    /// Ends the trace with the last counters.
     pub fn trace_last(&mut self, now: Millis) {
         if let Some(trace_writer) = &mut self.trace_writer {
             trace_writer.counts(now, &self.counters, self.ledger.queries.len(), true);
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Begins a segment if one is due: between two steps, when the module's state is all there is.
+    /// Begins a new segment of the trace if the writer wants one. This is done between two steps, when the
+    /// router's serialized state is complete.
     pub(super) fn trace_segment(&mut self, now: Millis) {
         if !self.trace_writer.as_ref().is_some_and(|trace_writer| trace_writer.wants_segment(now)) {
             return;
@@ -104,7 +105,7 @@
         }
     }
 
-    /// A query that is refused before the module hears of it.
+    /// Records a query that is refused before the router sees it.
     pub(super) fn trace_turned_away(
         &mut self,
         now: Millis,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// A request of a class was answered with an error before it became a query.
+    /// Records a request that was answered with an error before it became a query.
     pub fn not_taken(&mut self, now: Millis, class: &str) {
         self.counters.not_taken(class);
         if let Some(trace_writer) = &mut self.trace_writer {
@@ -139,14 +140,14 @@
         }
     }
 
-    /// An attempt has got so far on its connection.
+    /// Records the progress of an attempt on its connection.
     pub fn progress(&mut self, now: Millis, call: &Call, progress: Progress) {
         if let Some(trace_writer) = &mut self.trace_writer {
             trace_writer.wire(now, call.of.0 .0, call.shard, call.of.1, progress);
         }
     }
 
-    /// The end of a query that is still held.
+    /// Records the end of a query that is still open.
     pub(super) fn trace_verdict(&mut self, now: Millis, no: QueryNo, how: How, cause: Option<Cause>) {
         let Some(trace_writer) = &mut self.trace_writer else { return };
         let Some(query) = self.ledger.queries.get(&no) else { return };
