--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of what the aggregator takes in, sends and answers, printed on request and at exit.
+//! Counters and gauges of the aggregator, printed on request and at exit.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,66 +7,68 @@
 use crate::api::Outcome;
 use crate::core::FinalAnswer;
 
-/// How the requests of a class ended. One whose client left first is in none of these.
+/// How the requests of a class ended. Requests whose clients left before an answer are not counted here.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Ends {
-    /// Served, whole or from some parts.
+    /// Served with a whole or a partial answer.
     pub ok: u64,
-    /// Refused: asking again is harmless.
+    /// Refused: a retry is safe.
     pub shed: u64,
-    /// Failed, or not taken as it could not be used.
+    /// Failed, or rejected as invalid.
     pub errors: u64,
 }
 
-/// What is so just now, beside the counts.
+/// The gauges: current values, in contrast to the counters.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken and not ended.
+    /// Open queries.
     pub active: usize,
-    /// Run stores in the list.
+    /// Listed run stores.
     pub pool_size: usize,
-    /// Of these, run stores that get nothing new.
+    /// Listed run stores that are parked or draining, so that they get no new parts.
     pub pool_ejected: usize,
 }
 
-/// The counts since the start.
+/// The counters since the start of the process.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Queries taken.
+    /// Accepted queries.
     pub taken: u64,
-    /// Of these, turned away at the limit on what is held.
+    /// Accepted queries that were refused before the router saw them, at the limit on open queries and parts
+    /// or because their time was over.
     pub turned_away: u64,
-    /// Answered whole.
+    /// Queries with a whole answer.
     pub whole: u64,
-    /// Answered from some parts.
+    /// Queries with a partial answer.
     pub partial: u64,
-    /// Refused by the router.
+    /// Refused queries.
     pub refused: u64,
-    /// Failed.
+    /// Failed queries.
     pub failed: u64,
-    /// Left by their clients before an answer.
+    /// Queries whose clients left before an answer.
     pub clients_gone: u64,
     /// Requests answered with a 4xx or 5xx before they became queries.
     pub malformed: u64,
-    /// Ends by class, of every class that there has been.
+    /// How requests ended, by class, for every class that has been in the settings.
     pub classes: BTreeMap<Arc<str>, Ends>,
-    /// Of those refused or failed: how many, by class and the cause's code.
+    /// Refused and failed queries by class and code of the cause.
     pub causes: BTreeMap<(Arc<str>, &'static str), u64>,
-    /// Attempts written whole to a run store.
+    /// Attempts that were written completely to a run store.
     pub tries: u64,
-    /// Attempts handed to a transport.
+    /// Attempts passed to a transport.
     pub sent: u64,
-    /// Probes made.
+    /// Probes sent.
     pub probes: u64,
-    /// Ends of attempts: completed, errored, rejected, timed out, not connected, reset, cancelled, not sent.
+    /// Ends of attempts by outcome, in the order completed, errored, rejected, timed out, not connected,
+    /// reset, cancelled, not sent.
     pub ends: [u64; 8],
-    /// Configurations taken at SIGHUP.
+    /// Configurations applied at SIGHUP.
     pub config_applied: u64,
-    /// Configurations turned down at SIGHUP.
+    /// Configurations rejected at SIGHUP.
     pub config_rejected: u64,
-    /// Run stores of which the core keeps anything just now, and the transport.
+    /// Run stores that the core keeps an entry for at present.
     pub run_stores: usize,
-    /// See `run_stores`.
+    /// Run stores that the transport keeps any state of at present.
     pub places: usize,
 }
 
@@ -89,8 +91,9 @@
         }
     }
 
-    /// A request was answered with a 4xx before it became a query. It counts as an error of a class that there is
-    /// or has been; other names, of which clients may think up any number, are not kept.
+    /// Counts a request that was answered with a 4xx or 5xx before it became a query. It counts as an error
+    /// of its class if that is or was in the settings. Other names are not kept, as clients can send any
+    /// number of them.
     pub(crate) fn not_taken(&mut self, class: &str) {
         self.malformed += 1;
         if let Some(ends) = self.classes.get_mut(class) {
@@ -112,7 +115,7 @@
     }
 }
 
-/// The figures in StatsD's form, a line each: counts `|c`, gauges `|g`.
+/// Returns the metrics in StatsD's format, one per line: counters `|c`, gauges `|g`.
 pub fn stats(counters: &Counters, gauges: &Gauges) -> String {
     let ends = |(class, ends): (&Arc<str>, &Ends)| {
         [("ok", ends.ok), ("shed", ends.shed), ("errors", ends.errors)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,13 @@
 //! ironpaddle is a query aggregator in front of a sharded, replicated store of run records.
 //!
-//! The decisions (which replica gets each part of a query, how long to wait, when to try again, what to
-//! refuse and when to answer) are in [`decide`], behind the interface in [`api`]; they do no input or output.
-//! [`core`] drives them and knows no wire. [`front`]s, [`transport`]s and directories ([`directory`]) speak
-//! the wires and meet the core through small types; [`service`] puts them together.
+//! The router in [`decide`] makes the decisions: which replica gets each part of a query, how long to wait,
+//! when to retry, what to refuse and when to answer. Its interface is in [`api`], and it does no input or
+//! output. [`core`] drives it and is independent of any wire protocol. The [`front`]s serve clients, the
+//! [`transport`]s reach run stores, and the directories ([`directory`]) provide the list of run stores; all
+//! three use the core through small types. [`service`] assembles them.
 #![warn(missing_docs)]
 
-/// The example of the README, kept compiling.
+/// Compiles the examples in the README.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 pub struct Readme;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! ironpaddle, the aggregator: see the library's documentation and the README.
+//! The `ironpaddle` program; see the library's documentation and the README.
 
 use std::process::ExitCode;
 
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! The aggregator's life: start or take over, serve, and end in order.
+//! The life of the aggregator's process: start or take over, serve, drain and exit.
 
 pub mod program;
 pub mod reload;
@@ -22,20 +22,20 @@
 use program::Program;
 use signals::Told;
 
-/// After SIGTERM, new connections still come for a while beyond the time for idle ones.
+/// New connections still arrive for a while after SIGTERM. They are accepted for [`KEEP_IDLE`] and this time more.
 const KEEP_ACCEPTING: Duration = Duration::from_millis(250);
-/// The platform kills what has not ended after the longest deadline, of which it counts so much at most, and 0.7 s more.
+/// The platform kills a process 0.7 s after the longest deadline, of which it counts at most this much.
 const MOST_COUNTED: Duration = Duration::from_millis(3000);
-/// Beyond that deadline, what is left to do is not waited for.
+/// How long after that deadline the process waits for its remaining work.
 const LAST_WAIT: Duration = Duration::from_millis(600);
-/// The part of it in which last answers are written.
+/// The last part of that time, which is reserved for writing final answers.
 const LAST_WRITE: Duration = Duration::from_millis(100);
 const LOOK_EVERY: Duration = Duration::from_millis(10);
 
-/// Runs an aggregator by the configuration in a file until SIGTERM or SIGINT, and then to its orderly end.
+/// Runs an aggregator with the configuration in a file until SIGTERM or SIGINT, then drains it.
 ///
 /// # Errors
-/// Says why it could not start.
+/// Returns why it could not start.
 pub fn run(path: &Path) -> Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(serve(path, executor.clone())))
@@ -72,12 +72,12 @@
         _ => {}
     };
     until_told_to_end(&mut signals, attend).await;
-    // Planned end: go on accepting, answer everything, then leave.
+    // Planned shutdown: go on accepting for a while, answer everything, then exit.
     log::line("draining");
     program.door.leave();
     let left = span(program.driver.longest_deadline()).min(MOST_COUNTED) + LAST_WAIT;
     let end = Instant::now() + left;
-    // Whatever is taken, now or later, is answered before.
+    // Every query, open or still to come, is answered before the last write.
     program.driver.end_by(left - LAST_WRITE);
     let server = program.server.clone();
     let stop_reading = async move {
@@ -119,7 +119,7 @@
     old::wait(&meeting, program, &wire).await;
 }
 
-/// Attends to signals until one of them ends the program.
+/// Handles signals until one asks the program to exit.
 async fn until_told_to_end(signals: &mut Told, attend: impl Fn(Signal)) {
     loop {
         match signals.next().await {
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -1,4 +1,4 @@
-//! The running program: its parts put together, and how another process takes over from it.
+//! Assembles the running program from its components and connects it to the handover.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -36,16 +36,17 @@
 use crate::transport::frames::Frames;
 use crate::transport::opensearch::Searches;
 
-/// How long a start waits for the peers of the store.
+/// How long a start waits for peers of the replicated store.
 const PEERS_WAIT: Duration = Duration::from_millis(2000);
 const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// How long the end waits for the disk to take what was recorded last.
+/// How long the shutdown waits until the end of the trace is on disk.
 const DISK_WAIT: Duration = Duration::from_millis(1000);
 const KEEP_DIRECTORY_EVERY: Duration = Duration::from_millis(500);
-/// Descriptors that are no client's and no run store's: standard streams, the reactor, listeners, discovery.
+/// File descriptors other than those of clients and run stores: standard streams, the reactor, listeners,
+/// discovery.
 const OTHER_DESCRIPTORS: usize = 24;
 
-/// The program.
+/// The running program.
 pub struct Program {
     config: Config,
     executor: Rc<LocalExecutor<'static>>,
@@ -53,20 +54,21 @@
     pub(super) server: Rc<Server>,
     pub(super) door: Rc<Door>,
     pub(super) reloads: Reloads,
-    /// The clients' socket, until the end; and the store's.
+    /// The socket that clients connect to, until it is closed.
     listener: RefCell<Option<TcpListener>>,
     store: Option<(Rc<Store>, TcpListener)>,
     accepting: RefCell<Option<Task<()>>>,
 }
 
-/// What another process hands over: its state and its sockets.
+/// The state and the sockets that another process hands over.
 pub type Inherited = (State, Vec<OwnedFd>);
 
 impl Program {
-    /// The program of a configuration, at the start, or taking over. It does not accept yet.
+    /// Starts the program with a configuration, or takes over from another process. It does not accept
+    /// clients yet.
     ///
     /// # Errors
-    /// Says which key is at fault.
+    /// Returns a message that names the faulty key.
     pub async fn new(
         path: &Path,
         config: Config,
@@ -86,7 +88,7 @@
             log::line(if read {
                 "handover: taken over"
             } else {
-                "handover: taken over, without what was learned"
+                "handover: taken over, but the learned state could not be read"
             });
         }
         let driver = match state.as_ref().and_then(|state| state.now) {
@@ -95,7 +97,7 @@
         };
         if let Some(trace) = &config.trace {
             driver.set_recording(Control::new(trace.keep(), source(&config, driver.now())));
-            // As it was in the process that hands over: operators may have switched it there.
+            // As in the process that hands over, since operators may have switched recording there.
             let on = state.as_ref().and_then(|state| state.recording).unwrap_or(trace.on);
             if on {
                 driver.record(true).map_err(|why| format!("key trace.dir: {why}"))?;
@@ -140,12 +142,12 @@
         Ok(program)
     }
 
-    /// Where clients connect.
+    /// Returns the address that clients connect to.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.borrow().as_ref()?.local_addr().ok()
     }
 
-    /// Accepts clients from now on.
+    /// Starts to accept clients.
     pub fn accept(&self) {
         if let Some(listener) = self.listener.borrow().clone() {
             let accepting = self.executor.spawn(self.server.clone().accept(listener));
@@ -153,8 +155,8 @@
         }
     }
 
-    /// Takes in what has connected by now, and then accepts no more and listens no more. Where another process has
-    /// the same socket, what waits there is its own.
+    /// Accepts the connections that are already waiting, then stops accepting and listening. If another
+    /// process shares the socket, the waiting connections are left to it.
     pub async fn close(&self) {
         let (accepting, listener) = (self.accepting.take(), self.listener.take());
         if let (Some(accepting), Some(listener)) = (accepting, listener) {
@@ -163,9 +165,9 @@
         }
     }
 
-    /// Ends the recording, and waits a moment for the disk.
+    /// Stops trace recording, and waits a moment for the disk.
     pub async fn end_recording(&self) {
-        // Only switching it on can fail.
+        // Only starting can fail.
         let _ = self.driver.record(false);
         let written = async {
             while self.driver.recording().is_some_and(|control| !control.is_done()) {
@@ -178,7 +180,7 @@
         .await;
     }
 
-    /// Whether nothing is left that a client waits for.
+    /// Returns whether no client waits for anything any more.
     pub fn is_done(&self) -> bool {
         self.driver.open_queries() == 0 && self.server.open() == 0
     }
@@ -240,7 +242,7 @@
     }
 }
 
-/// What a trace says of this process.
+/// Returns the description of this process for the trace.
 fn source(config: &Config, now: Millis) -> Source {
     Source {
         aggregator: config.name.clone(),
@@ -252,7 +254,7 @@
     }
 }
 
-/// A listener at an address: the one that was handed over, or a new one.
+/// Returns a listener at an address: the inherited one, or a new one.
 async fn listen(key: &str, address: SocketAddr, passed: Option<OwnedFd>) -> Result<TcpListener, String> {
     let failed = |error: std::io::Error| format!("key {key}: {address}: {error}");
     let Some(passed) = passed else {
@@ -260,14 +262,16 @@
     };
     let listener = TcpListener::try_from(std::net::TcpListener::from(passed)).map_err(failed)?;
     let at = listener.local_addr().map_err(failed)?;
-    // Two processes at two addresses would be two aggregators.
+    // Two processes at two addresses would act as two aggregators.
     if at.ip() != address.ip() || (address.port() != 0 && at.port() != address.port()) {
-        return Err(format!("key {key}: the running process listens on {at}; a move needs a restart"));
+        return Err(format!(
+            "key {key}: the running process listens on {at}; a change of address needs a restart"
+        ));
     }
     Ok(listener)
 }
 
-/// A listener for operators, if there is to be one.
+/// Returns the listener for operators' calls, if one is configured.
 pub async fn operators(config: &Config) -> Result<Option<TcpListener>, String> {
     match config.operator {
         Some(address) => listen("operator", address, None).await.map(Some),
@@ -275,10 +279,10 @@
     }
 }
 
-/// The list of run stores to begin with, and its version at the discovery service that will be asked.
+/// Returns the initial list of run stores, and its version at the configured discovery service.
 fn known_list(config: &Config, state: Option<&State>, store: Option<&Store>) -> (List, Option<u64>) {
     if let Some(State { list, discovery, .. }) = state {
-        // Versions are each service's own.
+        // Versions of different services cannot be compared.
         let version = Some(list.index).filter(|index| *index > 0 && *discovery == config.discovery);
         return (list.clone(), version);
     }
@@ -286,15 +290,16 @@
     if !known.endpoints.is_empty() {
         return (known.clone(), Some(known.index));
     }
-    // Nothing is known here: what a peer last knew is a better start than nothing.
+    // No list is known here, so start with the last one that a peer knew.
     let last = store.and_then(|store| serde_json::from_str(&store.get(store::DIRECTORY)?.value).ok());
     (last.unwrap_or_default(), None)
 }
 
-/// A directory for the core, and the same for reloads.
+/// A directory for the core, and the interface that reloads it.
 type Listing = (Rc<dyn Directory>, Box<dyn Reload>);
 
-/// The directory that the configuration names, and what moves it at a reload.
+/// Returns the directory that the configuration names, and the interface that points it elsewhere at a
+/// reload.
 fn directory(config: &Config, version: Option<u64>, driver: &Rc<Driver>) -> Result<Listing, String> {
     if let Some(place) = &config.dns_sd {
         let dns = DnsSd::new(driver.clone(), place.clone());
@@ -305,8 +310,8 @@
     Ok((Rc::new(watch.clone()), Box::new(watch)))
 }
 
-/// Starts the replicated store, if it is configured. Its entries come from the process that hands over, or from
-/// peers, for which the start waits a moment.
+/// Starts the replicated store, if configured. Its entries come from the process that hands over, or else
+/// from peers, which the start waits for briefly.
 async fn start_store(
     config: &Config,
     executor: &Rc<LocalExecutor<'static>>,
@@ -338,7 +343,8 @@
     Ok(Some((store, listener)))
 }
 
-/// The settings of the highest version: this file's or the store's, which gets this file's.
+/// Returns the settings of the highest version: those of the configuration file or those in the store. The
+/// file's settings are first put into the store.
 pub fn settle_settings(config: &Config, store: Option<&Store>) -> Result<SiteSettings, String> {
     let own = config.settings.as_ref().map(|settings| settings.get());
     if let (Some(store), Some(place)) = (store, &config.store) {
@@ -353,7 +359,7 @@
     config.settings(own.ok_or("key settings: is missing, and no peer holds any")?)
 }
 
-/// Writes the directory to the store whenever it has changed.
+/// Writes the directory's list to the store whenever it changes.
 async fn keep_directory(store: Rc<Store>, driver: Rc<Driver>) {
     let mut kept = List::default();
     loop {
--- a/src/service/reload.rs
+++ b/src/service/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration is read again, and taken whole or not at all.
+//! Reloads on SIGHUP: the configuration is read again and applied as a whole or not at all.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 use crate::log;
 use crate::store::Store;
 
-/// What a reload acts on.
+/// Reloads the configuration and applies it to the driver, the directory and the store.
 pub struct Reloads {
     path: PathBuf,
-    /// The configuration of the start, which holds for what only a restart takes up.
+    /// The configuration at the start; it stays in force for keys that only a restart applies.
     started: Config,
-    /// The one last taken.
+    /// The configuration that was applied last.
     last: RefCell<Config>,
     driver: Rc<Driver>,
     directory: Box<dyn Reload>,
@@ -25,7 +25,7 @@
 }
 
 impl Reloads {
-    /// Reloads of a file, beginning with the configuration that was started with.
+    /// Returns a reloader for a file that was started with the given configuration.
     pub fn new(
         path: PathBuf,
         started: Config,
@@ -36,12 +36,12 @@
         Reloads { path, last: RefCell::new(started.clone()), started, driver, directory, store }
     }
 
-    /// Where discovery is asked by now.
+    /// Returns the address of the discovery service at present.
     pub fn discovery(&self) -> Option<SocketAddr> {
         self.last.borrow().discovery
     }
 
-    /// Reads the configuration again. One that is at fault changes nothing.
+    /// Reads and applies the configuration again. A faulty one changes nothing.
     pub fn reload(&self) {
         let taken = self.take_up();
         self.driver.count(|counters| match taken {
@@ -58,7 +58,7 @@
         let new = Config::load(&self.path)?;
         self.last.borrow().all_in(&new)?;
         let site = settle_settings(&new, self.store.as_deref())?;
-        // All that may be at fault has been looked at; from here on it is taken.
+        // Everything that can be faulty has been checked; the rest cannot fail.
         self.driver.apply_settings(&site).map_err(|why| format!("key settings: {why}"))?;
         self.directory.reload(&new);
         for key in self.started.needs_restart(&new) {
--- a/src/service/signals.rs
+++ b/src/service/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the program attends to. None is missed, whatever calls fail while it comes.
+//! The signals that the program handles. None is missed, even if system calls fail when it arrives.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,24 +9,26 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{future, StreamExt};
 
-/// How soon a signal is seen whose wake-up was lost. The end of a process has as much time to spare.
+/// How often the marks are checked, in case a wake-up was lost. The shutdown has this much time to spare.
 const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// All that are attended to, the end last: what came before it is attended to first.
+/// All handled signals. Those that end the program are last, so that signals that came before are handled
+/// first.
 const KINDS: [Signal; 4] = [Signal::Usr1, Signal::Hup, Signal::Term, Signal::Int];
 
-/// Signals as they come.
+/// Receives signals.
 ///
-/// A wake-up is a message of the handler to the program, which the system may refuse; the mark that it leaves is not.
+/// The signal handler sets a mark, which cannot fail, and sends a wake-up message, which the system may
+/// refuse.
 pub struct Told {
     wake_ups: Signals,
     marks: [(Signal, Arc<AtomicBool>); KINDS.len()],
 }
 
 impl Told {
-    /// Catches signals from now on: one that is not caught would end the process.
+    /// Starts to catch signals: one that is not caught would end the process.
     ///
     /// # Errors
-    /// If they cannot be caught.
+    /// Returns an error if they cannot be caught.
     pub fn new() -> io::Result<Self> {
         let marks = KINDS.map(|kind| (kind, Arc::new(AtomicBool::new(false))));
         for (kind, mark) in &marks {
@@ -35,7 +37,7 @@
         Ok(Told { wake_ups: Signals::new(KINDS)?, marks })
     }
 
-    /// The next signal. Several of a kind that came since the last look are one.
+    /// Waits for the next signal. Several of one kind since the last check count as one.
     pub async fn next(&mut self) -> Signal {
         loop {
             let came = self.marks.iter().find(|(_, mark)| mark.swap(false, Ordering::AcqRel));
@@ -43,7 +45,7 @@
                 return *kind;
             }
             let woken = async {
-                // One that cannot be read leaves its mark all the same, which is looked for in its time.
+                // A wake-up that cannot be read has still set its mark, which the next check finds.
                 if !matches!(self.wake_ups.next().await, Some(Ok(_))) {
                     future::pending().await
                 }
