--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -11,27 +11,27 @@
         no: QueryNo,
         class: usize,
         deadline: Millis,
-        ask: QueryRequest,
+        request: QueryRequest,
     ) {
         // At the limit a query is refused before the router sees it, so that the memory held stays bounded
         // under any load. None of its parts has run, so a refusal is safe.
-        let late = deadline <= now;
-        if self.ledger.open() + self.held_elsewhere >= self.max_open || late {
+        let is_overdue = deadline <= now;
+        if self.ledger.open_work() + self.held_elsewhere >= self.max_open || is_overdue {
             self.counters.turned_away += 1;
-            let cause = if late { Cause::Overdue } else { Cause::MaxOpen };
-            let verdict = FinalAnswer::Refused { retry_after: self.advice(now, class), cause };
-            self.counters.answered(&self.classes.at(class).name, &verdict);
-            self.trace_turned_away(now, no, class, &ask, (deadline, cause));
-            self.say_cause(now, class, cause);
-            self.commands.push_back(Command::Answer { query: no, answer: verdict });
+            let cause = if is_overdue { Cause::Overdue } else { Cause::MaxOpen };
+            let final_answer = FinalAnswer::Refused { retry_after: self.retry_advice(now, class), cause };
+            self.counters.answered(&self.classes.get(class).name, &final_answer);
+            self.trace_refused(now, no, class, &request, (deadline, cause));
+            self.log_cause(now, class, cause);
+            self.commands.push_back(Command::Answer { query: no, answer: final_answer });
             return;
         }
-        self.taken_up(now, class);
+        self.note_admitted(now, class);
         let id = Ledger::query_id(no);
-        let tenant = ask.tenant.as_ref().and_then(|name| self.tenants.get_key_value(name.as_str()));
-        let (group, tenant) = tenant.map(|(name, at)| (name.clone(), *at)).unzip();
-        self.trace_taken(now, no, class, &ask, deadline);
-        self.inbox.push(Event::Query(NewQuery {
+        let tenant = request.tenant.as_ref().and_then(|name| self.tenants.get_key_value(name.as_str()));
+        let (group, tenant) = tenant.map(|(name, index)| (name.clone(), *index)).unzip();
+        self.trace_accepted(now, no, class, &request, deadline);
+        self.pending_events.push(Event::Query(NewQuery {
             id: id.clone(),
             number: no.0,
             class: ClassIndex(class),
@@ -39,13 +39,13 @@
             key: None,
             arrived: now,
             deadline,
-            parts: ask.parts.len() as u32,
-            client_retry: ask.retried,
+            parts: request.parts.len() as u32,
+            client_retry: request.retried,
         }));
-        let mut parts = Vec::with_capacity(ask.parts.len());
-        for part in ask.parts {
+        let mut parts = Vec::with_capacity(request.parts.len());
+        for part in request.parts {
             let part_id = PartId::from(format!("q{}.{}", no.0, part.shard).as_str());
-            self.inbox.push(Event::Part(NewPart {
+            self.pending_events.push(Event::Part(NewPart {
                 id: part_id.clone(),
                 query: no.0,
                 shard: Shard(part.shard),
@@ -59,8 +59,8 @@
                 shard,
                 weight,
                 attempts: 0,
-                out: 0,
-                unproved: false,
+                outstanding: 0,
+                maybe_outstanding: false,
                 may_have_run: None,
                 value: None,
             };
@@ -68,9 +68,9 @@
             self.ledger.open_parts += 1;
             parts.push(part_id);
         }
-        self.ledger.numbers.insert(id, no);
-        let QueryRequest { id: client_id, partial, key, text, .. } = ask;
-        let query = Query { client_id, class, group, taken: now, deadline, partial, key, text, parts };
+        self.ledger.query_numbers.insert(id, no);
+        let QueryRequest { id: client_id, partial, key, text: payload, .. } = request;
+        let query = Query { client_id, class, group, accepted: now, deadline, partial, key, payload, parts };
         self.ledger.queries.insert(no, query);
         self.ledger.deadlines.insert(no, deadline);
     }
--- a/src/core/classes.rs
+++ b/src/core/classes.rs
@@ -9,7 +9,7 @@
 
 /// A class of queries.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Kind {
+pub struct ClassEntry {
     /// The name of the class.
     pub name: Arc<str>,
     /// How long clients wait for an answer.
@@ -21,9 +21,9 @@
 /// All classes by index, and the indexes of those in the current settings.
 #[derive(Debug, Default)]
 pub struct Classes {
-    places: Vec<Kind>,
+    entries: Vec<ClassEntry>,
     /// The indexes of the classes in the current settings.
-    names: BTreeMap<Arc<str>, usize>,
+    indexes: BTreeMap<Arc<str>, usize>,
 }
 
 impl Classes {
@@ -31,86 +31,88 @@
     /// the index that its name had, or any unused index, or a new one. An index that is neither in use nor
     /// needed gets a copy of the first class of the settings, so that a removed class has no influence on
     /// anything.
-    pub fn take(&mut self, site: &SiteSettings, held: impl Fn(usize) -> bool) {
-        let told = site.router_settings().classes;
-        let kinds: Vec<Kind> = site
+    pub fn apply_settings(&mut self, site: &SiteSettings, in_use: impl Fn(usize) -> bool) {
+        let router_classes = site.router_settings().classes;
+        let wanted: Vec<ClassEntry> = site
             .request_classes
             .iter()
-            .zip(told)
-            .map(|(told, class)| Kind {
-                name: told.name.as_str().into(),
-                deadline: told.deadline_ms(),
+            .zip(router_classes)
+            .map(|(settings, class)| ClassEntry {
+                name: settings.name.as_str().into(),
+                deadline: settings.deadline_ms(),
                 class,
             })
             .collect();
-        let first = |kind: &Kind| self.places.iter().position(|known| known == kind);
-        let kept: Vec<_> = kinds.iter().filter_map(first).collect();
-        let mut taken: Vec<bool> = (0..self.places.len()).map(|at| held(at) || kept.contains(&at)).collect();
-        self.names.clear();
-        for kind in &kinds {
-            let same = self.places.iter().position(|known| known == kind);
-            let free = |at: &usize| !taken[*at];
-            let named = (0..self.places.len()).filter(free).find(|at| self.places[*at].name == kind.name);
-            let any = || (0..self.places.len()).find(free);
-            let at = same.or(named).or_else(any).unwrap_or(self.places.len());
-            if at == self.places.len() {
-                self.places.push(kind.clone());
+        let unchanged = |entry: &ClassEntry| self.entries.iter().position(|known| known == entry);
+        let kept: Vec<_> = wanted.iter().filter_map(unchanged).collect();
+        let mut taken: Vec<bool> =
+            (0..self.entries.len()).map(|index| in_use(index) || kept.contains(&index)).collect();
+        self.indexes.clear();
+        for entry in &wanted {
+            let unchanged = self.entries.iter().position(|known| known == entry);
+            let is_free = |index: &usize| !taken[*index];
+            let same_name =
+                (0..self.entries.len()).filter(is_free).find(|index| self.entries[*index].name == entry.name);
+            let any_free = || (0..self.entries.len()).find(is_free);
+            let index = unchanged.or(same_name).or_else(any_free).unwrap_or(self.entries.len());
+            if index == self.entries.len() {
+                self.entries.push(entry.clone());
                 taken.push(true);
             }
-            self.places[at] = kind.clone();
-            taken[at] = true;
-            self.names.insert(kind.name.clone(), at);
+            self.entries[index] = entry.clone();
+            taken[index] = true;
+            self.indexes.insert(entry.name.clone(), index);
         }
-        for (place, taken) in self.places.iter_mut().zip(taken) {
-            if let (false, Some(kind)) = (taken, kinds.first()) {
-                *place = kind.clone();
+        for (unused, taken) in self.entries.iter_mut().zip(taken) {
+            if let (false, Some(replacement)) = (taken, wanted.first()) {
+                *unused = replacement.clone();
             }
         }
     }
 
     /// Restores the order of another process's classes, as the state that its router has learned refers to
     /// their indexes. No index is in use yet.
-    pub fn in_order(&mut self, names: &[String], site: &SiteSettings) {
+    pub fn restore_order(&mut self, names: &[String], site: &SiteSettings) {
         *self = Classes::default();
-        self.take(site, |_| false);
-        let mut places = self.places.clone();
-        places.truncate(names.len());
-        places.resize(names.len(), self.places[0].clone());
-        for (place, name) in places.iter_mut().zip(names) {
-            place.name = name.as_str().into();
+        self.apply_settings(site, |_| false);
+        let mut entries = self.entries.clone();
+        entries.truncate(names.len());
+        entries.resize(names.len(), self.entries[0].clone());
+        for (entry, name) in entries.iter_mut().zip(names) {
+            entry.name = name.as_str().into();
         }
-        self.places = places;
-        self.take(site, |_| false);
+        self.entries = entries;
+        self.apply_settings(site, |_| false);
     }
 
     /// Returns the names by index, including classes that are no longer in the settings.
-    pub fn order(&self) -> Vec<String> {
-        self.places.iter().map(|kind| kind.name.to_string()).collect()
+    pub fn names_by_index(&self) -> Vec<String> {
+        self.entries.iter().map(|entry| entry.name.to_string()).collect()
     }
 
     /// Returns the index of a class in the current settings.
-    pub fn named(&self, name: &str) -> Option<usize> {
-        self.names.get(name).copied()
+    pub fn index_of(&self, name: &str) -> Option<usize> {
+        self.indexes.get(name).copied()
     }
 
     /// Returns the names of the classes in the current settings.
     pub fn names(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.names.keys()
+        self.indexes.keys()
     }
 
     /// Returns the class at an index.
-    pub fn at(&self, place: usize) -> &Kind {
-        &self.places[place]
+    pub fn get(&self, index: usize) -> &ClassEntry {
+        &self.entries[index]
     }
 
     /// Returns the classes of all indexes in the router's form.
-    pub fn for_router(&self) -> Vec<Class> {
-        self.places.iter().map(|kind| kind.class.clone()).collect()
+    pub fn router_classes(&self) -> Vec<Class> {
+        self.entries.iter().map(|entry| entry.class.clone()).collect()
     }
 
     /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Millis {
-        self.places.iter().map(|kind| kind.deadline).fold(0.0, f64::max)
+        self.entries.iter().map(|entry| entry.deadline).fold(0.0, f64::max)
     }
 }
 
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -70,25 +70,25 @@
     executor: Rc<LocalExecutor<'static>>,
     /// The clock's origin, as Unix time and as an instant; from there on the clock is monotonic.
     origin: (Millis, Instant),
-    signal: (Sender<()>, Receiver<()>),
-    waiting: RefCell<HashMap<QueryNo, Waiting>>,
+    step_signal: (Sender<()>, Receiver<()>),
+    waiting: RefCell<HashMap<QueryNo, PendingAnswer>>,
     timers: RefCell<HashMap<CallNo, Task<()>>>,
-    stores: OnceCell<Rc<dyn RunStores>>,
+    transport: OnceCell<Rc<dyn RunStores>>,
     directory: OnceCell<Rc<dyn Directory>>,
-    recording: OnceCell<Control>,
+    trace_control: OnceCell<Control>,
 }
 
 /// Longest wait in seconds; longer ones are capped.
-const MOST_WAIT_S: f64 = 1e9;
+const MAX_WAIT_S: f64 = 1e9;
 
 /// The channel for a query's final answer, and the timer of its deadline.
-type Waiting = (Sender<FinalAnswer>, Task<()>);
+type PendingAnswer = (Sender<FinalAnswer>, Task<()>);
 
 /// An accepted query. If it is dropped before its final answer, its client counts as gone.
 pub struct Pending {
     driver: Rc<Driver>,
     no: QueryNo,
-    verdict: Receiver<FinalAnswer>,
+    answer: Receiver<FinalAnswer>,
 }
 
 impl Driver {
@@ -104,18 +104,18 @@
             core: RefCell::new(core),
             executor,
             origin: (now, Instant::now()),
-            signal: async_channel::bounded(1),
+            step_signal: async_channel::bounded(1),
             waiting: RefCell::default(),
             timers: RefCell::default(),
-            stores: OnceCell::new(),
+            transport: OnceCell::new(),
             directory: OnceCell::new(),
-            recording: OnceCell::new(),
+            trace_control: OnceCell::new(),
         })
     }
 
     /// Sets the transport and the directory. Only the first call has an effect.
-    pub fn connect(&self, stores: Rc<dyn RunStores>, directory: Rc<dyn Directory>) {
-        let _ = self.stores.set(stores);
+    pub fn connect(&self, transport: Rc<dyn RunStores>, directory: Rc<dyn Directory>) {
+        let _ = self.transport.set(transport);
         let _ = self.directory.set(directory);
     }
 
@@ -126,12 +126,12 @@
 
     /// Returns the current time in milliseconds since the Unix epoch; it is monotonic.
     pub fn now(&self) -> Millis {
-        since(self.origin)
+        time_since(self.origin)
     }
 
     /// Converts a time of this clock to an instant, for timers.
     pub fn instant(&self, at: Millis) -> Instant {
-        self.origin.1 + Duration::from_secs_f64(((at - self.origin.0) / 1000.0).clamp(0.0, MOST_WAIT_S))
+        self.origin.1 + Duration::from_secs_f64(((at - self.origin.0) / 1000.0).clamp(0.0, MAX_WAIT_S))
     }
 
     /// Updates the counters.
@@ -148,7 +148,7 @@
     /// Records in the trace that the first byte of an attempt was written at `begun` or, if `written`, that
     /// the last byte has just been written.
     pub fn progress(&self, call: &Call, begun: Millis, written: bool) {
-        if self.recording.get().is_some() {
+        if self.trace_control.get().is_some() {
             let now = self.now();
             let progress =
                 if written { Progress::Written(Some(Num::of(now - begun))) } else { Progress::Begun };
@@ -158,12 +158,12 @@
 
     /// Sets the control of trace recording. Only the first call has an effect.
     pub fn set_recording(&self, control: Control) {
-        let _ = self.recording.set(control);
+        let _ = self.trace_control.set(control);
     }
 
     /// Returns the control of trace recording, if tracing is configured.
     pub fn recording(&self) -> Option<&Control> {
-        self.recording.get()
+        self.trace_control.get()
     }
 
     /// Switches trace recording on or off, if tracing is configured.
@@ -171,11 +171,11 @@
     /// # Errors
     /// Returns a message if recording cannot be started.
     pub fn record(&self, on: bool) -> Result<(), String> {
-        let Some(control) = self.recording.get() else { return Ok(()) };
+        let Some(control) = self.trace_control.get() else { return Ok(()) };
         let (origin, now) = (self.origin, self.now());
         let mut core = self.core.borrow_mut();
         if on {
-            return control.start(&mut core, move || since(origin));
+            return control.start(&mut core, move || time_since(origin));
         }
         control.stop(&mut core, now);
         Ok(())
@@ -183,7 +183,7 @@
 
     /// Begins a new segment of the trace.
     pub fn rotate(&self) {
-        if let Some(control) = self.recording.get() {
+        if let Some(control) = self.trace_control.get() {
             control.rotate(&mut self.core.borrow_mut());
         }
     }
@@ -199,8 +199,8 @@
     /// Returns the counters.
     pub fn counters(&self) -> Counters {
         let core = self.core.borrow();
-        let places = self.stores.get().map_or(0, |stores| stores.places());
-        Counters { run_stores: core.run_stores(), places, ..core.counters.clone() }
+        let transport_run_stores = self.transport.get().map_or(0, |transport| transport.places());
+        Counters { run_stores: core.run_stores(), places: transport_run_stores, ..core.counters.clone() }
     }
 
     /// Returns the gauges.
@@ -239,15 +239,15 @@
 
     /// Returns the number of connections to run stores.
     pub fn connections(&self) -> usize {
-        self.stores.get().map_or(0, |stores| stores.open())
+        self.transport.get().map_or(0, |transport| transport.open())
     }
 
     /// Sets the number of queries and parts that another process of this aggregator holds, and the number of
     /// run-store connections that remain for this process.
     pub fn leave_room(&self, held: usize, connections: usize) {
         self.core.borrow_mut().leave_room(held);
-        if let Some(stores) = self.stores.get() {
-            stores.room(connections);
+        if let Some(transport) = self.transport.get() {
+            transport.room(connections);
         }
     }
 
@@ -267,8 +267,8 @@
     /// Returns a message that names the inconsistent setting; nothing is changed then.
     pub fn apply_settings(&self, site: &SiteSettings) -> Result<(), String> {
         self.core.borrow_mut().apply_settings(site)?;
-        if let Some(stores) = self.stores.get() {
-            stores.apply_settings(site);
+        if let Some(transport) = self.transport.get() {
+            transport.apply_settings(site);
         }
         self.wake();
         Ok(())
@@ -299,7 +299,7 @@
     /// Returns how long the client of a query waits, or `None` if there is no such class.
     pub fn wait_of(&self, class: &str, stated: Option<Millis>) -> Option<Duration> {
         let wait = self.core.borrow().wait_of(class, stated)?;
-        Some(Duration::from_secs_f64((wait / 1000.0).clamp(0.0, MOST_WAIT_S)))
+        Some(Duration::from_secs_f64((wait / 1000.0).clamp(0.0, MAX_WAIT_S)))
     }
 
     /// Moves the deadline of a query forward to `at`, if that is earlier.
@@ -335,16 +335,17 @@
     ///
     /// # Errors
     /// Returns why the query was rejected.
-    pub fn ask(self: &Rc<Self>, ask: QueryRequest) -> Result<Pending, InvalidQuery> {
+    pub fn ask(self: &Rc<Self>, request: QueryRequest) -> Result<Pending, InvalidQuery> {
         let now = self.now();
-        let wait = self.core.borrow().wait_of(&ask.class, ask.timeout).unwrap_or(0.0) - ask.waited;
-        let no = self.core.borrow_mut().take_in(now, ask)?;
-        let (sender, verdict) = async_channel::bounded(1);
+        let wait =
+            self.core.borrow().wait_of(&request.class, request.timeout).unwrap_or(0.0) - request.waited;
+        let no = self.core.borrow_mut().take_in(now, request)?;
+        let (sender, answer) = async_channel::bounded(1);
         // The timer of the query's deadline: the step after it ends the query if it is still open.
         let timer = self.wake_at(self.instant(now + wait));
         self.waiting.borrow_mut().insert(no, (sender, timer));
         self.run_commands();
-        Ok(Pending { driver: self.clone(), no, verdict })
+        Ok(Pending { driver: self.clone(), no, answer })
     }
 
     /// Records the end of an attempt. Only the first end counts.
@@ -363,9 +364,9 @@
     }
 
     /// Applies an update of the list of run stores.
-    pub fn apply_directory_update(self: &Rc<Self>, news: DirectoryUpdate) {
+    pub fn apply_directory_update(self: &Rc<Self>, update: DirectoryUpdate) {
         self.note_clock();
-        self.core.borrow_mut().apply_directory_update(news);
+        self.core.borrow_mut().apply_directory_update(update);
         self.run_commands();
     }
 
@@ -374,14 +375,14 @@
         let mut last: Option<Instant> = None;
         loop {
             let wake = self.core.borrow().wake_at().map(|at| self.instant(at));
-            let due = async {
+            let timer = async {
                 match wake {
                     Some(at) => Timer::at(at).await,
                     None => future::pending().await,
                 };
             };
-            future::or(due, async {
-                let _ = self.signal.1.recv().await;
+            future::or(timer, async {
+                let _ = self.step_signal.1.recv().await;
             })
             .await;
             // Events are batched per tick, as in the simulator.
@@ -394,7 +395,7 @@
             let now = self.now();
             self.core.borrow_mut().step(now);
             self.run_commands();
-            if let Some(control) = self.recording.get() {
+            if let Some(control) = self.trace_control.get() {
                 control.pump(&mut self.core.borrow_mut(), now);
             }
         }
@@ -411,7 +412,7 @@
     }
 
     fn wake(&self) {
-        let _ = self.signal.0.try_send(());
+        let _ = self.step_signal.0.try_send(());
     }
 
     fn run_commands(self: &Rc<Self>) {
@@ -428,7 +429,7 @@
     }
 
     fn run_command(self: &Rc<Self>, command: Command) {
-        let Some(stores) = self.stores.get() else { return };
+        let Some(transport) = self.transport.get() else { return };
         match command {
             Command::Send(call) => {
                 let (driver, no, until) = (self.clone(), call.no, self.instant(call.until));
@@ -439,10 +440,10 @@
                     driver.run_commands();
                 });
                 self.timers.borrow_mut().insert(no, timer);
-                stores.send(call);
+                transport.send(call);
             }
             Command::Abandon { replica, no, await_proof } => {
-                stores.give_up(&replica, no, await_proof);
+                transport.give_up(&replica, no, await_proof);
                 let timer = self.timers.borrow_mut().remove(&no);
                 drop(timer);
             }
@@ -451,17 +452,17 @@
                 let limit = Duration::from_secs_f64(self.core.borrow().probe_timeout() / 1000.0);
                 let timer = self.executor.spawn(async move {
                     Timer::after(limit).await;
-                    if let Some(stores) = driver.stores.get() {
-                        stores.probe_timed_out(&id, no);
+                    if let Some(transport) = driver.transport.get() {
+                        transport.probe_timed_out(&id, no);
                     }
                     driver.probe_ended(no, false, None);
                 });
                 self.timers.borrow_mut().insert(no, timer);
-                stores.probe(&replica, no);
+                transport.probe(&replica, no);
             }
-            Command::CloseIdle(replica) => stores.close_idle(&replica),
-            Command::Retire(replica) => stores.retire(&replica),
-            Command::Locate { replica, address, started } => stores.locate(&replica, address, started),
+            Command::CloseIdle(replica) => transport.close_idle(&replica),
+            Command::Retire(replica) => transport.retire(&replica),
+            Command::Locate { replica, address, started } => transport.locate(&replica, address, started),
             Command::Watch => {
                 if let Some(directory) = self.directory.get() {
                     directory.watch();
@@ -488,14 +489,14 @@
 }
 
 /// Returns the present time of a clock with this origin, in Unix milliseconds.
-fn since(origin: (Millis, Instant)) -> Millis {
+fn time_since(origin: (Millis, Instant)) -> Millis {
     origin.0 + millis(origin.1.elapsed())
 }
 
 impl Pending {
     /// Waits for the final answer.
     pub async fn verdict(&self) -> FinalAnswer {
-        self.verdict.recv().await.unwrap_or(FinalAnswer::Failed { retry_after: 0.0, cause: Cause::Overdue })
+        self.answer.recv().await.unwrap_or(FinalAnswer::Failed { retry_after: 0.0, cause: Cause::Overdue })
     }
 }
 
@@ -515,8 +516,8 @@
 impl Drop for Pending {
     /// Reports a client that left before its answer to the core, which cancels the attempts of its query.
     fn drop(&mut self) {
-        let held = self.driver.waiting.borrow_mut().remove(&self.no);
-        if held.is_some() {
+        let was_open = self.driver.waiting.borrow_mut().remove(&self.no);
+        if was_open.is_some() {
             self.driver.core.borrow_mut().client_gone(self.driver.now(), self.no);
             self.driver.wake();
         }
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -19,7 +19,7 @@
     /// The name of its tenant group, if the settings contain it.
     pub group: Option<Arc<str>>,
     /// When it was accepted.
-    pub taken: Millis,
+    pub accepted: Millis,
     /// When the client stops waiting.
     pub deadline: Millis,
     /// Whether the client accepts a partial answer.
@@ -27,7 +27,7 @@
     /// Its idempotency key, in a keyed class.
     pub key: Option<Arc<str>>,
     /// The payload that each part carries.
-    pub text: Rc<[u8]>,
+    pub payload: Rc<[u8]>,
     /// The router's ids of its parts.
     pub parts: Vec<PartId>,
 }
@@ -44,10 +44,10 @@
     /// The number of attempts made so far.
     pub attempts: u32,
     /// The number of outstanding attempts.
-    pub out: u32,
+    pub outstanding: u32,
     /// Whether an attempt that the core no longer tracks may still be running at a run store: it was made
     /// while parallel attempts were allowed, and its end need not have been proved.
-    pub unproved: bool,
+    pub maybe_outstanding: bool,
     /// When the first of the attempts that have ended and may have run was sent.
     pub may_have_run: Option<Millis>,
     /// Its answer, once received.
@@ -56,18 +56,18 @@
 
 /// An attempt that has not ended.
 #[derive(Debug, Clone)]
-pub struct Out {
+pub struct OutstandingAttempt {
     /// The part, which may no longer be held.
     pub part: PartId,
     /// Its number among the part's attempts.
     pub attempt: Attempt,
     /// The run store that it was sent to.
-    pub replica: ReplicaId,
+    pub run_store: ReplicaId,
     /// When it was sent.
     pub sent: Millis,
     /// The outcome to report to the router once the attempt is proved to have ended; set when it is
     /// abandoned.
-    pub given_up: Option<Outcome>,
+    pub abandoned: Option<Outcome>,
 }
 
 /// What the core knows of a listed run store.
@@ -76,52 +76,52 @@
     /// Its line in the latest list.
     pub listed: Replica,
     /// The same line after operators' manual drains are applied.
-    pub replica: Replica,
+    pub effective: Replica,
     /// The address that it listens on and the start time of its process.
-    pub at: Option<(std::net::SocketAddr, Option<Millis>)>,
+    pub location: Option<(std::net::SocketAddr, Option<Millis>)>,
 }
 
 /// All records of a core.
 #[derive(Debug, Default)]
 pub struct Ledger {
     pub(super) queries: BTreeMap<QueryNo, Query>,
-    pub(super) numbers: HashMap<QueryId, QueryNo>,
+    pub(super) query_numbers: HashMap<QueryId, QueryNo>,
     pub(super) parts: HashMap<PartId, Part>,
-    pub(super) out: HashMap<CallNo, Out>,
-    pub(super) calls: HashMap<(PartId, Attempt), CallNo>,
+    pub(super) outstanding: HashMap<CallNo, OutstandingAttempt>,
+    pub(super) call_numbers: HashMap<(PartId, Attempt), CallNo>,
     pub(super) probes: Probes,
     pub(super) run_stores: BTreeMap<ReplicaId, RunStoreEntry>,
     /// The deadlines of open queries in order, so that a step visits only the overdue ones.
     pub(super) deadlines: Deadlines,
     /// The number of parts without an answer.
     pub(super) open_parts: usize,
-    last: u64,
+    last_number: u64,
 }
 
 /// Outstanding probes, and the run stores that they were sent to.
 #[derive(Debug, Default)]
 pub(super) struct Probes {
-    out: HashMap<CallNo, ReplicaId>,
-    probed: HashSet<ReplicaId>,
+    outstanding: HashMap<CallNo, ReplicaId>,
+    run_stores: HashSet<ReplicaId>,
 }
 
 impl Probes {
     /// Returns whether a probe of a run store is outstanding.
-    pub(super) fn is_out(&self, replica: &ReplicaId) -> bool {
-        self.probed.contains(replica)
+    pub(super) fn is_outstanding(&self, run_store: &ReplicaId) -> bool {
+        self.run_stores.contains(run_store)
     }
 
     /// Adds a probe of a run store that has no outstanding one.
-    pub(super) fn insert(&mut self, no: CallNo, replica: ReplicaId) {
-        self.probed.insert(replica.clone());
-        self.out.insert(no, replica);
+    pub(super) fn insert(&mut self, no: CallNo, run_store: ReplicaId) {
+        self.run_stores.insert(run_store.clone());
+        self.outstanding.insert(no, run_store);
     }
 
     /// Removes a probe and returns its run store; `None` if the probe had already ended.
     pub(super) fn remove(&mut self, no: &CallNo) -> Option<ReplicaId> {
-        let replica = self.out.remove(no)?;
-        self.probed.remove(&replica);
-        Some(replica)
+        let run_store = self.outstanding.remove(no)?;
+        self.run_stores.remove(&run_store);
+        Some(run_store)
     }
 }
 
@@ -140,27 +140,27 @@
 
     /// Returns the queries whose deadline has passed, in the order in which they were accepted.
     pub(super) fn overdue(&self, now: Millis) -> Vec<QueryNo> {
-        let mut over: Vec<_> =
+        let mut overdue: Vec<_> =
             self.0.iter().take_while(|(deadline, _)| deadline.0 <= now).map(|(_, no)| *no).collect();
-        over.sort_unstable();
-        over
+        overdue.sort_unstable();
+        overdue
     }
 }
 
 impl Ledger {
     /// Returns the next number; queries, calls and probes share one sequence.
-    pub(super) fn number(&mut self) -> u64 {
-        self.last += 1;
-        self.last
+    pub(super) fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     /// Returns the number of open queries plus their parts without an answer.
-    pub fn open(&self) -> usize {
+    pub fn open_work(&self) -> usize {
         self.queries.len() + self.open_parts
     }
 
     /// Caps the deadlines of all open queries.
-    pub(super) fn end_by(&mut self, at: Millis) {
+    pub(super) fn cap_deadlines(&mut self, at: Millis) {
         self.queries.values_mut().for_each(|query| query.deadline = query.deadline.min(at));
         let deadlines = self.queries.iter().map(|(no, query)| (OrderedTime(query.deadline), *no));
         self.deadlines = Deadlines(deadlines.collect());
@@ -168,12 +168,12 @@
 
     /// Stops parallel attempts. Parts that have been sent are marked, as earlier attempts of theirs may still
     /// be running.
-    pub(super) fn forbid_copies(&mut self) {
-        self.parts.values_mut().for_each(|part| part.unproved |= part.attempts > 0);
+    pub(super) fn forbid_parallel_attempts(&mut self) {
+        self.parts.values_mut().for_each(|part| part.maybe_outstanding |= part.attempts > 0);
     }
 
     /// Caps the deadline of a query.
-    pub(super) fn end_query_by(&mut self, no: QueryNo, at: Millis) {
+    pub(super) fn cap_deadline(&mut self, no: QueryNo, at: Millis) {
         if let Some(query) = self.queries.get_mut(&no).filter(|query| at < query.deadline) {
             self.deadlines.remove(no, query.deadline);
             query.deadline = at;
@@ -196,7 +196,7 @@
 
     /// Returns whether any part of a query may have run or has an outstanding attempt.
     pub(super) fn may_have_run(&self, query: &Query) -> bool {
-        let ran = |part: &Part| part.may_have_run.is_some() || part.out > 0 || part.value.is_some();
+        let ran = |part: &Part| part.may_have_run.is_some() || part.outstanding > 0 || part.value.is_some();
         query.parts.iter().filter_map(|id| self.parts.get(id)).any(ran)
     }
 
--- a/src/core/ledger/tests.rs
+++ b/src/core/ledger/tests.rs
@@ -8,18 +8,18 @@
 
 /// Something that may happen to a core. A `usize` selects one of the open attempts, probes or queries.
 #[derive(Debug, Clone)]
-enum Happens {
+enum Step {
     Ask { parts: u32, timeout: f64, partial: bool },
-    Ends { which: usize, outcome: Outcome, value: bool },
-    TimesOut(usize),
+    AttemptEnds { which: usize, outcome: Outcome, value: bool },
+    AttemptTimesOut(usize),
     ProbeEnds(usize),
-    Leaves(usize),
-    Passes(f64),
-    Lists(Vec<ReplicaState>),
-    EndsBy(f64),
+    ClientLeaves(usize),
+    TimePasses(f64),
+    ListChanges(Vec<ReplicaState>),
+    ProcessEndsBy(f64),
 }
 
-fn happens() -> impl Strategy<Value = Happens> {
+fn any_step() -> impl Strategy<Value = Step> {
     let outcome = prop_oneof![
         3 => Just(Outcome::Completed),
         1 => Just(Outcome::Errored),
@@ -29,15 +29,15 @@
     let state = prop_oneof![4 => Just(ReplicaState::Active), 1 => Just(ReplicaState::Gone)];
     prop_oneof![
         8 => (1u32..5, 1.0..1500.0, any::<bool>())
-            .prop_map(|(parts, timeout, partial)| Happens::Ask { parts, timeout, partial }),
+            .prop_map(|(parts, timeout, partial)| Step::Ask { parts, timeout, partial }),
         8 => (any::<usize>(), outcome, prop::bool::weighted(0.9))
-            .prop_map(|(which, outcome, value)| Happens::Ends { which, outcome, value }),
-        3 => any::<usize>().prop_map(Happens::TimesOut),
-        2 => any::<usize>().prop_map(Happens::ProbeEnds),
-        2 => any::<usize>().prop_map(Happens::Leaves),
-        8 => (0.0..400.0).prop_map(Happens::Passes),
-        1 => prop::collection::vec(state, 3).prop_map(Happens::Lists),
-        1 => (0.0..3000.0).prop_map(Happens::EndsBy),
+            .prop_map(|(which, outcome, value)| Step::AttemptEnds { which, outcome, value }),
+        3 => any::<usize>().prop_map(Step::AttemptTimesOut),
+        2 => any::<usize>().prop_map(Step::ProbeEnds),
+        2 => any::<usize>().prop_map(Step::ClientLeaves),
+        8 => (0.0..400.0).prop_map(Step::TimePasses),
+        1 => prop::collection::vec(state, 3).prop_map(Step::ListChanges),
+        1 => (0.0..3000.0).prop_map(Step::ProcessEndsBy),
     ]
 }
 
@@ -63,75 +63,75 @@
 }
 
 fn ask(parts: u32, timeout: f64, partial: bool) -> QueryRequest {
-    let part = |shard| PartRequest { shard, weight: 1.0 / f64::from(parts), hint: None, key: None };
+    let part = |shard| PartRequest { shard, weight: 1.0 / f64::from(parts), work_hint: None, key: None };
     QueryRequest {
         id: "r".into(),
         class: "search".into(),
         tenant: None,
         timeout: Some(timeout),
-        waited: 0.0,
-        retried: false,
-        partial,
+        queued: 0.0,
+        is_retry: false,
+        accepts_partial: partial,
         key: None,
         parts: (0..parts).map(part).collect(),
-        text: b"text"[..].into(),
+        payload: b"text"[..].into(),
     }
 }
 
 /// Returns the element that `which` selects, modulo the number of elements, or `None` if there are none.
-fn any_of<T: Copy + Ord>(mut all: Vec<T>, which: usize) -> Option<T> {
+fn select<T: Copy + Ord>(mut all: Vec<T>, which: usize) -> Option<T> {
     all.sort_unstable();
     (!all.is_empty()).then(|| all[which % all.len()])
 }
 
-fn happen(core: &mut Core, now: &mut Millis, what: &Happens) {
+fn apply(core: &mut Core, now: &mut Millis, step: &Step) {
     let ledger = &core.ledger;
-    match *what {
-        Happens::Ask { parts, timeout, partial } => {
+    match *step {
+        Step::Ask { parts, timeout, partial } => {
             core.take_in(*now, ask(parts, timeout, partial)).unwrap();
         }
-        Happens::Ends { which, outcome, value } => {
-            if let Some(no) = any_of(ledger.out.keys().copied().collect(), which) {
+        Step::AttemptEnds { which, outcome, value } => {
+            if let Some(no) = select(ledger.outstanding.keys().copied().collect(), which) {
                 let value = Some(b"v"[..].into()).filter(|_| value);
                 core.call_ended(*now, no, CallEnd { outcome, value, load: None });
             }
         }
-        Happens::TimesOut(which) => {
-            if let Some(no) = any_of(ledger.out.keys().copied().collect(), which) {
+        Step::AttemptTimesOut(which) => {
+            if let Some(no) = select(ledger.outstanding.keys().copied().collect(), which) {
                 core.call_timed_out(*now, no);
             }
         }
-        Happens::ProbeEnds(which) => {
-            if let Some(no) = any_of(ledger.probes.out.keys().copied().collect(), which) {
+        Step::ProbeEnds(which) => {
+            if let Some(no) = select(ledger.probes.outstanding.keys().copied().collect(), which) {
                 core.probe_ended(no, which.is_multiple_of(2), None);
             }
         }
-        Happens::Leaves(which) => {
-            if let Some(no) = any_of(ledger.queries.keys().copied().collect(), which) {
+        Step::ClientLeaves(which) => {
+            if let Some(no) = select(ledger.queries.keys().copied().collect(), which) {
                 core.client_gone(*now, no);
             }
         }
-        Happens::Passes(time) => {
+        Step::TimePasses(time) => {
             *now += time;
             core.step(*now);
         }
-        Happens::Lists(ref states) => core.apply_directory_update(list(states)),
-        Happens::EndsBy(at) => core.end_by(*now + at),
+        Step::ListChanges(ref states) => core.apply_directory_update(list(states)),
+        Step::ProcessEndsBy(at) => core.end_by(*now + at),
     }
 }
 
 /// Checks that the counts and indexes that are updated incrementally equal those recomputed from all records.
-fn recount(ledger: &Ledger, now: Millis) {
+fn check_indexes(ledger: &Ledger, now: Millis) {
     let open = ledger.parts.values().filter(|part| part.value.is_none()).count();
-    assert_eq!(ledger.open(), ledger.queries.len() + open);
+    assert_eq!(ledger.open_work(), ledger.queries.len() + open);
     assert_eq!(ledger.deadlines.0.len(), ledger.queries.len());
     for at in [now, now + 250.0, now + 5000.0] {
-        let over = ledger.queries.iter().filter(|(_, query)| query.deadline <= at);
-        assert_eq!(ledger.deadlines.overdue(at), over.map(|(no, _)| *no).collect::<Vec<_>>());
+        let overdue = ledger.queries.iter().filter(|(_, query)| query.deadline <= at);
+        assert_eq!(ledger.deadlines.overdue(at), overdue.map(|(no, _)| *no).collect::<Vec<_>>());
     }
-    let mut probed: Vec<_> = ledger.probes.out.values().cloned().collect();
+    let mut probed: Vec<_> = ledger.probes.outstanding.values().cloned().collect();
     probed.sort();
-    let mut known: Vec<_> = ledger.probes.probed.iter().cloned().collect();
+    let mut known: Vec<_> = ledger.probes.run_stores.iter().cloned().collect();
     known.sort();
     assert_eq!(probed, known, "at most one probe of each run store is outstanding");
 }
@@ -139,14 +139,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn indexes_equal_a_recount_after_any_history(history in prop::collection::vec(happens(), 1..150)) {
+    fn indexes_match_the_records_after_any_history(history in prop::collection::vec(any_step(), 1..150)) {
         let mut core = core();
         let mut now = 0.0;
         core.apply_directory_update(list(&[ReplicaState::Active; 3]));
         core.step(now);
-        for what in &history {
-            happen(&mut core, &mut now, what);
-            recount(&core.ledger, now);
+        for step in &history {
+            apply(&mut core, &mut now, step);
+            check_indexes(&core.ledger, now);
             while let Some(command) = core.next_command() {
                 if let Command::Answer { query, .. } = command {
                     assert!(!core.ledger.queries.contains_key(&query), "an answered query is removed");
@@ -155,7 +155,7 @@
         }
         // Everything left ends by its deadline, and no record of it remains.
         core.step(now + 1000.0);
-        recount(&core.ledger, now + 1000.0);
-        assert_eq!(core.ledger.open(), 0);
+        check_indexes(&core.ledger, now + 1000.0);
+        assert_eq!(core.ledger.open_work(), 0);
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -275,7 +275,7 @@
     settings: Settings,
     site: SiteSettings,
     /// When each cause was last logged, by its code.
-    said: BTreeMap<&'static str, Millis>,
+    cause_logged_at: BTreeMap<&'static str, Millis>,
     /// The trace writer, while a trace is recorded.
     trace_writer: Option<Box<TraceWriter>>,
     max_open: usize,
@@ -284,29 +284,29 @@
     /// The number of shards, if known.
     shards: Option<u32>,
     /// When the process will exit; no deadline is later.
-    ends: Millis,
+    exit_time: Millis,
     probe_timeout: Millis,
     ledger: Ledger,
     manual_drains: ManualDrains,
     /// The start times of run stores, and the present time of the clock that they are expressed in, once it
     /// is known.
-    starts: StartTimes,
+    start_times: StartTimes,
     clock: Option<Millis>,
     /// When [`Core::note_clock`] was first called.
-    began: Option<Millis>,
+    clock_started: Option<Millis>,
     /// Whether the directory has sent a list.
-    listed: bool,
+    list_received: bool,
     /// The watch on the agent, where lists are pushed, and the watch on the discovery service, in case it
     /// stops responding.
-    agent: WatchSchedule,
-    service: WatchSchedule,
-    chance: u64,
+    agent_watch: WatchSchedule,
+    service_watch: WatchSchedule,
+    random_state: u64,
     /// The rate at which this core itself refuses queries, from which it derives retry advice.
     advice: RetryAdvice,
     /// Events for the next step.
-    inbox: Vec<Event>,
+    pending_events: Vec<Event>,
     commands: VecDeque<Command>,
-    wake: Option<Millis>,
+    wake_time: Option<Millis>,
     /// The counters.
     pub counters: Counters,
 }
@@ -324,25 +324,25 @@
             settings: Settings::default(),
             site: site.clone(),
             trace_writer: None,
-            said: BTreeMap::new(),
+            cause_logged_at: BTreeMap::new(),
             max_open: 0,
             held_elsewhere: 0,
             shards: None,
-            ends: Millis::INFINITY,
+            exit_time: Millis::INFINITY,
             probe_timeout: 0.0,
             ledger: Ledger::default(),
             manual_drains: ManualDrains::default(),
-            starts: StartTimes::default(),
+            start_times: StartTimes::default(),
             clock: None,
-            began: None,
-            listed: false,
-            agent: WatchSchedule::an_agent(),
-            service: WatchSchedule::the_service(),
-            chance: mix(seed),
+            clock_started: None,
+            list_received: false,
+            agent_watch: WatchSchedule::an_agent(),
+            service_watch: WatchSchedule::the_service(),
+            random_state: mix(seed),
             advice: RetryAdvice::default(),
-            inbox: Vec::new(),
+            pending_events: Vec::new(),
             commands: VecDeque::new(),
-            wake: None,
+            wake_time: None,
             counters: Counters::default(),
         };
         core.apply_settings(site)?;
@@ -356,15 +356,15 @@
     pub fn apply_settings(&mut self, site: &SiteSettings) -> Result<(), String> {
         let mut settings = site.router_settings();
         settings.check()?;
-        let queries = &self.ledger.queries;
-        self.classes.take(site, |place| queries.values().any(|query| query.class == place));
-        settings.classes = self.classes.for_router();
+        let open_queries = &self.ledger.queries;
+        self.classes.apply_settings(site, |index| open_queries.values().any(|query| query.class == index));
+        settings.classes = self.classes.router_classes();
         self.router.apply_settings(settings.clone())?;
         for name in self.classes.names() {
             self.counters.classes.entry(name.clone()).or_default();
         }
         if self.settings.parallel_attempts && !settings.parallel_attempts {
-            self.ledger.forbid_copies();
+            self.ledger.forbid_parallel_attempts();
         }
         self.tenants = site.names().tenants.into_iter().map(|(name, at)| (name.into(), at)).collect();
         self.settings = settings;
@@ -383,35 +383,35 @@
 
     /// Sets the time at which the process exits, and caps the deadline of every query to it.
     pub fn end_by(&mut self, at: Millis) {
-        self.ends = at;
-        self.ledger.end_by(at);
+        self.exit_time = at;
+        self.ledger.cap_deadlines(at);
     }
 
     /// Sets the current time and the lead of the wall clock over it. Before the first call, start times are
     /// taken as lists state them.
     pub fn note_clock(&mut self, now: Millis, wall_ahead: Millis) {
-        self.began.get_or_insert(now);
+        self.clock_started.get_or_insert(now);
         self.clock = Some(now);
-        self.starts.note_wall_clock(wall_ahead);
+        self.start_times.note_wall_clock(wall_ahead);
     }
 
     /// Returns how long the client of a query waits: the stated time, capped by the deadline of its class;
     /// `None` if there is no such class.
     pub fn wait_of(&self, class: &str, stated: Option<Millis>) -> Option<Millis> {
-        let most = self.classes.at(self.classes.named(class)?).deadline;
-        Some(stated.unwrap_or(most).min(most))
+        let class_deadline = self.classes.get(self.classes.index_of(class)?).deadline;
+        Some(stated.unwrap_or(class_deadline).min(class_deadline))
     }
 
     /// Moves the deadline of a query forward to `at`, if that is earlier.
     pub fn end_query_by(&mut self, no: QueryNo, at: Millis) {
-        self.ledger.end_query_by(no, at);
+        self.ledger.cap_deadline(no, at);
     }
 
     /// Returns whether queries of a class need an idempotency key, without which none of their parts may be
     /// sent.
     pub fn is_keyed(&self, class: &str) -> bool {
-        let at = self.classes.named(class);
-        at.is_some_and(|at| matches!(self.classes.at(at).class.repeat, RepeatPolicy::Keyed { .. }))
+        let index = self.classes.index_of(class);
+        index.is_some_and(|index| matches!(self.classes.get(index).class.repeat, RepeatPolicy::Keyed { .. }))
     }
 
     /// Returns the number of shards, if known.
@@ -431,25 +431,25 @@
 
     /// Returns whether a step is needed now.
     pub fn has_pending_events(&self) -> bool {
-        !self.inbox.is_empty() || self.watching().is_broken()
+        !self.pending_events.is_empty() || self.active_watch().is_broken()
     }
 
     /// Returns when the next step is needed if nothing happens before.
     pub fn wake_at(&self) -> Option<Millis> {
-        self.wake.into_iter().chain(self.watching().due()).reduce(f64::min)
+        self.wake_time.into_iter().chain(self.active_watch().due()).reduce(f64::min)
     }
 
-    fn watching(&self) -> &WatchSchedule {
-        if self.is_pushed() {
-            &self.agent
+    fn active_watch(&self) -> &WatchSchedule {
+        if self.lists_are_pushed() {
+            &self.agent_watch
         } else {
-            &self.service
+            &self.service_watch
         }
     }
 
     /// Returns whether lists are pushed to this aggregator's local agent. The router never requests a list
     /// then.
-    fn is_pushed(&self) -> bool {
+    fn lists_are_pushed(&self) -> bool {
         self.settings.discovery == Discovery::Pushed
     }
 
@@ -461,14 +461,14 @@
     /// Returns the gauges for the metrics.
     pub fn gauges(&self) -> Gauges {
         let parked: HashSet<_> = self.router.parked().collect();
-        let places = self.ledger.run_stores.iter();
-        let ejected = |(id, place): &(&ReplicaId, &RunStoreEntry)| {
-            place.replica.state != ReplicaState::Active || parked.contains(id)
+        let entries = self.ledger.run_stores.iter();
+        let ejected = |(id, entry): &(&ReplicaId, &RunStoreEntry)| {
+            entry.effective.state != ReplicaState::Active || parked.contains(id)
         };
         Gauges {
             active: self.ledger.queries.len(),
             pool_size: self.ledger.run_stores.len(),
-            pool_ejected: places.filter(ejected).count(),
+            pool_ejected: entries.filter(ejected).count(),
         }
     }
 
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -7,43 +7,45 @@
 impl Core {
     /// Records the end of an attempt. Only the first end of each attempt counts.
     pub fn call_ended(&mut self, now: Millis, no: CallNo, end: CallEnd) {
-        let Some(out) = self.ledger.out.remove(&no) else { return };
+        let Some(outstanding) = self.ledger.outstanding.remove(&no) else { return };
         // An answer that arrives after the attempt was abandoned is still used, and so is proof that the
         // attempt never ran. Any other end only proves that the attempt is over.
-        let told =
+        let is_conclusive =
             end.outcome == Outcome::Completed || end.outcome == Outcome::Errored || end.outcome.never_ran();
-        let end = match out.given_up.filter(|_| !told) {
+        let end = match outstanding.abandoned.filter(|_| !is_conclusive) {
             Some(outcome) => CallEnd { outcome, ..end },
             None => end,
         };
-        self.ledger.calls.remove(&(out.part.clone(), out.attempt));
+        self.ledger.call_numbers.remove(&(outstanding.part.clone(), outstanding.attempt));
         self.counters.ended(end.outcome);
-        if let Some(part) = self.ledger.parts.get_mut(&out.part) {
-            part.out -= 1;
+        if let Some(part) = self.ledger.parts.get_mut(&outstanding.part) {
+            part.outstanding -= 1;
             if !end.outcome.never_ran() {
-                part.may_have_run = Some(part.may_have_run.map_or(out.sent, |at| at.min(out.sent)));
+                part.may_have_run =
+                    Some(part.may_have_run.map_or(outstanding.sent, |at| at.min(outstanding.sent)));
             }
             if end.outcome == Outcome::Completed && part.value.is_none() {
                 part.value = end.value;
                 self.ledger.open_parts -= usize::from(part.value.is_some());
             }
         }
-        let load = end.load.filter(|_| self.starts.is_sure(&out.replica, now));
-        self.inbox.push(Event::AttemptEnded(AttemptEnded {
-            part: out.part,
-            attempt: out.attempt,
-            replica: out.replica,
+        let load = end.load.filter(|_| self.start_times.is_sure(&outstanding.run_store, now));
+        self.pending_events.push(Event::AttemptEnded(AttemptEnded {
+            part: outstanding.part,
+            attempt: outstanding.attempt,
+            replica: outstanding.run_store,
             outcome: end.outcome,
-            latency: now - out.sent,
+            latency: now - outstanding.sent,
             load,
         }));
     }
 
     /// Records the end of a probe, by its response or by its timeout. Only the first end counts.
     pub fn probe_ended(&mut self, no: CallNo, ok: bool, load: Option<LoadReport>) {
-        if let Some(replica) = self.ledger.probes.remove(&no) {
-            let load = load.filter(|_| self.clock.is_none_or(|now| self.starts.is_sure(&replica, now)));
-            self.inbox.push(Event::ProbeEnded { replica, ok, load });
+        if let Some(run_store) = self.ledger.probes.remove(&no) {
+            let load =
+                load.filter(|_| self.clock.is_none_or(|now| self.start_times.is_sure(&run_store, now)));
+            self.pending_events.push(Event::ProbeEnded { replica: run_store, ok, load });
         }
     }
 }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -10,105 +10,105 @@
 
 /// Milliseconds after the start within which changes from the directory count as its initial state instead of
 /// as new changes.
-const PROMPT: Millis = 200.0;
+const INITIAL_STATE_WITHIN: Millis = 200.0;
 
 impl Core {
     /// Passes all events up to `now` to the router and carries out the actions that it returns.
     pub fn step(&mut self, now: Millis) {
         self.trace_segment(now);
-        self.end_overdue(now);
-        if self.wake.is_some_and(|at| at <= now) {
-            self.wake = None;
-            self.inbox.push(Event::Wake);
+        self.end_overdue_queries(now);
+        if self.wake_time.is_some_and(|at| at <= now) {
+            self.wake_time = None;
+            self.pending_events.push(Event::Wake);
         }
-        let events = std::mem::take(&mut self.inbox);
-        let noted = self.trace_writer.as_mut().map(|trace_writer| trace_writer.events(now, &events));
+        let events = std::mem::take(&mut self.pending_events);
+        let traced_events = self.trace_writer.as_mut().map(|trace_writer| trace_writer.events(now, &events));
         let actions = self.router.step(now, events);
-        if let Some((trace_writer, noted)) = self.trace_writer.as_mut().zip(noted) {
-            trace_writer.step(now, noted, &actions);
+        if let Some((trace_writer, traced_events)) = self.trace_writer.as_mut().zip(traced_events) {
+            trace_writer.step(now, traced_events, &actions);
         }
         for action in actions {
-            self.act(now, action);
+            self.run_action(now, action);
         }
-        let watching = if self.is_pushed() { &mut self.agent } else { &mut self.service };
-        if watching.begins(now) {
+        let watch = if self.lists_are_pushed() { &mut self.agent_watch } else { &mut self.service_watch };
+        if watch.begins(now) {
             self.commands.push_back(Command::Watch);
         }
     }
 
-    fn act(&mut self, now: Millis, action: Action) {
+    fn run_action(&mut self, now: Millis, action: Action) {
         match action {
             Action::Send { part, replica, timeout, .. } => self.send(now, part, replica, timeout),
             Action::Cancel { part, attempt, .. } => self.cancel(now, &part, attempt),
-            Action::Answer { query, whole } => self.answer(now, &query, whole),
+            Action::Answer { query, whole } => self.answer_query(now, &query, whole),
             Action::Refuse { query, retry_after, cause } => {
-                self.end(now, &query, FinalAnswer::Refused { retry_after, cause });
+                self.end_query(now, &query, FinalAnswer::Refused { retry_after, cause });
             }
             Action::Fail { query, retry_after, cause } => {
-                self.end(now, &query, FinalAnswer::Failed { retry_after, cause });
+                self.end_query(now, &query, FinalAnswer::Failed { retry_after, cause });
             }
             Action::Probe { replica } => self.probe(replica),
             Action::CloseIdle { replica } => self.commands.push_back(Command::CloseIdle(replica)),
             Action::Subscribe => self.commands.push_back(Command::Watch),
-            Action::WakeAt(at) => self.wake = Some(self.wake.map_or(at, |known| known.min(at))),
+            Action::WakeAt(at) => self.wake_time = Some(self.wake_time.map_or(at, |earlier| earlier.min(at))),
             Action::Log(text) => self.commands.push_back(Command::Log(text)),
         }
     }
 
-    fn probe(&mut self, replica: crate::api::ReplicaId) {
-        let place = self.ledger.run_stores.get(&replica);
+    fn probe(&mut self, run_store: crate::api::ReplicaId) {
+        let entry = self.ledger.run_stores.get(&run_store);
         // Nothing new is sent to a draining run store, including probes from before the drain.
-        let listed =
-            place.is_some_and(|place| place.at.is_some() && place.replica.state == ReplicaState::Active);
+        let may_probe = entry
+            .is_some_and(|entry| entry.location.is_some() && entry.effective.state == ReplicaState::Active);
         // Each run store has at most one outstanding probe: a second one would only add load to a run store
         // in trouble.
-        if self.ledger.probes.is_out(&replica) {
+        if self.ledger.probes.is_outstanding(&run_store) {
             return;
         }
-        if !listed {
-            self.inbox.push(Event::ProbeEnded { replica, ok: false, load: None });
+        if !may_probe {
+            self.pending_events.push(Event::ProbeEnded { replica: run_store, ok: false, load: None });
             return;
         }
-        let no = CallNo(self.ledger.number());
-        self.ledger.probes.insert(no, replica.clone());
+        let no = CallNo(self.ledger.next_number());
+        self.ledger.probes.insert(no, run_store.clone());
         self.counters.probes += 1;
-        self.commands.push_back(Command::Probe { replica, no });
+        self.commands.push_back(Command::Probe { replica: run_store, no });
     }
 
     /// Applies an update of the list of run stores.
-    pub fn apply_directory_update(&mut self, mut news: DirectoryUpdate) {
-        self.place_starts(&mut news);
-        let (listed, whole) = match &news {
+    pub fn apply_directory_update(&mut self, mut update: DirectoryUpdate) {
+        self.convert_start_times(&mut update);
+        let (lines, whole) = match &update {
             DirectoryUpdate::Cached(lines) | DirectoryUpdate::Full(lines) => (lines.as_slice(), true),
             DirectoryUpdate::Changes(lines) => (lines.as_slice(), false),
             // The service's watch schedules its own retry; the router's retry delays are for a service that
             // fails.
-            DirectoryUpdate::Silent if !self.is_pushed() => {
-                return self.service.silent(draw(&mut self.chance));
+            DirectoryUpdate::Silent if !self.lists_are_pushed() => {
+                return self.service_watch.silent(draw(&mut self.random_state));
             }
             DirectoryUpdate::Failed | DirectoryUpdate::Silent => {
-                self.agent.broken();
+                self.agent_watch.broken();
                 (&[][..], false)
             }
         };
         if whole {
-            let named: HashSet<_> = listed.iter().map(|line| &line.replica.id).collect();
+            let listed_ids: HashSet<_> = lines.iter().map(|line| &line.replica.id).collect();
             let missing: Vec<_> =
-                self.ledger.run_stores.keys().filter(|id| !named.contains(id)).cloned().collect();
+                self.ledger.run_stores.keys().filter(|id| !listed_ids.contains(id)).cloned().collect();
             for id in missing {
                 self.ledger.run_stores.remove(&id);
-                self.manual_drains.forget(&id);
-                self.starts.forget(&id);
+                self.manual_drains.note_delisted(&id);
+                self.start_times.forget(&id);
                 self.commands.push_back(Command::Retire(id));
             }
         }
-        for line in listed {
+        for line in lines {
             self.locate(line);
         }
         let drains = &self.manual_drains;
         let replicas =
-            |lines: Vec<ListedRunStore>| lines.iter().map(|line| drains.over(&line.replica)).collect();
-        self.inbox.push(Event::List(match news {
+            |lines: Vec<ListedRunStore>| lines.iter().map(|line| drains.apply_to(&line.replica)).collect();
+        self.pending_events.push(Event::List(match update {
             DirectoryUpdate::Cached(lines) => ListUpdate::Cached(replicas(lines)),
             DirectoryUpdate::Full(lines) => ListUpdate::Full(replicas(lines)),
             DirectoryUpdate::Changes(lines) => ListUpdate::Changes(replicas(lines)),
@@ -118,54 +118,58 @@
 
     /// Returns the latest list, without operators' manual drains.
     pub fn directory(&self) -> Vec<ListedRunStore> {
-        let line = |place: &RunStoreEntry| {
-            let told = &place.listed;
-            let started = self.starts.stated(&told.id).or(told.started);
-            let replica = Replica { started, ..told.clone() };
-            ListedRunStore { replica, address: place.at.map(|(address, _)| address) }
+        let line = |entry: &RunStoreEntry| {
+            let listed = &entry.listed;
+            let started = self.start_times.stated(&listed.id).or(listed.started);
+            let replica = Replica { started, ..listed.clone() };
+            ListedRunStore { replica, address: entry.location.map(|(address, _)| address) }
         };
         self.ledger.run_stores.values().map(line).collect()
     }
 
     /// Converts the start times that lines state to the process's clock.
-    fn place_starts(&mut self, news: &mut DirectoryUpdate) {
-        let whole = matches!(news, DirectoryUpdate::Full(_));
-        let (lines, told) = match news {
+    fn convert_start_times(&mut self, update: &mut DirectoryUpdate) {
+        let whole = matches!(update, DirectoryUpdate::Full(_));
+        let (lines, source) = match update {
             DirectoryUpdate::Cached(lines) => (lines, StartSource::AtFirst),
             DirectoryUpdate::Full(lines) | DirectoryUpdate::Changes(lines) => {
-                let first = !std::mem::replace(&mut self.listed, true);
-                let told = if first && (whole || self.is_prompt()) {
+                let first = !std::mem::replace(&mut self.list_received, true);
+                let source = if first && (whole || self.has_just_started()) {
                     StartSource::AtFirst
                 } else {
                     StartSource::Since
                 };
-                (lines, told)
+                (lines, source)
             }
             DirectoryUpdate::Failed | DirectoryUpdate::Silent => return,
         };
         let Some(now) = self.clock else { return };
         let warm_within = self.settings.cold.map_or(0.0, |rule| rule.warm_within);
         for replica in lines.iter_mut().map(|line| &mut line.replica) {
-            replica.started = self.starts.place(&replica.id, replica.started, now, told, warm_within);
+            replica.started = self.start_times.place(&replica.id, replica.started, now, source, warm_within);
         }
     }
 
     /// Returns whether the process started so recently that no watch can have waited for a change yet.
-    fn is_prompt(&self) -> bool {
-        let (Some(began), Some(now)) = (self.began, self.clock) else { return true };
-        now - began <= PROMPT
+    fn has_just_started(&self) -> bool {
+        let (Some(began), Some(now)) = (self.clock_started, self.clock) else { return true };
+        now - began <= INITIAL_STATE_WITHIN
     }
 
     fn locate(&mut self, line: &ListedRunStore) {
-        let replica = self.manual_drains.over(&line.replica);
-        let (id, state) = (replica.id.clone(), replica.state);
-        let place = self.ledger.run_stores.get_mut(&id);
-        let before = place.as_deref();
-        let known =
-            before.filter(|place| place.replica.state == ReplicaState::Active).and_then(|place| place.at);
-        let at = line.address.map(|address| (address, replica.started)).or(before.and_then(|place| place.at));
+        let effective = self.manual_drains.apply_to(&line.replica);
+        let (id, state) = (effective.id.clone(), effective.state);
+        let entry = self.ledger.run_stores.get_mut(&id);
+        let previous = entry.as_deref();
+        let active_at = previous
+            .filter(|entry| entry.effective.state == ReplicaState::Active)
+            .and_then(|entry| entry.location);
+        let location = line
+            .address
+            .map(|address| (address, effective.started))
+            .or(previous.and_then(|entry| entry.location));
         if state == ReplicaState::Active {
-            if let Some((address, started)) = at.filter(|_| known != at) {
+            if let Some((address, started)) = location.filter(|_| active_at != location) {
                 self.commands.push_back(Command::Locate { replica: id.clone(), address, started });
             }
         } else {
@@ -176,15 +180,15 @@
             // Run stores are continually replaced by new ones with new names, so nothing is kept of removed
             // ones.
             self.ledger.run_stores.remove(&id);
-            self.manual_drains.forget(&id);
-            self.starts.forget(&id);
+            self.manual_drains.note_delisted(&id);
+            self.start_times.forget(&id);
             return;
         }
-        let now = RunStoreEntry { listed: line.replica.clone(), replica, at };
-        match place {
-            Some(place) => *place = now,
+        let updated = RunStoreEntry { listed: line.replica.clone(), effective, location };
+        match entry {
+            Some(entry) => *entry = updated,
             None => {
-                self.ledger.run_stores.insert(id, now);
+                self.ledger.run_stores.insert(id, updated);
             }
         }
     }
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -29,9 +29,9 @@
     pub fn takeover_state(&self) -> TakeoverState {
         TakeoverState {
             manual_drains: self.manual_drains.clone(),
-            starts: self.starts.clone(),
+            starts: self.start_times.clone(),
             learned: self.router.export_learned(),
-            classes: self.classes.order(),
+            classes: self.classes.names_by_index(),
         }
     }
 
@@ -46,15 +46,15 @@
         state: TakeoverState,
     ) -> Result<bool, String> {
         self.manual_drains = state.manual_drains;
-        self.starts = state.starts;
-        self.classes.in_order(&state.classes, site);
+        self.start_times = state.starts;
+        self.classes.restore_order(&state.classes, site);
         self.apply_settings(site)?;
         Ok(self.router.import_learned(&state.learned))
     }
 
     /// Returns the number of open queries plus their parts without an answer.
     pub fn held(&self) -> usize {
-        self.ledger.open()
+        self.ledger.open_work()
     }
 
     /// Sets the number of queries and parts that another process of this aggregator holds; the limit applies
--- a/src/core/trace_events.rs
+++ b/src/core/trace_events.rs
@@ -11,8 +11,8 @@
 use crate::trace::MODULE;
 
 /// Returns how the trace records a final answer.
-pub(super) fn how(verdict: &FinalAnswer) -> How {
-    match verdict {
+pub(super) fn how_ended(final_answer: &FinalAnswer) -> How {
+    match final_answer {
         FinalAnswer::Served { whole: true, .. } => How::Whole,
         FinalAnswer::Served { whole: false, .. } => How::Partial,
         FinalAnswer::Refused { .. } => How::Refused,
@@ -21,16 +21,16 @@
 }
 
 /// Returns the tenant group of a query, if the settings contain it.
-fn group_of<'a>(groups: &'a BTreeMap<Arc<str>, usize>, ask: &QueryRequest) -> Option<&'a Arc<str>> {
-    groups.get_key_value(ask.tenant.as_deref()?).map(|(name, _)| name)
+fn group_of<'a>(groups: &'a BTreeMap<Arc<str>, usize>, request: &QueryRequest) -> Option<&'a Arc<str>> {
+    groups.get_key_value(request.tenant.as_deref()?).map(|(name, _)| name)
 }
 
 impl Core {
     /// Starts or stops recording to a trace writer, and returns the previous one.
     pub fn record(&mut self, now: Millis, trace_writer: Option<TraceWriter>) -> Option<TraceWriter> {
-        let before = std::mem::replace(&mut self.trace_writer, trace_writer.map(Box::new));
+        let previous = std::mem::replace(&mut self.trace_writer, trace_writer.map(Box::new));
         self.trace_segment(now);
-        before.map(|trace_writer| *trace_writer)
+        previous.map(|trace_writer| *trace_writer)
     }
 
     /// Returns the trace writer, while a trace is recorded.
@@ -53,13 +53,13 @@
         }
     }
 
-    fn in_force(&self) -> ActiveSettings<'_> {
+    fn active_settings(&self) -> ActiveSettings<'_> {
         let mut groups: Vec<_> = self.tenants.iter().map(|(name, at)| (*at, name.clone())).collect();
         groups.sort_unstable();
         ActiveSettings {
             settings: &self.settings,
             text: serde_json::to_string(&self.site).unwrap_or_default(),
-            classes: self.classes.order().iter().map(|name| Arc::from(name.as_str())).collect(),
+            classes: self.classes.names_by_index().iter().map(|name| Arc::from(name.as_str())).collect(),
             groups: groups.into_iter().map(|(_, name)| name).collect(),
         }
     }
@@ -72,7 +72,7 @@
         }
         if let Some(mut trace_writer) = self.trace_writer.take() {
             if let Ok(state) = postcard::to_stdvec(&self.router) {
-                trace_writer.begin(now, *MODULE, state, self.in_force());
+                trace_writer.begin(now, *MODULE, state, self.active_settings());
             }
             self.trace_writer = Some(trace_writer);
         }
@@ -80,53 +80,53 @@
 
     pub(super) fn trace_settings(&mut self) {
         if let Some(mut trace_writer) = self.trace_writer.take() {
-            trace_writer.settings(self.in_force());
+            trace_writer.settings(self.active_settings());
             self.trace_writer = Some(trace_writer);
         }
     }
 
-    pub(super) fn trace_taken(
+    pub(super) fn trace_accepted(
         &mut self,
         now: Millis,
         no: QueryNo,
         class: usize,
-        ask: &QueryRequest,
+        request: &QueryRequest,
         deadline: Millis,
     ) {
         if let Some(trace_writer) = &mut self.trace_writer {
-            let (class, group) = (&self.classes.at(class).name, group_of(&self.tenants, ask));
+            let (class, group) = (&self.classes.get(class).name, group_of(&self.tenants, request));
             trace_writer.taken(
                 now,
-                (no.0, &ask.id),
+                (no.0, &request.id),
                 class,
                 group,
-                (ask.parts.len(), deadline - now, ask.retried),
+                (request.parts.len(), deadline - now, request.retried),
             );
         }
     }
 
     /// Records a query that is refused before the router sees it.
-    pub(super) fn trace_turned_away(
+    pub(super) fn trace_refused(
         &mut self,
         now: Millis,
         no: QueryNo,
         class: usize,
-        ask: &QueryRequest,
-        (until, cause): (Millis, Cause),
+        request: &QueryRequest,
+        (deadline, cause): (Millis, Cause),
     ) {
-        self.trace_taken(now, no, class, ask, until);
+        self.trace_accepted(now, no, class, request, deadline);
         if let Some(trace_writer) = &mut self.trace_writer {
             trace_writer.verdict(
                 now,
                 &QueryEnd {
                     query: no.0,
-                    class: &self.classes.at(class).name,
-                    group: group_of(&self.tenants, ask),
+                    class: &self.classes.get(class).name,
+                    group: group_of(&self.tenants, request),
                     taken: now,
                     how: How::Refused,
                     cause: Some(cause),
                     parts_in: 0,
-                    parts: ask.parts.len(),
+                    parts: request.parts.len(),
                 },
             );
         }
@@ -148,20 +148,20 @@
     }
 
     /// Records the end of a query that is still open.
-    pub(super) fn trace_verdict(&mut self, now: Millis, no: QueryNo, how: How, cause: Option<Cause>) {
+    pub(super) fn trace_query_end(&mut self, now: Millis, no: QueryNo, how: How, cause: Option<Cause>) {
         let Some(trace_writer) = &mut self.trace_writer else { return };
         let Some(query) = self.ledger.queries.get(&no) else { return };
-        let is_in = |id: &&_| self.ledger.parts.get(id).is_some_and(|part| part.value.is_some());
+        let is_answered = |id: &&_| self.ledger.parts.get(id).is_some_and(|part| part.value.is_some());
         trace_writer.verdict(
             now,
             &QueryEnd {
                 query: no.0,
-                class: &self.classes.at(query.class).name,
+                class: &self.classes.get(query.class).name,
                 group: query.group.as_ref(),
-                taken: query.taken,
+                taken: query.accepted,
                 how,
                 cause,
-                parts_in: query.parts.iter().filter(is_in).count(),
+                parts_in: query.parts.iter().filter(is_answered).count(),
                 parts: query.parts.len(),
             },
         );
