--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -20,17 +20,17 @@
 use crate::operator::Operator;
 use crate::transport::span;
 use program::Program;
-use signals::Told;
+use signals::SignalReceiver;
 
 /// New connections still arrive for a while after SIGTERM. They are accepted for [`KEEP_IDLE`] and this time more.
-const KEEP_ACCEPTING: Duration = Duration::from_millis(250);
+const ACCEPT_GRACE: Duration = Duration::from_millis(250);
 /// The platform kills a process 0.7 s after the longest deadline, of which it counts at most this much.
-const MOST_COUNTED: Duration = Duration::from_millis(3000);
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3000);
 /// How long after that deadline the process waits for its remaining work.
-const LAST_WAIT: Duration = Duration::from_millis(600);
+const EXIT_GRACE: Duration = Duration::from_millis(600);
 /// The last part of that time, which is reserved for writing final answers.
-const LAST_WRITE: Duration = Duration::from_millis(100);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Runs an aggregator with the configuration in a file until SIGTERM or SIGINT, then drains it.
 ///
@@ -43,18 +43,18 @@
 
 async fn serve(path: &Path, executor: Rc<LocalExecutor<'static>>) -> Result<(), String> {
     // Before anything else: a signal that is not caught would end the process.
-    let mut signals = Told::new().map_err(|error| error.to_string())?;
+    let mut signals = SignalReceiver::new().map_err(|error| error.to_string())?;
     let config = Config::load(path)?;
     let name = config.name.clone();
     let operators = program::operators(&config).await?;
-    let meeting = handover::path(&name);
-    let taken = new::take(&meeting, &name).await?.map(new::Taken::split);
+    let handover_socket = handover::path(&name);
+    let taken = new::take(&handover_socket, &name).await?.map(new::Taken::split);
     let (inherited, link) = taken.map(|(state, sockets, link)| ((state, sockets), link)).unzip();
     let program = Program::new(path, config, executor.clone(), inherited).await?;
     program.accept();
     let wire = Rc::new(Wire::default());
-    let others = stay_in_step(meeting, link, program.clone(), wire.clone());
-    executor.spawn(others).detach();
+    let handover_task = run_handover(handover_socket, link, program.clone(), wire.clone());
+    executor.spawn(handover_task).detach();
     if let Some(listener) = operators {
         if let Ok(at) = listener.local_addr() {
             log::line(&format!("operators call {at}"));
@@ -66,49 +66,49 @@
         log::line(&format!("{name} listens on {at}"));
     }
 
-    let attend = |signal| match signal {
+    let handle = |signal| match signal {
         Signal::Usr1 => log::line(&format!("counters {}", program.driver.counters())),
-        Signal::Hup => program.reloads.reload(),
+        Signal::Hup => program.reloader.reload(),
         _ => {}
     };
-    until_told_to_end(&mut signals, attend).await;
+    wait_for_exit_signal(&mut signals, handle).await;
     // Planned shutdown: go on accepting for a while, answer everything, then exit.
     log::line("draining");
     program.door.leave();
-    let left = span(program.driver.longest_deadline()).min(MOST_COUNTED) + LAST_WAIT;
-    let end = Instant::now() + left;
+    let time_left = span(program.driver.longest_deadline()).min(MAX_COUNTED_DEADLINE) + EXIT_GRACE;
+    let end = Instant::now() + time_left;
     // Every query, open or still to come, is answered before the last write.
-    program.driver.end_by(left - LAST_WRITE);
+    program.driver.end_by(time_left - FINAL_WRITE_TIME);
     let server = program.server.clone();
     let stop_reading = async move {
-        Timer::at(end - LAST_WRITE).await;
+        Timer::at(end - FINAL_WRITE_TIME).await;
         server.stop_reading();
     };
     executor.spawn(stop_reading).detach();
     let drained = async {
-        Timer::after(KEEP_IDLE + KEEP_ACCEPTING).await;
+        Timer::after(KEEP_IDLE + ACCEPT_GRACE).await;
         program.close().await;
         while !program.is_done() {
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     };
-    let last = async {
+    let time_over = async {
         Timer::at(end).await;
     };
     let signals = async {
         loop {
-            until_told_to_end(&mut signals, attend).await;
+            wait_for_exit_signal(&mut signals, handle).await;
         }
     };
-    future::or(drained, future::or(last, signals)).await;
+    future::or(drained, future::or(time_over, signals)).await;
     program.end_recording().await;
     log::line(&format!("counters {}", program.driver.counters()));
     Ok(())
 }
 
 /// Follows the process that this one takes over from, and then waits for one that takes over from it.
-async fn stay_in_step(
-    meeting: std::path::PathBuf,
+async fn run_handover(
+    handover_socket: std::path::PathBuf,
     link: Option<(handover::link::Link, handover::link::Lines)>,
     program: Rc<Program>,
     wire: Rc<Wire>,
@@ -116,15 +116,15 @@
     if let Some(link) = link {
         new::follow(link, &*program, &wire).await;
     }
-    old::wait(&meeting, program, &wire).await;
+    old::wait(&handover_socket, program, &wire).await;
 }
 
 /// Handles signals until one asks the program to exit.
-async fn until_told_to_end(signals: &mut Told, attend: impl Fn(Signal)) {
+async fn wait_for_exit_signal(signals: &mut SignalReceiver, handle: impl Fn(Signal)) {
     loop {
         match signals.next().await {
             Signal::Term | Signal::Int => return,
-            signal => attend(signal),
+            signal => handle(signal),
         }
     }
 }
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -13,7 +13,7 @@
 use futures_lite::future;
 use ironpaddle_trace::file::Source;
 
-use super::reload::Reloads;
+use super::reload::Reloader;
 use crate::api::{Millis, ReplicaId};
 use crate::config::{Api, Config};
 use crate::core::drive::{Directory, Driver, RunStores};
@@ -37,11 +37,11 @@
 use crate::transport::opensearch::Searches;
 
 /// How long a start waits for peers of the replicated store.
-const PEERS_WAIT: Duration = Duration::from_millis(2000);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const PEER_SYNC_TIMEOUT: Duration = Duration::from_millis(2000);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long the shutdown waits until the end of the trace is on disk.
-const DISK_WAIT: Duration = Duration::from_millis(1000);
-const KEEP_DIRECTORY_EVERY: Duration = Duration::from_millis(500);
+const TRACE_FLUSH_TIMEOUT: Duration = Duration::from_millis(1000);
+const DIRECTORY_SAVE_INTERVAL: Duration = Duration::from_millis(500);
 /// File descriptors other than those of clients and run stores: standard streams, the reactor, listeners,
 /// discovery.
 const OTHER_DESCRIPTORS: usize = 24;
@@ -53,7 +53,7 @@
     pub(super) driver: Rc<Driver>,
     pub(super) server: Rc<Server>,
     pub(super) door: Rc<Door>,
-    pub(super) reloads: Reloads,
+    pub(super) reloader: Reloader,
     /// The socket that clients connect to, until it is closed.
     listener: RefCell<Option<TcpListener>>,
     store: Option<(Rc<Store>, TcpListener)>,
@@ -79,13 +79,13 @@
         let mut sockets = sockets.unwrap_or_default().into_iter();
         let listener = listen("listen", config.listen, sockets.next()).await?;
         let store = start_store(&config, &executor, sockets.next(), state.as_ref()).await?;
-        let site = settle_settings(&config, store.as_ref().map(|(store, _)| &**store))?;
+        let site = newest_settings(&config, store.as_ref().map(|(store, _)| &**store))?;
         let mut core = Core::new(&site, config.seed()).map_err(|why| format!("key settings: {why}"))?;
         if let Some(state) = &state {
-            let read = core
+            let learned_state_read = core
                 .restore_takeover_state(&site, state.takeover_state.clone())
                 .map_err(|why| format!("key settings: {why}"))?;
-            log::line(if read {
+            log::line(if learned_state_read {
                 "handover: taken over"
             } else {
                 "handover: taken over, but the learned state could not be read"
@@ -109,12 +109,12 @@
             Api::Opensearch => Rc::new(Searches::new(driver.clone(), limits)),
         };
         let (known, version) = known_list(&config, state.as_ref(), store.as_ref().map(|(store, _)| &**store));
-        let (listing, reload) = directory(&config, version, &driver)?;
-        driver.connect(stores, listing);
+        let (directory, reload) = build_directory(&config, version, &driver)?;
+        driver.connect(stores, directory);
         driver.apply_directory_update(DirectoryUpdate::Cached(known.endpoints));
         executor.spawn(driver.clone().run()).detach();
         if let Some((store, _)) = &store {
-            executor.spawn(keep_directory(store.clone(), driver.clone())).detach();
+            executor.spawn(save_directory(store.clone(), driver.clone())).detach();
         }
         let door = Rc::new(Door::default());
         door.by_hand(state.as_ref().is_some_and(|state| state.shut));
@@ -126,14 +126,14 @@
         let server = Server::new("client", executor.clone(), front, limits, door.clone());
         executor.spawn(server.clone().drain()).detach();
         let copy = store.as_ref().map(|(store, _)| store.clone());
-        let reloads = Reloads::new(path.into(), config.clone(), driver.clone(), reload, copy);
+        let reloader = Reloader::new(path.into(), config.clone(), driver.clone(), reload, copy);
         let program = Rc::new(Program {
             config,
             executor,
             driver,
             server,
             door,
-            reloads,
+            reloader,
             listener: RefCell::new(Some(listener)),
             store,
             accepting: RefCell::default(),
@@ -171,11 +171,11 @@
         let _ = self.driver.record(false);
         let written = async {
             while self.driver.recording().is_some_and(|control| !control.is_done()) {
-                Timer::after(LOOK_EVERY).await;
+                Timer::after(POLL_INTERVAL).await;
             }
         };
         future::or(written, async {
-            Timer::after(DISK_WAIT).await;
+            Timer::after(TRACE_FLUSH_TIMEOUT).await;
         })
         .await;
     }
@@ -203,7 +203,7 @@
         list.index = self.driver.version().unwrap_or(0);
         State {
             list,
-            discovery: self.reloads.discovery(),
+            discovery: self.reloader.discovery(),
             takeover_state: self.driver.takeover_state(),
             now: Some(self.driver.now()),
             shut: self.door.is_shut_by_hand(),
@@ -255,17 +255,17 @@
 }
 
 /// Returns a listener at an address: the inherited one, or a new one.
-async fn listen(key: &str, address: SocketAddr, passed: Option<OwnedFd>) -> Result<TcpListener, String> {
+async fn listen(key: &str, address: SocketAddr, inherited: Option<OwnedFd>) -> Result<TcpListener, String> {
     let failed = |error: std::io::Error| format!("key {key}: {address}: {error}");
-    let Some(passed) = passed else {
+    let Some(socket) = inherited else {
         return TcpListener::bind(address).await.map_err(failed);
     };
-    let listener = TcpListener::try_from(std::net::TcpListener::from(passed)).map_err(failed)?;
-    let at = listener.local_addr().map_err(failed)?;
+    let listener = TcpListener::try_from(std::net::TcpListener::from(socket)).map_err(failed)?;
+    let bound_to = listener.local_addr().map_err(failed)?;
     // Two processes at two addresses would act as two aggregators.
-    if at.ip() != address.ip() || (address.port() != 0 && at.port() != address.port()) {
+    if bound_to.ip() != address.ip() || (address.port() != 0 && bound_to.port() != address.port()) {
         return Err(format!(
-            "key {key}: the running process listens on {at}; a change of address needs a restart"
+            "key {key}: the running process listens on {bound_to}; a change of address needs a restart"
         ));
     }
     Ok(listener)
@@ -291,18 +291,23 @@
         return (known.clone(), Some(known.index));
     }
     // No list is known here, so start with the last one that a peer knew.
-    let last = store.and_then(|store| serde_json::from_str(&store.get(store::DIRECTORY)?.value).ok());
-    (last.unwrap_or_default(), None)
+    let saved_by_peers =
+        store.and_then(|store| serde_json::from_str(&store.get(store::DIRECTORY)?.value).ok());
+    (saved_by_peers.unwrap_or_default(), None)
 }
 
 /// A directory for the core, and the interface that reloads it.
-type Listing = (Rc<dyn Directory>, Box<dyn Reload>);
+type ReloadableDirectory = (Rc<dyn Directory>, Box<dyn Reload>);
 
 /// Returns the directory that the configuration names, and the interface that points it elsewhere at a
 /// reload.
-fn directory(config: &Config, version: Option<u64>, driver: &Rc<Driver>) -> Result<Listing, String> {
-    if let Some(place) = &config.dns_sd {
-        let dns = DnsSd::new(driver.clone(), place.clone());
+fn build_directory(
+    config: &Config,
+    version: Option<u64>,
+    driver: &Rc<Driver>,
+) -> Result<ReloadableDirectory, String> {
+    if let Some(name) = &config.dns_sd {
+        let dns = DnsSd::new(driver.clone(), name.clone());
         return Ok((Rc::new(dns.clone()), Box::new(dns)));
     }
     let address = config.discovery.ok_or("key discovery: is missing, and so is dns_sd")?;
@@ -315,29 +320,29 @@
 async fn start_store(
     config: &Config,
     executor: &Rc<LocalExecutor<'static>>,
-    passed: Option<OwnedFd>,
+    inherited: Option<OwnedFd>,
     state: Option<&State>,
 ) -> Result<Option<(Rc<Store>, TcpListener)>, String> {
-    let Some(place) = &config.store else { return Ok(None) };
-    let listener = listen("store.listen", place.listen, passed).await?;
+    let Some(store_config) = &config.store else { return Ok(None) };
+    let listener = listen("store.listen", store_config.listen, inherited).await?;
     let store = Rc::new(Store::new(&config.name));
     if let Ok(at) = listener.local_addr() {
         log::line(&format!("store meets peers on {at}"));
     }
-    let peers = Peers::start(store.clone(), executor.clone(), listener.clone(), &place.peers);
+    let peers = Peers::start(store.clone(), executor.clone(), listener.clone(), &store_config.peers);
     if let Some(state) = state {
         for entry in &state.entries {
             store.merge(entry.clone());
         }
         return Ok(Some((store, listener)));
     }
-    let settled = async {
-        while peers.settled() < place.peers.len() {
-            Timer::after(LOOK_EVERY).await;
+    let synced = async {
+        while peers.settled() < store_config.peers.len() {
+            Timer::after(POLL_INTERVAL).await;
         }
     };
-    future::or(settled, async {
-        Timer::after(PEERS_WAIT).await;
+    future::or(synced, async {
+        Timer::after(PEER_SYNC_TIMEOUT).await;
     })
     .await;
     Ok(Some((store, listener)))
@@ -345,11 +350,11 @@
 
 /// Returns the settings of the highest version: those of the configuration file or those in the store. The
 /// file's settings are first put into the store.
-pub fn settle_settings(config: &Config, store: Option<&Store>) -> Result<SiteSettings, String> {
+pub fn newest_settings(config: &Config, store: Option<&Store>) -> Result<SiteSettings, String> {
     let own = config.settings.as_ref().map(|settings| settings.get());
-    if let (Some(store), Some(place)) = (store, &config.store) {
+    if let (Some(store), Some(store_config)) = (store, &config.store) {
         if let Some(own) = own {
-            store.put(store::SETTINGS, place.settings_version, own.to_string());
+            store.put(store::SETTINGS, store_config.settings_version, own.to_string());
         }
         if let Some(entry) = store.get(store::SETTINGS) {
             log::line(&format!("settings of version {} from {}", entry.version, entry.origin));
@@ -360,16 +365,16 @@
 }
 
 /// Writes the directory's list to the store whenever it changes.
-async fn keep_directory(store: Rc<Store>, driver: Rc<Driver>) {
-    let mut kept = List::default();
+async fn save_directory(store: Rc<Store>, driver: Rc<Driver>) {
+    let mut saved = List::default();
     loop {
         let list = List::of(driver.directory());
-        if list != kept && !list.endpoints.is_empty() {
+        if list != saved && !list.endpoints.is_empty() {
             if let Ok(text) = serde_json::to_string(&list) {
                 store.put(store::DIRECTORY, driver.now() as u64, text);
             }
-            kept = list;
+            saved = list;
         }
-        Timer::after(KEEP_DIRECTORY_EVERY).await;
+        Timer::after(DIRECTORY_SAVE_INTERVAL).await;
     }
 }
--- a/src/service/reload.rs
+++ b/src/service/reload.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-use super::program::settle_settings;
+use super::program::newest_settings;
 use crate::config::Config;
 use crate::core::drive::Driver;
 use crate::directory::Reload;
@@ -13,18 +13,18 @@
 use crate::store::Store;
 
 /// Reloads the configuration and applies it to the driver, the directory and the store.
-pub struct Reloads {
+pub struct Reloader {
     path: PathBuf,
     /// The configuration at the start; it stays in force for keys that only a restart applies.
     started: Config,
     /// The configuration that was applied last.
-    last: RefCell<Config>,
+    applied: RefCell<Config>,
     driver: Rc<Driver>,
     directory: Box<dyn Reload>,
     store: Option<Rc<Store>>,
 }
 
-impl Reloads {
+impl Reloader {
     /// Returns a reloader for a file that was started with the given configuration.
     pub fn new(
         path: PathBuf,
@@ -33,38 +33,38 @@
         directory: Box<dyn Reload>,
         store: Option<Rc<Store>>,
     ) -> Self {
-        Reloads { path, last: RefCell::new(started.clone()), started, driver, directory, store }
+        Reloader { path, applied: RefCell::new(started.clone()), started, driver, directory, store }
     }
 
     /// Returns the address of the discovery service at present.
     pub fn discovery(&self) -> Option<SocketAddr> {
-        self.last.borrow().discovery
+        self.applied.borrow().discovery
     }
 
     /// Reads and applies the configuration again. A faulty one changes nothing.
     pub fn reload(&self) {
-        let taken = self.take_up();
-        self.driver.count(|counters| match taken {
+        let result = self.apply();
+        self.driver.count(|counters| match result {
             Ok(()) => counters.config_applied += 1,
             Err(_) => counters.config_rejected += 1,
         });
-        match taken {
+        match result {
             Ok(()) => log::line("reload: done"),
             Err(why) => log::line(&format!("reload: the old configuration stays: {why}")),
         }
     }
 
-    fn take_up(&self) -> Result<(), String> {
+    fn apply(&self) -> Result<(), String> {
         let new = Config::load(&self.path)?;
-        self.last.borrow().all_in(&new)?;
-        let site = settle_settings(&new, self.store.as_deref())?;
+        self.applied.borrow().all_in(&new)?;
+        let site = newest_settings(&new, self.store.as_deref())?;
         // Everything that can be faulty has been checked; the rest cannot fail.
         self.driver.apply_settings(&site).map_err(|why| format!("key settings: {why}"))?;
         self.directory.reload(&new);
         for key in self.started.needs_restart(&new) {
             log::line(&format!("reload: key {key} has changed and needs a restart"));
         }
-        *self.last.borrow_mut() = new;
+        *self.applied.borrow_mut() = new;
         Ok(())
     }
 }
--- a/src/service/signals.rs
+++ b/src/service/signals.rs
@@ -10,39 +10,39 @@
 use futures_lite::{future, StreamExt};
 
 /// How often the marks are checked, in case a wake-up was lost. The shutdown has this much time to spare.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// All handled signals. Those that end the program are last, so that signals that came before are handled
 /// first.
-const KINDS: [Signal; 4] = [Signal::Usr1, Signal::Hup, Signal::Term, Signal::Int];
+const HANDLED_SIGNALS: [Signal; 4] = [Signal::Usr1, Signal::Hup, Signal::Term, Signal::Int];
 
 /// Receives signals.
 ///
 /// The signal handler sets a mark, which cannot fail, and sends a wake-up message, which the system may
 /// refuse.
-pub struct Told {
+pub struct SignalReceiver {
     wake_ups: Signals,
-    marks: [(Signal, Arc<AtomicBool>); KINDS.len()],
+    marks: [(Signal, Arc<AtomicBool>); HANDLED_SIGNALS.len()],
 }
 
-impl Told {
+impl SignalReceiver {
     /// Starts to catch signals: one that is not caught would end the process.
     ///
     /// # Errors
     /// Returns an error if they cannot be caught.
     pub fn new() -> io::Result<Self> {
-        let marks = KINDS.map(|kind| (kind, Arc::new(AtomicBool::new(false))));
-        for (kind, mark) in &marks {
-            signal_hook::flag::register(*kind as i32, mark.clone())?;
+        let marks = HANDLED_SIGNALS.map(|signal| (signal, Arc::new(AtomicBool::new(false))));
+        for (signal, mark) in &marks {
+            signal_hook::flag::register(*signal as i32, mark.clone())?;
         }
-        Ok(Told { wake_ups: Signals::new(KINDS)?, marks })
+        Ok(SignalReceiver { wake_ups: Signals::new(HANDLED_SIGNALS)?, marks })
     }
 
-    /// Waits for the next signal. Several of one kind since the last check count as one.
+    /// Waits for the next signal. Several deliveries of one signal since the last check count as one.
     pub async fn next(&mut self) -> Signal {
         loop {
-            let came = self.marks.iter().find(|(_, mark)| mark.swap(false, Ordering::AcqRel));
-            if let Some((kind, _)) = came {
-                return *kind;
+            let marked = self.marks.iter().find(|(_, mark)| mark.swap(false, Ordering::AcqRel));
+            if let Some((signal, _)) = marked {
+                return *signal;
             }
             let woken = async {
                 // A wake-up that cannot be read has still set its mark, which the next check finds.
@@ -50,10 +50,10 @@
                     future::pending().await
                 }
             };
-            let look = async {
-                Timer::after(LOOK_EVERY).await;
+            let poll = async {
+                Timer::after(POLL_INTERVAL).await;
             };
-            future::or(woken, look).await;
+            future::or(woken, poll).await;
         }
     }
 }
