--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -20,7 +20,7 @@
             self.counters.turned_away += 1;
             let cause = if is_overdue { Cause::Overdue } else { Cause::MaxOpen };
             let final_answer = FinalAnswer::Refused { retry_after: self.retry_advice(now, class), cause };
-            self.counters.answered(&self.classes.get(class).name, &final_answer);
+            self.counters.count_answer(&self.classes.get(class).name, &final_answer);
             self.trace_refused(now, no, class, &request, (deadline, cause));
             self.log_cause(now, class, cause);
             self.commands.push_back(Command::Answer { query: no, answer: final_answer });
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -71,7 +71,7 @@
             }
             final_answer => final_answer,
         };
-        self.counters.answered(&self.classes.get(class).name, &final_answer);
+        self.counters.count_answer(&self.classes.get(class).name, &final_answer);
         self.trace_query_end(now, no, super::trace_events::how_ended(&final_answer), final_answer.cause());
         if let Some(cause) = final_answer.cause() {
             self.log_cause(now, class, cause);
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -200,7 +200,7 @@
     pub fn counters(&self) -> Counters {
         let core = self.core.borrow();
         let transport_run_stores = self.transport.get().map_or(0, |transport| transport.places());
-        Counters { run_stores: core.run_stores(), places: transport_run_stores, ..core.counters.clone() }
+        Counters { run_stores: core.run_stores(), transport_run_stores, ..core.counters.clone() }
     }
 
     /// Returns the gauges.
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -17,7 +17,7 @@
             None => end,
         };
         self.ledger.call_numbers.remove(&(outstanding.part.clone(), outstanding.attempt));
-        self.counters.ended(end.outcome);
+        self.counters.count_attempt_end(end.outcome);
         if let Some(part) = self.ledger.parts.get_mut(&outstanding.part) {
             part.outstanding -= 1;
             if !end.outcome.never_ran() {
--- a/src/core/trace_events.rs
+++ b/src/core/trace_events.rs
@@ -134,7 +134,7 @@
 
     /// Records a request that was answered with an error before it became a query.
     pub fn not_taken(&mut self, now: Millis, class: &str) {
-        self.counters.not_taken(class);
+        self.counters.count_invalid_request(class);
         if let Some(trace_writer) = &mut self.trace_writer {
             trace_writer.not_taken(now, self.classes.names().find(|name| ***name == *class));
         }
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -9,7 +9,7 @@
 
 /// How the requests of a class ended. Requests whose clients left before an answer are not counted here.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct ClassOutcomes {
     /// Served with a whole or a partial answer.
     pub ok: u64,
     /// Refused: a retry is safe.
@@ -50,7 +50,7 @@
     /// Requests answered with a 4xx or 5xx before they became queries.
     pub malformed: u64,
     /// How requests ended, by class, for every class that has been in the settings.
-    pub classes: BTreeMap<Arc<str>, Ends>,
+    pub classes: BTreeMap<Arc<str>, ClassOutcomes>,
     /// Refused and failed queries by class and code of the cause.
     pub causes: BTreeMap<(Arc<str>, &'static str), u64>,
     /// Attempts that were written completely to a run store.
@@ -69,24 +69,24 @@
     /// Run stores that the core keeps an entry for at present.
     pub run_stores: usize,
     /// Run stores that the transport keeps any state of at present.
-    pub places: usize,
+    pub transport_run_stores: usize,
 }
 
 impl Counters {
-    pub(crate) fn answered(&mut self, class: &Arc<str>, verdict: &FinalAnswer) {
-        let ends = self.classes.entry(class.clone()).or_default();
-        *match verdict {
-            FinalAnswer::Served { .. } => &mut ends.ok,
-            FinalAnswer::Refused { .. } => &mut ends.shed,
-            FinalAnswer::Failed { .. } => &mut ends.errors,
+    pub(crate) fn count_answer(&mut self, class: &Arc<str>, final_answer: &FinalAnswer) {
+        let outcomes = self.classes.entry(class.clone()).or_default();
+        *match final_answer {
+            FinalAnswer::Served { .. } => &mut outcomes.ok,
+            FinalAnswer::Refused { .. } => &mut outcomes.shed,
+            FinalAnswer::Failed { .. } => &mut outcomes.errors,
         } += 1;
-        *match verdict {
+        *match final_answer {
             FinalAnswer::Served { whole: true, .. } => &mut self.whole,
             FinalAnswer::Served { whole: false, .. } => &mut self.partial,
             FinalAnswer::Refused { .. } => &mut self.refused,
             FinalAnswer::Failed { .. } => &mut self.failed,
         } += 1;
-        if let Some(cause) = verdict.cause() {
+        if let Some(cause) = final_answer.cause() {
             *self.causes.entry((class.clone(), cause.code())).or_default() += 1;
         }
     }
@@ -94,14 +94,14 @@
     /// Counts a request that was answered with a 4xx or 5xx before it became a query. It counts as an error
     /// of its class if that is or was in the settings. Other names are not kept, as clients can send any
     /// number of them.
-    pub(crate) fn not_taken(&mut self, class: &str) {
+    pub(crate) fn count_invalid_request(&mut self, class: &str) {
         self.malformed += 1;
-        if let Some(ends) = self.classes.get_mut(class) {
-            ends.errors += 1;
+        if let Some(outcomes) = self.classes.get_mut(class) {
+            outcomes.errors += 1;
         }
     }
 
-    pub(crate) fn ended(&mut self, outcome: Outcome) {
+    pub(crate) fn count_attempt_end(&mut self, outcome: Outcome) {
         self.ends[match outcome {
             Outcome::Completed => 0,
             Outcome::Errored => 1,
@@ -116,13 +116,13 @@
 }
 
 /// Returns the metrics in StatsD's format, one per line: counters `|c`, gauges `|g`.
-pub fn stats(counters: &Counters, gauges: &Gauges) -> String {
-    let ends = |(class, ends): (&Arc<str>, &Ends)| {
-        [("ok", ends.ok), ("shed", ends.shed), ("errors", ends.errors)]
+pub fn statsd(counters: &Counters, gauges: &Gauges) -> String {
+    let responses = |(class, outcomes): (&Arc<str>, &ClassOutcomes)| {
+        [("ok", outcomes.ok), ("shed", outcomes.shed), ("errors", outcomes.errors)]
             .map(|(end, count)| format!("aggregator.responses.{class}.{end}:{count}|c\n"))
             .concat()
     };
-    let mut text: String = counters.classes.iter().map(ends).collect();
+    let mut text: String = counters.classes.iter().map(responses).collect();
     for ((class, cause), count) in &counters.causes {
         text += &format!("aggregator.causes.{class}.{cause}:{count}|c\n");
     }
@@ -157,7 +157,7 @@
             self.tries,
             self.probes,
             self.run_stores,
-            self.places,
+            self.transport_run_stores,
         )
     }
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -72,7 +72,7 @@
     }
 
     fn stats(&self) -> String {
-        counters::stats(&self.driver.counters(), &self.driver.gauges())
+        counters::statsd(&self.driver.counters(), &self.driver.gauges())
     }
 
     /// The recording: what to do with it, and then how it stands, as JSON.
--- a/src/trace/writer.rs
+++ b/src/trace/writer.rs
@@ -348,7 +348,7 @@
         }
         self.counted = at;
         self.note(at, |batch| {
-            let class = |(name, ends): (&Arc<str>, &crate::counters::Ends)| ClassCounts {
+            let class = |(name, ends): (&Arc<str>, &crate::counters::ClassOutcomes)| ClassCounts {
                 class: batch.name(Kind::Class, name),
                 ok: ends.ok,
                 shed: ends.shed,
