--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -40,7 +40,7 @@
             arrived: now,
             deadline,
             parts: request.parts.len() as u32,
-            client_retry: request.retried,
+            client_retry: request.is_retry,
         }));
         let mut parts = Vec::with_capacity(request.parts.len());
         for part in request.parts {
@@ -50,7 +50,7 @@
                 query: no.0,
                 shard: Shard(part.shard),
                 weight: part.weight,
-                cost_hint: part.hint,
+                cost_hint: part.work_hint,
                 key: part.key,
             }));
             let (shard, weight) = (part.shard, part.weight);
@@ -69,8 +69,9 @@
             parts.push(part_id);
         }
         self.ledger.query_numbers.insert(id, no);
-        let QueryRequest { id: client_id, partial, key, text: payload, .. } = request;
-        let query = Query { client_id, class, group, accepted: now, deadline, partial, key, payload, parts };
+        let QueryRequest { id: client_id, accepts_partial, key, payload, .. } = request;
+        let query =
+            Query { client_id, class, group, accepted: now, deadline, accepts_partial, key, payload, parts };
         self.ledger.queries.insert(no, query);
         self.ledger.deadlines.insert(no, deadline);
     }
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -25,7 +25,7 @@
         let whole = whole && share + SHARE_TOLERANCE >= class.whole_from;
         let enough = !answers.is_empty() && share + SHARE_TOLERANCE >= class.least_share;
         let parts = query.parts.len();
-        if enough && (whole || query.partial) {
+        if enough && (whole || query.accepts_partial) {
             self.close_query(now, no, FinalAnswer::Served { whole, answers, parts });
         } else {
             let class = query.class;
@@ -129,7 +129,7 @@
             let (answers, share) = self.ledger.answers(query);
             let enough = !answers.is_empty() && share + SHARE_TOLERANCE >= class_settings.least_share;
             let is_safe = class_settings.repeat == RepeatPolicy::Safe || !self.ledger.may_have_run(query);
-            let final_answer = if enough && query.partial {
+            let final_answer = if enough && query.accepts_partial {
                 FinalAnswer::Served { whole: false, answers, parts: query.parts.len() }
             } else if now >= self.exit_time && is_safe {
                 FinalAnswer::Refused { retry_after: self.retry_advice(now, class), cause }
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -140,9 +140,9 @@
     }
 
     /// Records a request that was answered with an error before it became a query.
-    pub fn not_taken(&self, class: &str) {
+    pub fn note_invalid_request(&self, class: &str) {
         let now = self.now();
-        self.core.borrow_mut().not_taken(now, class);
+        self.core.borrow_mut().note_invalid_request(now, class);
     }
 
     /// Records in the trace that the first byte of an attempt was written at `begun` or, if `written`, that
@@ -297,8 +297,8 @@
     }
 
     /// Returns how long the client of a query waits, or `None` if there is no such class.
-    pub fn wait_of(&self, class: &str, stated: Option<Millis>) -> Option<Duration> {
-        let wait = self.core.borrow().wait_of(class, stated)?;
+    pub fn client_wait(&self, class: &str, stated: Option<Millis>) -> Option<Duration> {
+        let wait = self.core.borrow().client_wait(class, stated)?;
         Some(Duration::from_secs_f64((wait / 1000.0).clamp(0.0, MAX_WAIT_S)))
     }
 
@@ -335,10 +335,10 @@
     ///
     /// # Errors
     /// Returns why the query was rejected.
-    pub fn ask(self: &Rc<Self>, request: QueryRequest) -> Result<Pending, InvalidQuery> {
+    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<Pending, InvalidQuery> {
         let now = self.now();
         let wait =
-            self.core.borrow().wait_of(&request.class, request.timeout).unwrap_or(0.0) - request.waited;
+            self.core.borrow().client_wait(&request.class, request.timeout).unwrap_or(0.0) - request.queued;
         let no = self.core.borrow_mut().take_in(now, request)?;
         let (sender, answer) = async_channel::bounded(1);
         // The timer of the query's deadline: the step after it ends the query if it is still open.
@@ -495,21 +495,21 @@
 
 impl Pending {
     /// Waits for the final answer.
-    pub async fn verdict(&self) -> FinalAnswer {
+    pub async fn answer(&self) -> FinalAnswer {
         self.answer.recv().await.unwrap_or(FinalAnswer::Failed { retry_after: 0.0, cause: Cause::Overdue })
     }
 }
 
 impl Pending {
     /// Waits for the final answer. The deadline moves forward to each instant that `sooner` delivers.
-    pub async fn verdict_before(&self, sooner: Receiver<Instant>) -> FinalAnswer {
+    pub async fn answer_before(&self, sooner: Receiver<Instant>) -> FinalAnswer {
         let end_sooner = async {
             while let Ok(at) = sooner.recv().await {
                 self.driver.end_query_by(self.no, at);
             }
             future::pending().await
         };
-        future::or(self.verdict(), end_sooner).await
+        future::or(self.answer(), end_sooner).await
     }
 }
 
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -23,7 +23,7 @@
     /// When the client stops waiting.
     pub deadline: Millis,
     /// Whether the client accepts a partial answer.
-    pub partial: bool,
+    pub accepts_partial: bool,
     /// Its idempotency key, in a keyed class.
     pub key: Option<Arc<str>>,
     /// The payload that each part carries.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -49,17 +49,17 @@
     /// How long the client waits; `None` for the deadline of the class.
     pub timeout: Option<Millis>,
     /// How much of that time has passed while the query was queued in the front.
-    pub waited: Millis,
+    pub queued: Millis,
     /// Whether the client marked the query as a retry.
-    pub retried: bool,
+    pub is_retry: bool,
     /// Whether the client accepts a partial answer.
-    pub partial: bool,
+    pub accepts_partial: bool,
     /// The idempotency key by which run stores recognize repeats, in a keyed class; see [`Core::is_keyed`].
     pub key: Option<Arc<str>>,
     /// The parts of the query.
     pub parts: Vec<PartRequest>,
     /// The payload that each part carries to its run store.
-    pub text: Rc<[u8]>,
+    pub payload: Rc<[u8]>,
 }
 
 /// A part of a [`QueryRequest`].
@@ -70,7 +70,7 @@
     /// The part's share of the answer; the shares of a query add up to 1.
     pub weight: f64,
     /// An estimate of the part's work, if there is one.
-    pub hint: Option<Millis>,
+    pub work_hint: Option<Millis>,
     /// The key that the part reads or writes, where parts carry keys.
     pub key: Option<Arc<str>>,
 }
@@ -397,7 +397,7 @@
 
     /// Returns how long the client of a query waits: the stated time, capped by the deadline of its class;
     /// `None` if there is no such class.
-    pub fn wait_of(&self, class: &str, stated: Option<Millis>) -> Option<Millis> {
+    pub fn client_wait(&self, class: &str, stated: Option<Millis>) -> Option<Millis> {
         let class_deadline = self.classes.get(self.classes.index_of(class)?).deadline;
         Some(stated.unwrap_or(class_deadline).min(class_deadline))
     }
--- a/src/core/take_in.rs
+++ b/src/core/take_in.rs
@@ -29,7 +29,7 @@
         let class_deadline = self.classes.get(class).deadline;
         // The client's timeout is capped by the deadline of the class, as a longer one would only hold
         // memory. It counts from the last byte of the request, so time spent queued in the front is deducted.
-        let deadline = (now - request.waited + request.timeout.unwrap_or(class_deadline).min(class_deadline))
+        let deadline = (now - request.queued + request.timeout.unwrap_or(class_deadline).min(class_deadline))
             .min(self.exit_time);
         let no = QueryNo(self.ledger.next_number());
         self.counters.taken += 1;
--- a/src/core/trace_events.rs
+++ b/src/core/trace_events.rs
@@ -100,7 +100,7 @@
                 (no.0, &request.id),
                 class,
                 group,
-                (request.parts.len(), deadline - now, request.retried),
+                (request.parts.len(), deadline - now, request.is_retry),
             );
         }
     }
@@ -133,7 +133,7 @@
     }
 
     /// Records a request that was answered with an error before it became a query.
-    pub fn not_taken(&mut self, now: Millis, class: &str) {
+    pub fn note_invalid_request(&mut self, now: Millis, class: &str) {
         self.counters.count_invalid_request(class);
         if let Some(trace_writer) = &mut self.trace_writer {
             trace_writer.not_taken(now, self.classes.names().find(|name| ***name == *class));
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -48,7 +48,7 @@
     }
 
     fn reject(&self, index: &str, Refusal(status, kind, why): Refusal) -> Response {
-        self.driver.not_taken(index);
+        self.driver.note_invalid_request(index);
         error(status, kind, &why)
     }
 
@@ -76,15 +76,15 @@
             class: search.index.clone(),
             tenant: tenant.map(str::to_string),
             timeout: search.timeout,
-            waited: millis(arrived.waited()),
-            retried: false,
-            partial: search.partial,
+            queued: millis(arrived.waited()),
+            is_retry: false,
+            accepts_partial: search.partial,
             key,
             parts: shards
                 .into_iter()
-                .map(|shard| PartRequest { shard, weight, hint: None, key: None })
+                .map(|shard| PartRequest { shard, weight, work_hint: None, key: None })
                 .collect(),
-            text: carry(&search.for_shards(), &request.body).into(),
+            payload: carry(&search.for_shards(), &request.body).into(),
         })
     }
 }
@@ -100,12 +100,12 @@
                 let index = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
                 let read = Search::read(request, self.shards());
                 let asked = read.and_then(|search| self.ask(&search, &arrived).map(|ask| (search, ask)));
-                match asked.map(|(search, ask)| (search, self.driver.ask(ask))) {
+                match asked.map(|(search, ask)| (search, self.driver.submit(ask))) {
                     Ok((search, Ok(pending))) => {
                         let since = arrived.at;
                         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
                         return Box::pin(async move {
-                            let verdict = pending.verdict_before(sooner).await;
+                            let verdict = pending.answer_before(sooner).await;
                             log::verdict(opaque.as_deref().unwrap_or("-"), &verdict);
                             let took = since.elapsed().as_millis() as u64;
                             echo(render(&verdict, &search, &shards, took), opaque)
@@ -135,7 +135,7 @@
 
     fn waits(&self, request: &Message) -> Option<Duration> {
         let search = Search::read(request, self.shards()).ok()?;
-        self.driver.wait_of(&search.index, search.timeout)
+        self.driver.client_wait(&search.index, search.timeout)
     }
 
     fn refuse(&self, why: Refused) -> Response {
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -85,7 +85,7 @@
             return Err(self.reject(class, 409, "a query of this X-Request-ID is being answered"));
         }
         let held = Held { id: ask.id.clone(), all: self.held.clone() };
-        match self.driver.ask(ask) {
+        match self.driver.submit(ask) {
             Ok(pending) => Ok((held, pending)),
             Err(InvalidQuery::UnknownClass) => Err(self.reject(class, 404, "no such class")),
             Err(InvalidQuery::Malformed(why)) => Err(self.reject(class, 400, &why)),
@@ -93,7 +93,7 @@
     }
 
     fn reject(&self, class: &str, status: u16, why: &str) -> Response {
-        self.driver.not_taken(class);
+        self.driver.note_invalid_request(class);
         Response::text(status, why)
     }
 }
@@ -108,7 +108,7 @@
             ("POST", _) => match self.query(&request, path) {
                 Ok((held, pending)) => {
                     return Box::pin(async move {
-                        let verdict = pending.verdict_before(sooner).await;
+                        let verdict = pending.answer_before(sooner).await;
                         log::verdict(&held.id, &verdict);
                         let response = render(&verdict);
                         drop(held);
@@ -128,7 +128,7 @@
 
     fn waits(&self, request: &Message) -> Option<Duration> {
         let stated = request.headers.get("x-timeout").and_then(|text| timeout(text).ok());
-        self.driver.wait_of(class_of(path_of(request)), stated)
+        self.driver.client_wait(class_of(path_of(request)), stated)
     }
 
     fn refuse(&self, why: Refused) -> Response {
@@ -171,7 +171,7 @@
     let part = |slice: Slice| PartRequest {
         shard: slice.slice,
         weight: slice.mass,
-        hint: slice.micros.map(|micros| micros / 1000.0),
+        work_hint: slice.micros.map(|micros| micros / 1000.0),
         key: slice.term.map(Into::into),
     };
     Ok(QueryRequest {
@@ -179,12 +179,12 @@
         class: class.to_string(),
         tenant: tenant.map(str::to_string),
         timeout,
-        waited: millis(arrived.waited()),
-        retried: header("x-retried") == Some("1"),
-        partial: true,
+        queued: millis(arrived.waited()),
+        is_retry: header("x-retried") == Some("1"),
+        accepts_partial: true,
         key: keyed.then(|| super::key(&request.headers)).transpose()?.map(Into::into),
         parts: body.slices.into_iter().map(part).collect(),
-        text: body.filter.into_bytes().into(),
+        payload: body.filter.into_bytes().into(),
     })
 }
 
--- a/tests/common/core.rs
+++ b/tests/common/core.rs
@@ -6,18 +6,18 @@
 
 /// A query of some parts of equal weight, with the first shards.
 pub fn ask(id: &str, class: &str, parts: u32, timeout: f64) -> QueryRequest {
-    let part = |shard| PartRequest { shard, weight: 1.0 / f64::from(parts), hint: None, key: None };
+    let part = |shard| PartRequest { shard, weight: 1.0 / f64::from(parts), work_hint: None, key: None };
     QueryRequest {
         id: id.into(),
         class: class.into(),
         tenant: None,
         timeout: Some(timeout),
-        waited: 0.0,
-        retried: false,
-        partial: true,
+        queued: 0.0,
+        is_retry: false,
+        accepts_partial: true,
         key: None,
         parts: (0..parts).map(part).collect(),
-        text: b"text"[..].into(),
+        payload: b"text"[..].into(),
     }
 }
 
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -166,13 +166,13 @@
     executor.spawn(driver.clone().run()).detach();
     let (mut client, server) = std::os::unix::net::UnixStream::pair().unwrap();
     let mut server = Async::new(server).unwrap();
-    let pending = driver.ask(fixture::ask("r1", "search", 1, 9000.0)).unwrap();
+    let pending = driver.submit(fixture::ask("r1", "search", 1, 9000.0)).unwrap();
     let serves = async {
         let left = async {
             let _ = server.read(&mut [0]).await;
         };
         let answered = async {
-            pending.verdict().await;
+            pending.answer().await;
         };
         future::or(left, answered).await;
         drop(pending);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -66,7 +66,7 @@
             let (class, parts) = if random.bool() { ("search", random.u32(1..6)) } else { ("entry", 1) };
             let mut ask = fixture::ask(&format!("c{asked}"), class, parts, 800.0 + random.f64() * 3000.0);
             ask.tenant = ["vaal", "vaal-muon", "unknown"].get(random.usize(..4)).map(ToString::to_string);
-            ask.retried = random.f64() < 0.1;
+            ask.is_retry = random.f64() < 0.1;
             asked += 1;
             let no = core.take_in(now, ask).unwrap();
             if random.f64() < 0.02 {
@@ -74,7 +74,7 @@
             }
         }
         if random.f64() < 0.002 {
-            core.not_taken(now, "search");
+            core.note_invalid_request(now, "search");
         }
         if random.f64() < 0.004 {
             let news = list(&mut random, now);
