--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -66,19 +66,19 @@
 
 impl RunStores for NoStores {
     fn send(&self, _: Call) {}
-    fn give_up(&self, _: &ReplicaId, _: CallNo, _: bool) {}
+    fn abandon(&self, _: &ReplicaId, _: CallNo, _: bool) {}
     fn probe(&self, _: &ReplicaId, _: CallNo) {}
     fn probe_timed_out(&self, _: &ReplicaId, _: CallNo) {}
     fn close_idle(&self, _: &ReplicaId) {}
     fn retire(&self, _: &ReplicaId) {}
     fn locate(&self, _: &ReplicaId, _: SocketAddr, _: Option<Millis>) {}
-    fn places(&self) -> usize {
+    fn tracked_run_stores(&self) -> usize {
         0
     }
-    fn open(&self) -> usize {
+    fn connections(&self) -> usize {
         0
     }
-    fn room(&self, _: usize) {}
+    fn set_max_connections(&self, _: usize) {}
     fn apply_settings(&self, _: &SiteSettings) {}
 }
 
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -33,23 +33,23 @@
     /// soon as it is proved to be over: its run store has read the cancellation, has answered it, has closed
     /// its connection, or can never have received the whole request. That may never happen; the core then
     /// abandons the attempt once more, without `await_proof`.
-    fn give_up(&self, replica: &ReplicaId, no: CallNo, await_proof: bool);
+    fn abandon(&self, run_store: &ReplicaId, no: CallNo, await_proof: bool);
     /// Starts a probe. It ends by one [`Driver::probe_ended`] or by its timeout.
-    fn probe(&self, replica: &ReplicaId, no: CallNo);
+    fn probe(&self, run_store: &ReplicaId, no: CallNo);
     /// Informs the transport that a probe has timed out.
-    fn probe_timed_out(&self, replica: &ReplicaId, no: CallNo);
+    fn probe_timed_out(&self, run_store: &ReplicaId, no: CallNo);
     /// Closes the idle connections to a run store.
-    fn close_idle(&self, replica: &ReplicaId);
+    fn close_idle(&self, run_store: &ReplicaId);
     /// Stops sending to a run store, including queued attempts.
-    fn retire(&self, replica: &ReplicaId);
+    fn retire(&self, run_store: &ReplicaId);
     /// Sets the address of a run store; an earlier process of the same name no longer exists.
-    fn locate(&self, replica: &ReplicaId, address: std::net::SocketAddr, started: Option<Millis>);
+    fn locate(&self, run_store: &ReplicaId, address: std::net::SocketAddr, started: Option<Millis>);
     /// Returns the number of run stores that the transport keeps any state of.
-    fn places(&self) -> usize;
+    fn tracked_run_stores(&self) -> usize;
     /// Returns the number of open connections.
-    fn open(&self) -> usize;
+    fn connections(&self) -> usize;
     /// Sets the maximum number of connections.
-    fn room(&self, connections: usize);
+    fn set_max_connections(&self, max: usize);
     /// Applies new settings.
     fn apply_settings(&self, site: &SiteSettings);
 }
@@ -199,7 +199,7 @@
     /// Returns the counters.
     pub fn counters(&self) -> Counters {
         let core = self.core.borrow();
-        let transport_run_stores = self.transport.get().map_or(0, |transport| transport.places());
+        let transport_run_stores = self.transport.get().map_or(0, |transport| transport.tracked_run_stores());
         Counters { run_stores: core.run_stores(), transport_run_stores, ..core.counters.clone() }
     }
 
@@ -239,7 +239,7 @@
 
     /// Returns the number of connections to run stores.
     pub fn connections(&self) -> usize {
-        self.transport.get().map_or(0, |transport| transport.open())
+        self.transport.get().map_or(0, |transport| transport.connections())
     }
 
     /// Sets the number of queries and parts that another process of this aggregator holds, and the number of
@@ -247,7 +247,7 @@
     pub fn leave_room(&self, held: usize, connections: usize) {
         self.core.borrow_mut().leave_room(held);
         if let Some(transport) = self.transport.get() {
-            transport.room(connections);
+            transport.set_max_connections(connections);
         }
     }
 
@@ -442,13 +442,13 @@
                 self.timers.borrow_mut().insert(no, timer);
                 transport.send(call);
             }
-            Command::Abandon { replica, no, await_proof } => {
-                transport.give_up(&replica, no, await_proof);
+            Command::Abandon { run_store, no, await_proof } => {
+                transport.abandon(&run_store, no, await_proof);
                 let timer = self.timers.borrow_mut().remove(&no);
                 drop(timer);
             }
-            Command::Probe { replica, no } => {
-                let (driver, id) = (self.clone(), replica.clone());
+            Command::Probe { run_store, no } => {
+                let (driver, id) = (self.clone(), run_store.clone());
                 let limit = Duration::from_secs_f64(self.core.borrow().probe_timeout() / 1000.0);
                 let timer = self.executor.spawn(async move {
                     Timer::after(limit).await;
@@ -458,11 +458,11 @@
                     driver.probe_ended(no, false, None);
                 });
                 self.timers.borrow_mut().insert(no, timer);
-                transport.probe(&replica, no);
+                transport.probe(&run_store, no);
             }
-            Command::CloseIdle(replica) => transport.close_idle(&replica),
-            Command::Retire(replica) => transport.retire(&replica),
-            Command::Locate { replica, address, started } => transport.locate(&replica, address, started),
+            Command::CloseIdle(run_store) => transport.close_idle(&run_store),
+            Command::Retire(run_store) => transport.retire(&run_store),
+            Command::Locate { run_store, address, started } => transport.locate(&run_store, address, started),
             Command::Watch => {
                 if let Some(directory) = self.directory.get() {
                     directory.watch();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -145,7 +145,7 @@
     /// The number under which the transport reports the end of the attempt.
     pub no: CallNo,
     /// The run store.
-    pub replica: ReplicaId,
+    pub run_store: ReplicaId,
     /// The part's id on the wire: the query's id, a dot and the shard.
     pub part: String,
     /// The client's id of the query.
@@ -153,7 +153,7 @@
     /// The class's name.
     pub class: Arc<str>,
     /// The number of the query, and the number of the attempt among those of its part.
-    pub of: (QueryNo, u32),
+    pub query_attempt: (QueryNo, u32),
     /// The query's idempotency key, in a keyed class.
     pub key: Option<Arc<str>>,
     /// The shard.
@@ -164,7 +164,7 @@
     /// for a connection after the decision to send it, and its last byte has to be written by this time.
     pub allowed_until: Millis,
     /// The payload of the part.
-    pub text: Rc<[u8]>,
+    pub payload: Rc<[u8]>,
 }
 
 impl Call {
@@ -226,7 +226,7 @@
     /// Abandon an attempt.
     Abandon {
         /// The run store.
-        replica: ReplicaId,
+        run_store: ReplicaId,
         /// The attempt.
         no: CallNo,
         /// Whether the core waits for proof that the attempt has ended at the run store. Otherwise its end is
@@ -236,7 +236,7 @@
     /// Probe a run store.
     Probe {
         /// The run store.
-        replica: ReplicaId,
+        run_store: ReplicaId,
         /// The number of the probe.
         no: CallNo,
     },
@@ -247,7 +247,7 @@
     /// Use this address for a run store, whose process started at the given time.
     Locate {
         /// The run store.
-        replica: ReplicaId,
+        run_store: ReplicaId,
         /// The address that it listens on.
         address: std::net::SocketAddr,
         /// When its process started, if known.
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -72,7 +72,7 @@
         let no = CallNo(self.ledger.next_number());
         self.ledger.probes.insert(no, run_store.clone());
         self.counters.probes += 1;
-        self.commands.push_back(Command::Probe { replica: run_store, no });
+        self.commands.push_back(Command::Probe { run_store, no });
     }
 
     /// Applies an update of the list of run stores.
@@ -170,7 +170,7 @@
             .or(previous.and_then(|entry| entry.location));
         if state == ReplicaState::Active {
             if let Some((address, started)) = location.filter(|_| active_at != location) {
-                self.commands.push_back(Command::Locate { replica: id.clone(), address, started });
+                self.commands.push_back(Command::Locate { run_store: id.clone(), address, started });
             }
         } else {
             // The drain rule also counts calls that are queued or connecting.
--- a/src/core/send.rs
+++ b/src/core/send.rs
@@ -40,16 +40,16 @@
         let repeat = self.classes.get(query.class).class.repeat;
         self.commands.push_back(Command::Send(Call {
             no,
-            replica: run_store,
+            run_store,
             part: format!("{}.{shard}", query.client_id),
             query: query.client_id.clone(),
             class: self.classes.get(query.class).name.clone(),
-            of: (query_no, attempt.0),
+            query_attempt: (query_no, attempt.0),
             key: query.key.clone(),
             shard,
             until,
             allowed_until: repeat.allowed_until(may_have_run),
-            text: query.payload.clone(),
+            payload: query.payload.clone(),
         }));
     }
 
@@ -73,7 +73,7 @@
         {
             outstanding.abandoned = Some(outcome);
             self.commands.push_back(Command::Abandon {
-                replica: outstanding.run_store.clone(),
+                run_store: outstanding.run_store.clone(),
                 no,
                 await_proof: true,
             });
@@ -98,7 +98,7 @@
     fn abandon_now(&mut self, now: Millis, no: CallNo, outcome: Outcome) {
         if let Some(outstanding) = self.ledger.outstanding.get(&no) {
             self.commands.push_back(Command::Abandon {
-                replica: outstanding.run_store.clone(),
+                run_store: outstanding.run_store.clone(),
                 no,
                 await_proof: false,
             });
--- a/src/core/trace_events.rs
+++ b/src/core/trace_events.rs
@@ -143,7 +143,7 @@
     /// Records the progress of an attempt on its connection.
     pub fn progress(&mut self, now: Millis, call: &Call, progress: Progress) {
         if let Some(trace_writer) = &mut self.trace_writer {
-            trace_writer.wire(now, call.of.0 .0, call.shard, call.of.1, progress);
+            trace_writer.wire(now, call.query_attempt.0 .0, call.shard, call.query_attempt.1, progress);
         }
     }
 
--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -281,7 +281,7 @@
                     shard: call.shard,
                     wait: wait(call),
                     key: call.key.as_deref(),
-                    text: &call.text,
+                    text: &call.payload,
                 })))
             }
         }
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -195,7 +195,7 @@
 
     /// Puts a call on a connection, or hands it back if there is no room for one.
     fn try_put(self: &Rc<Self>, call: Call, push: Push) -> Option<(Call, Push)> {
-        match self.connection(&call.replica) {
+        match self.connection(&call.run_store) {
             Ok(connection) => {
                 push(&mut connection.link.borrow_mut(), call);
                 connection.wake();
@@ -399,7 +399,7 @@
         self.put(call, Link::push);
     }
 
-    fn give_up(&self, replica: &ReplicaId, no: CallNo, await_proof: bool) {
+    fn abandon(&self, replica: &ReplicaId, no: CallNo, await_proof: bool) {
         let unsent = self.take_waiting(|call| call.no == no);
         if await_proof {
             self.report(
@@ -454,7 +454,7 @@
         if let Some(place) = self.places.borrow_mut().get_mut(replica) {
             place.retired = true;
         }
-        for no in self.take_waiting(|call| call.replica == *replica) {
+        for no in self.take_waiting(|call| call.run_store == *replica) {
             self.driver.call_ended(no, CallEnd::bare(Outcome::NotSent));
         }
         self.each(replica, |connection| {
@@ -465,15 +465,15 @@
         self.forget(replica);
     }
 
-    fn places(&self) -> usize {
+    fn tracked_run_stores(&self) -> usize {
         self.places.borrow().len()
     }
 
-    fn open(&self) -> usize {
+    fn connections(&self) -> usize {
         self.open.get()
     }
 
-    fn room(&self, connections: usize) {
+    fn set_max_connections(&self, connections: usize) {
         self.limits.set(Limits { connections, ..self.limits.get() });
         self.put_waiting();
     }
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -322,8 +322,8 @@
         let request = match job {
             Job::Probe(_) => write::request("GET", "/", &host, &[], &[]),
             Job::Search(call) => {
-                let cut = call.text.iter().position(|byte| *byte == b'\n').unwrap_or(0);
-                let parameters = String::from_utf8_lossy(&call.text[..cut]);
+                let cut = call.payload.iter().position(|byte| *byte == b'\n').unwrap_or(0);
+                let parameters = String::from_utf8_lossy(&call.payload[..cut]);
                 let wait = (call.until - self.driver.now()).max(1.0) as u64;
                 let target = format!(
                     "/{}/_search?preference=_shards:{}&{parameters}&timeout={wait}ms\
@@ -333,7 +333,7 @@
                 let mut headers =
                     vec![("Content-Type", "application/json"), ("X-Opaque-Id", call.query.as_str())];
                 headers.extend(call.key.as_deref().map(|key| ("Idempotency-Key", key)));
-                write::request("POST", &target, &host, &headers, &call.text[cut + 1..])
+                write::request("POST", &target, &host, &headers, &call.payload[cut + 1..])
             }
         };
         let begun = self.driver.now();
@@ -440,11 +440,11 @@
 
 impl RunStores for Rc<Searches> {
     fn send(&self, call: Call) {
-        let replica = call.replica.clone();
+        let replica = call.run_store.clone();
         self.queue(&replica, Job::Search(call));
     }
 
-    fn give_up(&self, replica: &ReplicaId, no: CallNo, await_proof: bool) {
+    fn abandon(&self, replica: &ReplicaId, no: CallNo, await_proof: bool) {
         if await_proof {
             self.call_back(replica, no);
         } else {
@@ -475,15 +475,15 @@
         self.forget(replica);
     }
 
-    fn places(&self) -> usize {
+    fn tracked_run_stores(&self) -> usize {
         self.places.borrow().len()
     }
 
-    fn open(&self) -> usize {
+    fn connections(&self) -> usize {
         self.open.get()
     }
 
-    fn room(&self, connections: usize) {
+    fn set_max_connections(&self, connections: usize) {
         self.limits.set(Limits { connections, ..self.limits.get() });
         self.pump_lacking();
     }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -139,13 +139,13 @@
     core.step(5.0);
     let sent = calls(&commands(&mut core));
     assert_eq!(sent.len(), 10);
-    assert!(sent.iter().all(|call| call.replica == "b".into()));
+    assert!(sent.iter().all(|call| call.run_store == "b".into()));
     // A whole list without it says that it is gone, and one that names it again locates it anew.
     core.apply_directory_update(DirectoryUpdate::Full(vec![listed("a", ReplicaState::Active)]));
     let commands = commands(&mut core);
     assert!(commands.contains(&Command::Retire("b".into())), "{commands:?}");
     assert!(
-        matches!(&commands[..], [.., Command::Locate { replica, .. }] if *replica == "a".into()),
+        matches!(&commands[..], [.., Command::Locate { run_store, .. }] if *run_store == "a".into()),
         "{commands:?}"
     );
 }
@@ -250,7 +250,7 @@
     let entry = core.take_in(1.0, ask("entry", 1)).unwrap();
     core.step(5.0);
     let sent = calls(&commands(&mut core));
-    let of = |no| sent.iter().find(|call| call.of.0 == no).unwrap().no;
+    let of = |no| sent.iter().find(|call| call.query_attempt.0 == no).unwrap().no;
     core.end_by(300.0);
     core.call_ended(20.0, of(both), served(b"in"));
     core.step(25.0);
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -102,7 +102,7 @@
         let mut day = Day::in_silence(false);
         day.end(day.first.no, proof);
         let again = day.pass(2.0 * STEP);
-        assert!(again.len() == 1 && again[0].replica != day.first.replica, "{proof:?}: {again:?}");
+        assert!(again.len() == 1 && again[0].run_store != day.first.run_store, "{proof:?}: {again:?}");
         // That the connection has ended says no more than that it is over.
         let told = if proof == Outcome::Reset { Outcome::Cancelled } else { proof };
         assert_eq!(day.core.counters.ends[place(told)], 1, "{proof:?}");
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -37,16 +37,16 @@
 fn call(no: u64, replica: &str, until: Millis, allowed_until: Millis) -> Call {
     Call {
         no: CallNo(no),
-        replica: replica.into(),
+        run_store: replica.into(),
         part: format!("q{no}.0"),
         query: format!("q{no}"),
         class: "search".into(),
-        of: (QueryNo(no), 0),
+        query_attempt: (QueryNo(no), 0),
         key: None,
         shard: 0,
         until,
         allowed_until,
-        text: Rc::from(&b"\ntext"[..]),
+        payload: Rc::from(&b"\ntext"[..]),
     }
 }
 
@@ -107,14 +107,14 @@
         stores.send(call(1, "s", now + 9000.0, Millis::INFINITY));
         // More than the system takes for one that does not read.
         let text = vec![b'x'; 32_000_000].into();
-        stores.send(Call { text, ..call(2, "s", now + 9000.0, now + 200.0) });
+        stores.send(Call { payload: text, ..call(2, "s", now + 9000.0, now + 200.0) });
         let executor = driver.executor().clone();
         let a_while = || async_io::block_on(executor.run(Timer::after(Duration::from_millis(700))));
         a_while();
-        assert_eq!(stores.open(), usize::from(!copies), "copies {copies}");
+        assert_eq!(stores.connections(), usize::from(!copies), "copies {copies}");
         drop(listener.accept().unwrap());
         a_while();
-        assert_eq!(stores.open(), 0, "copies {copies}");
+        assert_eq!(stores.connections(), 0, "copies {copies}");
     }
 }
 
@@ -129,7 +129,7 @@
         self.sent.set(self.sent.get() + 1);
         self.driver.call_ended(call.no, CallEnd::bare(Outcome::Rejected));
     }
-    fn give_up(&self, _: &ReplicaId, _: CallNo, _: bool) {}
+    fn abandon(&self, _: &ReplicaId, _: CallNo, _: bool) {}
     fn probe(&self, _: &ReplicaId, no: CallNo) {
         self.driver.probe_ended(no, true, None);
     }
@@ -137,13 +137,13 @@
     fn close_idle(&self, _: &ReplicaId) {}
     fn retire(&self, _: &ReplicaId) {}
     fn locate(&self, _: &ReplicaId, _: SocketAddr, _: Option<Millis>) {}
-    fn places(&self) -> usize {
+    fn tracked_run_stores(&self) -> usize {
         0
     }
-    fn open(&self) -> usize {
+    fn connections(&self) -> usize {
         0
     }
-    fn room(&self, _: usize) {}
+    fn set_max_connections(&self, _: usize) {}
     fn apply_settings(&self, _: &SiteSettings) {}
 }
 
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -42,16 +42,16 @@
 fn call(no: u64) -> Call {
     Call {
         no: CallNo(no),
-        replica: "s".into(),
+        run_store: "s".into(),
         part: format!("q{no}.0"),
         query: format!("q{no}"),
         class: "c".into(),
-        of: (ironpaddle::core::QueryNo(no), 0),
+        query_attempt: (ironpaddle::core::QueryNo(no), 0),
         key: None,
         shard: 0,
         until: 1e9,
         allowed_until: f64::INFINITY,
-        text: Rc::from(&b"text"[..]),
+        payload: Rc::from(&b"text"[..]),
     }
 }
 
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -63,7 +63,7 @@
                 commands.push(Command::Retire(line.replica.id.clone()));
             } else if before != Some((ReplicaState::Active, at)) {
                 commands.extend(at.map(|(address, started)| Command::Locate {
-                    replica: line.replica.id.clone(),
+                    run_store: line.replica.id.clone(),
                     address,
                     started,
                 }));
--- a/tests/manual_drain.rs
+++ b/tests/manual_drain.rs
@@ -115,15 +115,19 @@
         for command in commands(&mut core) {
             match command {
                 Command::Send(call) => {
-                    prop_assert!(!out || call.replica == "b".into(), "an attempt at {} while it is out", at);
+                    prop_assert!(
+                        !out || call.run_store == "b".into(),
+                        "an attempt at {} while it is out",
+                        at
+                    );
                     queue.push(call);
                 }
-                Command::Probe { replica, no } => {
-                    prop_assert!(!out || replica == "b".into(), "a probe at {} while it is out", at);
+                Command::Probe { run_store, no } => {
+                    prop_assert!(!out || run_store == "b".into(), "a probe at {} while it is out", at);
                     core.probe_ended(no, false, None);
                 }
-                Command::Locate { replica, .. } => {
-                    prop_assert!(!out || replica == "b".into(), "located at {} while it is out", at);
+                Command::Locate { run_store, .. } => {
+                    prop_assert!(!out || run_store == "b".into(), "located at {} while it is out", at);
                 }
                 _ => {}
             }
@@ -162,7 +166,7 @@
         core.step(now);
         for call in calls(&commands(&mut core)) {
             let outcome =
-                if call.replica == "a".into() { Outcome::ConnectFailed } else { Outcome::Completed };
+                if call.run_store == "a".into() { Outcome::ConnectFailed } else { Outcome::Completed };
             core.call_ended(now, call.no, CallEnd { outcome, value: Some(b"v"[..].into()), load: None });
         }
     }
@@ -186,7 +190,7 @@
         let commands = commands(&mut core);
         located += commands.iter().filter(|command| matches!(command, Command::Locate { .. })).count();
         for call in calls(&commands) {
-            if call.replica == "a".into() {
+            if call.run_store == "a".into() {
                 sent.0 += 1
             } else {
                 sent.1 += 1
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -97,7 +97,7 @@
         }
         for call in calls(&commands) {
             // Two run stores fail much, one is slow.
-            let slow = if &*call.replica.0 == "s-2" { 900.0 } else { 60.0 };
+            let slow = if &*call.run_store.0 == "s-2" { 900.0 } else { 60.0 };
             out.push((now + random.f64() * slow, call));
         }
         let due = |(at, call): &(f64, Call)| *at <= now || call.until <= now;
@@ -108,7 +108,7 @@
                 core.call_timed_out(now, call.no);
                 continue;
             }
-            let bad = matches!(&*call.replica.0, "s-3" | "s-4") && step % 1000 > 500;
+            let bad = matches!(&*call.run_store.0, "s-3" | "s-4") && step % 1000 > 500;
             let outcome = match random.u32(..if bad { 8 } else { 200 }) {
                 0 => Outcome::Errored,
                 1 => Outcome::Reset,
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -37,10 +37,10 @@
         core.step(*now);
         let commands = fixture::commands(core);
         for call in fixture::calls(&commands) {
-            let lost = call.replica == "a".into();
+            let lost = call.run_store == "a".into();
             let outcome = if lost { Outcome::ConnectFailed } else { Outcome::Completed };
             core.call_ended(*now, call.no, CallEnd { outcome, value: Some(b"v"[..].into()), load: None });
-            went.push(call.replica.0.to_string());
+            went.push(call.run_store.0.to_string());
         }
     }
     went
