--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -94,12 +94,12 @@
 impl Driver {
     /// Returns a driver for a core; [`Driver::connect`] completes it.
     pub fn new(core: Core, executor: Rc<LocalExecutor<'static>>) -> Rc<Self> {
-        Driver::going_on_from(core, executor, wall_clock())
+        Driver::with_clock_at(core, executor, wall_clock())
     }
 
     /// Returns a driver whose clock continues that of the process that it takes over from, which shows `now`.
     /// Times in the handover thus mean the same to both processes, even if the wall clock is stepped.
-    pub fn going_on_from(core: Core, executor: Rc<LocalExecutor<'static>>, now: Millis) -> Rc<Self> {
+    pub fn with_clock_at(core: Core, executor: Rc<LocalExecutor<'static>>, now: Millis) -> Rc<Self> {
         Rc::new(Driver {
             core: RefCell::new(core),
             executor,
@@ -152,17 +152,17 @@
             let now = self.now();
             let progress =
                 if written { Progress::Written(Some(Num::of(now - begun))) } else { Progress::Begun };
-            self.core.borrow_mut().progress(now, call, progress);
+            self.core.borrow_mut().trace_progress(now, call, progress);
         }
     }
 
     /// Sets the control of trace recording. Only the first call has an effect.
-    pub fn set_recording(&self, control: Control) {
+    pub fn set_trace_control(&self, control: Control) {
         let _ = self.trace_control.set(control);
     }
 
     /// Returns the control of trace recording, if tracing is configured.
-    pub fn recording(&self) -> Option<&Control> {
+    pub fn trace_control(&self) -> Option<&Control> {
         self.trace_control.get()
     }
 
@@ -170,7 +170,7 @@
     ///
     /// # Errors
     /// Returns a message if recording cannot be started.
-    pub fn record(&self, on: bool) -> Result<(), String> {
+    pub fn switch_recording(&self, on: bool) -> Result<(), String> {
         let Some(control) = self.trace_control.get() else { return Ok(()) };
         let (origin, now) = (self.origin, self.now());
         let mut core = self.core.borrow_mut();
@@ -233,8 +233,8 @@
     }
 
     /// Returns the number of open queries plus their parts without an answer.
-    pub fn held(&self) -> usize {
-        self.core.borrow().held()
+    pub fn open_work(&self) -> usize {
+        self.core.borrow().open_work()
     }
 
     /// Returns the number of connections to run stores.
@@ -244,8 +244,8 @@
 
     /// Sets the number of queries and parts that another process of this aggregator holds, and the number of
     /// run-store connections that remain for this process.
-    pub fn leave_room(&self, held: usize, connections: usize) {
-        self.core.borrow_mut().leave_room(held);
+    pub fn share_limits(&self, held: usize, connections: usize) {
+        self.core.borrow_mut().set_held_elsewhere(held);
         if let Some(transport) = self.transport.get() {
             transport.set_max_connections(connections);
         }
@@ -280,9 +280,9 @@
     }
 
     /// Sets the time left until the process exits. No open or later query is waited for any longer.
-    pub fn end_by(self: &Rc<Self>, left: Duration) {
-        let at = Instant::now() + left;
-        self.core.borrow_mut().end_by(self.now() + millis(left));
+    pub fn exit_within(self: &Rc<Self>, time_left: Duration) {
+        let at = Instant::now() + time_left;
+        self.core.borrow_mut().set_exit_time(self.now() + millis(time_left));
         self.wake_at(at).detach();
     }
 
@@ -303,9 +303,9 @@
     }
 
     /// Moves the deadline of a query forward to `at`, if that is earlier.
-    fn end_query_by(self: &Rc<Self>, no: QueryNo, at: Instant) {
+    fn cap_deadline(self: &Rc<Self>, no: QueryNo, at: Instant) {
         let left = at.saturating_duration_since(Instant::now());
-        self.core.borrow_mut().end_query_by(no, self.now() + millis(left));
+        self.core.borrow_mut().cap_deadline(no, self.now() + millis(left));
         let timer = self.wake_at(at);
         if let Some((_, last)) = self.waiting.borrow_mut().get_mut(&no) {
             *last = timer;
@@ -505,7 +505,7 @@
     pub async fn answer_before(&self, sooner: Receiver<Instant>) -> FinalAnswer {
         let end_sooner = async {
             while let Ok(at) = sooner.recv().await {
-                self.driver.end_query_by(self.no, at);
+                self.driver.cap_deadline(self.no, at);
             }
             future::pending().await
         };
--- a/src/core/ledger/tests.rs
+++ b/src/core/ledger/tests.rs
@@ -116,7 +116,7 @@
             core.step(*now);
         }
         Step::ListChanges(ref states) => core.apply_directory_update(list(states)),
-        Step::ProcessEndsBy(at) => core.end_by(*now + at),
+        Step::ProcessEndsBy(at) => core.set_exit_time(*now + at),
     }
 }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -382,7 +382,7 @@
     }
 
     /// Sets the time at which the process exits, and caps the deadline of every query to it.
-    pub fn end_by(&mut self, at: Millis) {
+    pub fn set_exit_time(&mut self, at: Millis) {
         self.exit_time = at;
         self.ledger.cap_deadlines(at);
     }
@@ -403,7 +403,7 @@
     }
 
     /// Moves the deadline of a query forward to `at`, if that is earlier.
-    pub fn end_query_by(&mut self, no: QueryNo, at: Millis) {
+    pub fn cap_deadline(&mut self, no: QueryNo, at: Millis) {
         self.ledger.cap_deadline(no, at);
     }
 
--- a/src/core/takeover.rs
+++ b/src/core/takeover.rs
@@ -53,13 +53,13 @@
     }
 
     /// Returns the number of open queries plus their parts without an answer.
-    pub fn held(&self) -> usize {
+    pub fn open_work(&self) -> usize {
         self.ledger.open_work()
     }
 
     /// Sets the number of queries and parts that another process of this aggregator holds; the limit applies
     /// to both together.
-    pub fn leave_room(&mut self, held: usize) {
+    pub fn set_held_elsewhere(&mut self, held: usize) {
         self.held_elsewhere = held;
     }
 }
--- a/src/core/trace_events.rs
+++ b/src/core/trace_events.rs
@@ -27,7 +27,11 @@
 
 impl Core {
     /// Starts or stops recording to a trace writer, and returns the previous one.
-    pub fn record(&mut self, now: Millis, trace_writer: Option<TraceWriter>) -> Option<TraceWriter> {
+    pub fn set_trace_writer(
+        &mut self,
+        now: Millis,
+        trace_writer: Option<TraceWriter>,
+    ) -> Option<TraceWriter> {
         let previous = std::mem::replace(&mut self.trace_writer, trace_writer.map(Box::new));
         self.trace_segment(now);
         previous.map(|trace_writer| *trace_writer)
@@ -39,14 +43,14 @@
     }
 
     /// Writes the counters to the trace if their interval has passed.
-    pub fn trace_due(&mut self, now: Millis) {
+    pub fn trace_counters(&mut self, now: Millis) {
         if let Some(trace_writer) = &mut self.trace_writer {
             trace_writer.counts(now, &self.counters, self.ledger.queries.len(), false);
         }
     }
 
     /// Ends the trace with the last counters.
-    pub fn trace_last(&mut self, now: Millis) {
+    pub fn finish_trace(&mut self, now: Millis) {
         if let Some(trace_writer) = &mut self.trace_writer {
             trace_writer.counts(now, &self.counters, self.ledger.queries.len(), true);
             trace_writer.end(now);
@@ -141,7 +145,7 @@
     }
 
     /// Records the progress of an attempt on its connection.
-    pub fn progress(&mut self, now: Millis, call: &Call, progress: Progress) {
+    pub fn trace_progress(&mut self, now: Millis, call: &Call, progress: Progress) {
         if let Some(trace_writer) = &mut self.trace_writer {
             trace_writer.wire(now, call.query_attempt.0 .0, call.shard, call.query_attempt.1, progress);
         }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -58,8 +58,8 @@
             ("PUT", ["healthcheck", "fail"]) => self.turn(true, "draining"),
             ("PUT", ["healthcheck", "ok"]) => self.turn(false, "ready"),
             ("GET", ["trace"]) => self.trace(|_| Ok(())),
-            ("PUT", ["trace", "start"]) => self.trace(|driver| driver.record(true)),
-            ("PUT", ["trace", "stop"]) => self.trace(|driver| driver.record(false)),
+            ("PUT", ["trace", "start"]) => self.trace(|driver| driver.switch_recording(true)),
+            ("PUT", ["trace", "stop"]) => self.trace(|driver| driver.switch_recording(false)),
             ("PUT", ["trace", "rotate"]) => self.trace(|driver| {
                 driver.rotate();
                 Ok(())
@@ -77,7 +77,7 @@
 
     /// The recording: what to do with it, and then how it stands, as JSON.
     fn trace(&self, act: impl FnOnce(&Rc<Driver>) -> Result<(), String>) -> Response {
-        let Some(control) = self.driver.recording() else {
+        let Some(control) = self.driver.trace_control() else {
             return Response::text(409, "the configuration has no key trace");
         };
         if let Err(why) = act(&self.driver) {
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -78,7 +78,7 @@
     let time_left = span(program.driver.longest_deadline()).min(MAX_COUNTED_DEADLINE) + EXIT_GRACE;
     let end = Instant::now() + time_left;
     // Every query, open or still to come, is answered before the last write.
-    program.driver.end_by(time_left - FINAL_WRITE_TIME);
+    program.driver.exit_within(time_left - FINAL_WRITE_TIME);
     let server = program.server.clone();
     let stop_reading = async move {
         Timer::at(end - FINAL_WRITE_TIME).await;
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -92,15 +92,15 @@
             });
         }
         let driver = match state.as_ref().and_then(|state| state.now) {
-            Some(now) => Driver::going_on_from(core, executor.clone(), now),
+            Some(now) => Driver::with_clock_at(core, executor.clone(), now),
             None => Driver::new(core, executor.clone()),
         };
         if let Some(trace) = &config.trace {
-            driver.set_recording(Control::new(trace.keep(), source(&config, driver.now())));
+            driver.set_trace_control(Control::new(trace.keep(), source(&config, driver.now())));
             // As in the process that hands over, since operators may have switched recording there.
             let on = state.as_ref().and_then(|state| state.recording).unwrap_or(trace.on);
             if on {
-                driver.record(true).map_err(|why| format!("key trace.dir: {why}"))?;
+                driver.switch_recording(true).map_err(|why| format!("key trace.dir: {why}"))?;
             }
         }
         let limits = transport::Limits::of(&site, config.store_connections(0));
@@ -168,9 +168,9 @@
     /// Stops trace recording, and waits a moment for the disk.
     pub async fn end_recording(&self) {
         // Only starting can fail.
-        let _ = self.driver.record(false);
+        let _ = self.driver.switch_recording(false);
         let written = async {
-            while self.driver.recording().is_some_and(|control| !control.is_done()) {
+            while self.driver.trace_control().is_some_and(|control| !control.is_done()) {
                 Timer::after(POLL_INTERVAL).await;
             }
         };
@@ -207,7 +207,7 @@
             takeover_state: self.driver.takeover_state(),
             now: Some(self.driver.now()),
             shut: self.door.is_shut_by_hand(),
-            recording: self.driver.recording().map(Control::is_on),
+            recording: self.driver.trace_control().map(Control::is_on),
             entries: self.store.as_ref().map(|(store, _)| store.entries()).unwrap_or_default(),
             held: self.held(),
         }
@@ -215,7 +215,7 @@
 
     fn held(&self) -> Held {
         let descriptors = OTHER_DESCRIPTORS + self.server.open() + self.driver.connections();
-        Held { open: self.driver.held(), descriptors }
+        Held { open: self.driver.open_work(), descriptors }
     }
 
     fn stand_down(&self) {
@@ -238,7 +238,7 @@
     fn leave_room(&self, held: Option<Held>) {
         let Held { open, descriptors } = held.unwrap_or_default();
         self.server.set_room(self.config.client_connections(descriptors));
-        self.driver.leave_room(open, self.config.store_connections(descriptors));
+        self.driver.share_limits(open, self.config.store_connections(descriptors));
     }
 }
 
--- a/src/trace/control.rs
+++ b/src/trace/control.rs
@@ -62,7 +62,7 @@
     pub fn begin(&self, recorder: Recorder, core: &mut Core, clock: impl Fn() -> Millis + 'static) {
         *self.recorder.borrow_mut() = Some(recorder);
         let trace_writer = TraceWriter::new(self.source.clone(), self.keep.limits, self.segment.get());
-        core.record(clock(), Some(trace_writer));
+        core.set_trace_writer(clock(), Some(trace_writer));
         let closed = self.closed.clone();
         log::watch(Some(Box::new(move |kind, peer, code, note| {
             let mut closed = closed.borrow_mut();
@@ -75,9 +75,9 @@
     /// Switches it off, in good order.
     pub fn stop(&self, core: &mut Core, now: Millis) {
         self.pump(core, now);
-        core.trace_last(now);
+        core.finish_trace(now);
         self.pump(core, now);
-        if let Some(trace_writer) = core.record(now, None) {
+        if let Some(trace_writer) = core.set_trace_writer(now, None) {
             self.segment.set(trace_writer.next_segment());
         }
         if let Some(recorder) = &mut *self.recorder.borrow_mut() {
@@ -95,7 +95,7 @@
 
     /// Hands over what is to be written.
     pub fn pump(&self, core: &mut Core, now: Millis) {
-        core.trace_due(now);
+        core.trace_counters(now);
         let Some(trace_writer) = core.trace_writer() else { return };
         self.count_lost(trace_writer);
         for (at, kind, peer, code, note) in self.closed.take() {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -251,7 +251,7 @@
     core.step(5.0);
     let sent = calls(&commands(&mut core));
     let of = |no| sent.iter().find(|call| call.query_attempt.0 == no).unwrap().no;
-    core.end_by(300.0);
+    core.set_exit_time(300.0);
     core.call_ended(20.0, of(both), served(b"in"));
     core.step(25.0);
     let late = core.take_in(100.0, ask("search", 1)).unwrap();
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -133,7 +133,7 @@
 fn without_proof_it_ends_with_its_query_and_there_is_no_repeat() {
     let none = |_: &mut Day| {};
     let leaves = |day: &mut Day| day.core.client_gone(day.now, day.query);
-    let overdue = |day: &mut Day| day.core.end_by(day.now);
+    let overdue = |day: &mut Day| day.core.set_exit_time(day.now);
     for (end, finals) in [(none as fn(&mut Day), 1), (leaves, 0), (overdue, 1)] {
         let mut day = Day::in_silence(false);
         end(&mut day);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -56,7 +56,7 @@
     let mut random = fastrand::Rng::with_seed(seed);
     let mut core = Core::new(&site(1000.0), seed).unwrap();
     let source = Source { aggregator: "n0".into(), started: BEGIN as u64, seed, ..Source::default() };
-    core.record(BEGIN, Some(TraceWriter::new(source, limits, 0)));
+    core.set_trace_writer(BEGIN, Some(TraceWriter::new(source, limits, 0)));
     core.apply_directory_update(DirectoryUpdate::Cached(list(&mut random, BEGIN)));
     let (mut now, mut jobs, mut asked) = (BEGIN, Vec::new(), 0);
     let mut out: Vec<(f64, Call)> = Vec::new();
@@ -123,10 +123,10 @@
             };
             core.call_ended(now, call.no, CallEnd { outcome, value, load: Some(load) });
         }
-        core.trace_due(now);
+        core.trace_counters(now);
         jobs.extend(fetch(&mut core, now));
     }
-    core.trace_last(now);
+    core.finish_trace(now);
     jobs.extend(fetch(&mut core, now));
     (jobs, core)
 }
