--- a/src/core/admit.rs
+++ b/src/core/admit.rs
@@ -5,6 +5,7 @@
 use crate::api::{Cause, ClassIndex, Event, Millis, NewPart, NewQuery, PartId, Shard, TenantIndex};
 
 impl Core {
+    /// Records a query and passes it to the router, or refuses it at the limit or after its deadline.
     pub(super) fn admit(
         &mut self,
         now: Millis,
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -15,6 +15,7 @@
 const CAUSE_LOG_INTERVAL: Millis = 10_000.0;
 
 impl Core {
+    /// Answers a query from the received parts, or fails it if they are not enough.
     pub(super) fn answer_query(&mut self, now: Millis, id: &QueryId, whole: bool) {
         let Some(no) = self.ledger.query_numbers.get(id).copied() else { return };
         let Some(query) = self.ledger.queries.get(&no) else { return };
@@ -54,12 +55,14 @@
         FinalAnswer::Failed { retry_after: if is_safe { self.retry_advice(now, class) } else { 0.0 }, cause }
     }
 
+    /// Ends a query by the id that the router knows it by.
     pub(super) fn end_query(&mut self, now: Millis, id: &QueryId, final_answer: FinalAnswer) {
         if let Some(no) = self.ledger.query_numbers.get(id).copied() {
             self.close_query(now, no, final_answer);
         }
     }
 
+    /// Gives a query its final answer, counts and records it, and removes the query.
     fn close_query(&mut self, now: Millis, no: QueryNo, final_answer: FinalAnswer) {
         let Some(query) = self.ledger.queries.get(&no) else { return };
         let class = query.class;
@@ -91,6 +94,7 @@
         }
     }
 
+    /// Removes a query and its parts from the ledger.
     fn remove_query(&mut self, now: Millis, no: QueryNo) -> Option<Query> {
         let query = self.ledger.queries.remove(&no)?;
         self.ledger.deadlines.remove(no, query.deadline);
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -70,6 +70,7 @@
     executor: Rc<LocalExecutor<'static>>,
     /// The clock's origin, as Unix time and as an instant; from there on the clock is monotonic.
     origin: (Millis, Instant),
+    /// Wakes the loop in [`Driver::run`].
     step_signal: (Sender<()>, Receiver<()>),
     waiting: RefCell<HashMap<QueryNo, PendingAnswer>>,
     timers: RefCell<HashMap<CallNo, Task<()>>>,
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -45,8 +45,8 @@
     pub attempts: u32,
     /// The number of outstanding attempts.
     pub outstanding: u32,
-    /// Whether an attempt that the core no longer tracks may still be running at a run store: it was made
-    /// while parallel attempts were allowed, and its end need not have been proved.
+    /// Whether an attempt that the core no longer tracks may still be running at a run store, as it may have
+    /// been abandoned without proof of its end while parallel attempts were allowed.
     pub maybe_outstanding: bool,
     /// When the first of the attempts that have ended and may have run was sent.
     pub may_have_run: Option<Millis>,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallNo(pub u64);
 
-/// The final answer to a query; each query gets exactly one.
+/// The final answer to a query. Each query gets exactly one, unless its client leaves first.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FinalAnswer {
     /// Served from the parts that have been answered.
@@ -439,6 +439,7 @@
         self.wake_time.into_iter().chain(self.active_watch().due()).reduce(f64::min)
     }
 
+    /// Returns the watch that is in use for this way of discovery.
     fn active_watch(&self) -> &WatchSchedule {
         if self.lists_are_pushed() {
             &self.agent_watch
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -36,6 +36,7 @@
         }
     }
 
+    /// Carries out an action of the router.
     fn run_action(&mut self, now: Millis, action: Action) {
         match action {
             Action::Send { part, replica, timeout, .. } => self.send(now, part, replica, timeout),
@@ -55,6 +56,7 @@
         }
     }
 
+    /// Probes a run store, or reports the probe as failed if the run store may not be probed.
     fn probe(&mut self, run_store: crate::api::ReplicaId) {
         let entry = self.ledger.run_stores.get(&run_store);
         // Nothing new is sent to a draining run store, including probes from before the drain.
@@ -156,6 +158,7 @@
         now - began <= INITIAL_STATE_WITHIN
     }
 
+    /// Applies a line of the list to the entry of its run store, and sends the transport what changed.
     fn locate(&mut self, line: &ListedRunStore) {
         let effective = self.manual_drains.apply_to(&line.replica);
         let (id, state) = (effective.id.clone(), effective.state);
--- a/src/core/send.rs
+++ b/src/core/send.rs
@@ -6,6 +6,7 @@
 use crate::api::{Attempt, Millis, Outcome, PartId, ReplicaId, ReplicaState};
 
 impl Core {
+    /// Records an attempt of a part and sends it, unless it may not be sent.
     pub(super) fn send(&mut self, now: Millis, part: PartId, run_store: ReplicaId, timeout: Millis) {
         // The router numbers the attempts of a part in the order of its sends; the ledger counts the same
         // way.
@@ -53,6 +54,7 @@
         }));
     }
 
+    /// Cancels an attempt, as the router requests.
     pub(super) fn cancel(&mut self, now: Millis, part: &PartId, attempt: Attempt) {
         if let Some(&no) = self.ledger.call_numbers.get(&(part.clone(), attempt)) {
             self.abandon(now, no, Outcome::Cancelled);
--- a/src/core/take_in.rs
+++ b/src/core/take_in.rs
@@ -38,6 +38,7 @@
     }
 }
 
+/// Checks that a request is consistent.
 fn check_request(request: &QueryRequest) -> Result<(), String> {
     if request.parts.is_empty() {
         return Err("a query needs at least one part".into());
--- a/src/core/trace_events.rs
+++ b/src/core/trace_events.rs
@@ -57,6 +57,7 @@
         }
     }
 
+    /// Returns the settings in force, as the trace records them.
     fn active_settings(&self) -> ActiveSettings<'_> {
         let mut groups: Vec<_> = self.tenants.iter().map(|(name, at)| (*at, name.clone())).collect();
         groups.sort_unstable();
@@ -82,6 +83,7 @@
         }
     }
 
+    /// Records a change of settings.
     pub(super) fn trace_settings(&mut self) {
         if let Some(mut trace_writer) = self.trace_writer.take() {
             trace_writer.settings(self.active_settings());
@@ -89,6 +91,7 @@
         }
     }
 
+    /// Records an accepted query.
     pub(super) fn trace_accepted(
         &mut self,
         now: Millis,
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -77,7 +77,7 @@
     program.door.leave();
     let time_left = span(program.driver.longest_deadline()).min(MAX_COUNTED_DEADLINE) + EXIT_GRACE;
     let end = Instant::now() + time_left;
-    // Every query, open or still to come, is answered before the last write.
+    // Every query, open or still to come, gets its answer before the time for the final writes begins.
     program.driver.exit_within(time_left - FINAL_WRITE_TIME);
     let server = program.server.clone();
     let stop_reading = async move {
