--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -72,10 +72,13 @@
     origin: (Millis, Instant),
     /// Wakes the loop in [`Driver::run`].
     step_signal: (Sender<()>, Receiver<()>),
+    /// Accepted queries that wait for their final answer.
     waiting: RefCell<HashMap<QueryNo, PendingAnswer>>,
+    /// The timeouts of attempts and probes.
     timers: RefCell<HashMap<CallNo, Task<()>>>,
     transport: OnceCell<Rc<dyn RunStores>>,
     directory: OnceCell<Rc<dyn Directory>>,
+    /// Switches trace recording; unset if tracing is not configured.
     trace_control: OnceCell<Control>,
 }
 
@@ -412,10 +415,12 @@
         self.core.borrow().has_pending_events()
     }
 
+    /// Requests a step.
     fn wake(&self) {
         let _ = self.step_signal.0.try_send(());
     }
 
+    /// Runs all pending commands of the core.
     fn run_commands(self: &Rc<Self>) {
         loop {
             // The borrow has to end before the command runs, as the command may call back into the core at
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -85,9 +85,11 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     pub(super) queries: BTreeMap<QueryNo, Query>,
+    /// The numbers of open queries by the ids that the router knows them by.
     pub(super) query_numbers: HashMap<QueryId, QueryNo>,
     pub(super) parts: HashMap<PartId, Part>,
     pub(super) outstanding: HashMap<CallNo, OutstandingAttempt>,
+    /// The numbers of outstanding attempts by part and attempt.
     pub(super) call_numbers: HashMap<(PartId, Attempt), CallNo>,
     pub(super) probes: Probes,
     pub(super) run_stores: BTreeMap<ReplicaId, RunStoreEntry>,
