--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -51,7 +51,7 @@
 
     /// Counts a request that cannot be used and returns the error for it.
     fn reject(&self, index: &str, RequestError(status, error_type, why): RequestError) -> Response {
-        self.driver.not_taken(index);
+        self.driver.note_invalid_request(index);
         error(status, error_type, &why)
     }
 
@@ -81,15 +81,15 @@
             class: search.index.clone(),
             tenant: tenant.map(str::to_string),
             timeout: search.timeout,
-            waited: millis(arrived.waited()),
-            retried: false,
-            partial: search.allow_partial,
+            queued: millis(arrived.waited()),
+            is_retry: false,
+            accepts_partial: search.allow_partial,
             key,
             parts: shards
                 .into_iter()
-                .map(|shard| PartRequest { shard, weight, hint: None, key: None })
+                .map(|shard| PartRequest { shard, weight, work_hint: None, key: None })
                 .collect(),
-            text: encode_part_text(&search.shard_parameters(), &request.body).into(),
+            payload: encode_part_text(&search.shard_parameters(), &request.body).into(),
         })
     }
 }
@@ -106,12 +106,12 @@
                 let parsed = Search::parse(request, self.shards());
                 let query = parsed
                     .and_then(|search| self.build_query(&search, &arrived).map(|query| (search, query)));
-                match query.map(|(search, query)| (search, self.driver.ask(query))) {
+                match query.map(|(search, query)| (search, self.driver.submit(query))) {
                     Ok((search, Ok(pending))) => {
                         let arrived_at = arrived.received_at;
                         let shards = search.shards.clone().unwrap_or_else(|| (0..self.shards()).collect());
                         return Box::pin(async move {
-                            let final_answer = pending.verdict_before(earlier_deadline).await;
+                            let final_answer = pending.answer_before(earlier_deadline).await;
                             log::query_ended(opaque_id.as_deref().unwrap_or("-"), &final_answer);
                             let took = arrived_at.elapsed().as_millis() as u64;
                             with_opaque_id(to_response(&final_answer, &search, &shards, took), opaque_id)
@@ -142,7 +142,7 @@
 
     fn client_timeout(&self, request: &Message) -> Option<Duration> {
         let search = Search::parse(request, self.shards()).ok()?;
-        self.driver.wait_of(&search.index, search.timeout)
+        self.driver.client_wait(&search.index, search.timeout)
     }
 
     fn refuse(&self, why: RefusalReason) -> Response {
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -90,7 +90,7 @@
             return Err(self.reject(class, 409, "a query with this X-Request-ID is already in progress"));
         }
         let reserved = ReservedId { id: query.id.clone(), open_ids: self.open_ids.clone() };
-        match self.driver.ask(query) {
+        match self.driver.submit(query) {
             Ok(pending) => Ok((reserved, pending)),
             Err(InvalidQuery::UnknownClass) => Err(self.reject(class, 404, "unknown class")),
             Err(InvalidQuery::Malformed(why)) => Err(self.reject(class, 400, &why)),
@@ -99,7 +99,7 @@
 
     /// Counts a request that cannot be used and returns the error for it.
     fn reject(&self, class: &str, status: u16, why: &str) -> Response {
-        self.driver.not_taken(class);
+        self.driver.note_invalid_request(class);
         Response::text(status, why)
     }
 }
@@ -114,7 +114,7 @@
             ("POST", _) => match self.start_query(&request, path) {
                 Ok((reserved, pending)) => {
                     return Box::pin(async move {
-                        let final_answer = pending.verdict_before(earlier_deadline).await;
+                        let final_answer = pending.answer_before(earlier_deadline).await;
                         log::query_ended(&reserved.id, &final_answer);
                         let response = to_response(&final_answer);
                         drop(reserved);
@@ -134,7 +134,7 @@
 
     fn client_timeout(&self, request: &Message) -> Option<Duration> {
         let requested = request.headers.get("x-timeout").and_then(|text| parse_timeout(text).ok());
-        self.driver.wait_of(class_of(path_of(request)), requested)
+        self.driver.client_wait(class_of(path_of(request)), requested)
     }
 
     fn refuse(&self, why: RefusalReason) -> Response {
@@ -181,7 +181,7 @@
     let part = |slice: Slice| PartRequest {
         shard: slice.slice,
         weight: slice.mass,
-        hint: slice.micros.map(|micros| micros / 1000.0),
+        work_hint: slice.micros.map(|micros| micros / 1000.0),
         key: slice.term.map(Into::into),
     };
     Ok(QueryRequest {
@@ -189,12 +189,12 @@
         class: class.to_string(),
         tenant: tenant.map(str::to_string),
         timeout,
-        waited: millis(arrived.waited()),
-        retried: header("x-retried") == Some("1"),
-        partial: true,
+        queued: millis(arrived.waited()),
+        is_retry: header("x-retried") == Some("1"),
+        accepts_partial: true,
         key: keyed.then(|| super::idempotency_key(&request.headers)).transpose()?.map(Into::into),
         parts: body.slices.into_iter().map(part).collect(),
-        text: body.filter.into_bytes().into(),
+        payload: body.filter.into_bytes().into(),
     })
 }
 
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -68,8 +68,8 @@
             ("PUT", ["healthcheck", "fail"]) => self.set_shut(true, "draining"),
             ("PUT", ["healthcheck", "ok"]) => self.set_shut(false, "ready"),
             ("GET", ["trace"]) => self.trace(|_| Ok(())),
-            ("PUT", ["trace", "start"]) => self.trace(|driver| driver.record(true)),
-            ("PUT", ["trace", "stop"]) => self.trace(|driver| driver.record(false)),
+            ("PUT", ["trace", "start"]) => self.trace(|driver| driver.switch_recording(true)),
+            ("PUT", ["trace", "stop"]) => self.trace(|driver| driver.switch_recording(false)),
             ("PUT", ["trace", "rotate"]) => self.trace(|driver| {
                 driver.rotate();
                 Ok(())
@@ -84,12 +84,12 @@
     }
 
     fn stats(&self) -> String {
-        counters::stats(&self.driver.counters(), &self.driver.gauges())
+        counters::statsd(&self.driver.counters(), &self.driver.gauges())
     }
 
     /// Applies an action to the trace recording and returns the recording's status as JSON.
     fn trace(&self, action: impl FnOnce(&Rc<Driver>) -> Result<(), String>) -> Response {
-        let Some(control) = self.driver.recording() else {
+        let Some(control) = self.driver.trace_control() else {
             return Response::text(409, "trace recording is not configured (key trace)");
         };
         if let Err(why) = action(&self.driver) {
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! The aggregator's life: start or take over, serve, and end in order.
+//! The life of the aggregator's process: start or take over, serve, drain and exit.
 
 pub mod program;
 pub mod reload;
@@ -20,22 +20,22 @@
 use crate::operator::OperatorApi;
 use crate::transport::duration_from_millis;
 use program::Program;
-use signals::Told;
+use signals::SignalReceiver;
 
-/// After SIGTERM, new connections still come for a while beyond the time for idle ones.
-const KEEP_ACCEPTING: Duration = Duration::from_millis(250);
-/// The platform kills what has not ended after the longest deadline, of which it counts so much at most, and 0.7 s more.
-const MOST_COUNTED: Duration = Duration::from_millis(3000);
-/// Beyond that deadline, what is left to do is not waited for.
-const LAST_WAIT: Duration = Duration::from_millis(600);
-/// The part of it in which last answers are written.
-const LAST_WRITE: Duration = Duration::from_millis(100);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// New connections still arrive for a while after SIGTERM. They are accepted for [`KEEP_IDLE`] and this time more.
+const ACCEPT_GRACE: Duration = Duration::from_millis(250);
+/// The platform kills a process 0.7 s after the longest deadline, of which it counts at most this much.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3000);
+/// How long after that deadline the process waits for its remaining work.
+const EXIT_GRACE: Duration = Duration::from_millis(600);
+/// The last part of that time, which is reserved for writing final answers.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Runs an aggregator by the configuration in a file until SIGTERM or SIGINT, and then to its orderly end.
+/// Runs an aggregator with the configuration in a file until SIGTERM or SIGINT, then drains it.
 ///
 /// # Errors
-/// Says why it could not start.
+/// Returns why it could not start.
 pub fn run(path: &Path) -> Result<(), String> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(serve(path, executor.clone())))
@@ -43,18 +43,18 @@
 
 async fn serve(path: &Path, executor: Rc<LocalExecutor<'static>>) -> Result<(), String> {
     // Before anything else: a signal that is not caught would end the process.
-    let mut signals = Told::new().map_err(|error| error.to_string())?;
+    let mut signals = SignalReceiver::new().map_err(|error| error.to_string())?;
     let config = Config::load(path)?;
     let name = config.name.clone();
     let operators = program::operators(&config).await?;
-    let meeting = handover::socket_path(&name);
-    let taken = new::take_over(&meeting, &name).await?.map(new::Takeover::into_parts);
+    let handover_socket = handover::socket_path(&name);
+    let taken = new::take_over(&handover_socket, &name).await?.map(new::Takeover::into_parts);
     let (inherited, link) = taken.map(|(state, sockets, link)| ((state, sockets), link)).unzip();
     let program = Program::new(path, config, executor.clone(), inherited).await?;
     program.accept();
     let wire = Rc::new(PeerSender::default());
-    let others = stay_in_step(meeting, link, program.clone(), wire.clone());
-    executor.spawn(others).detach();
+    let handover_task = run_handover(handover_socket, link, program.clone(), wire.clone());
+    executor.spawn(handover_task).detach();
     if let Some(listener) = operators {
         if let Ok(at) = listener.local_addr() {
             log::line(&format!("operators call {at}"));
@@ -66,49 +66,49 @@
         log::line(&format!("{name} listens on {at}"));
     }
 
-    let attend = |signal| match signal {
+    let handle = |signal| match signal {
         Signal::Usr1 => log::line(&format!("counters {}", program.driver.counters())),
-        Signal::Hup => program.reloads.reload(),
+        Signal::Hup => program.reloader.reload(),
         _ => {}
     };
-    until_told_to_end(&mut signals, attend).await;
-    // Planned end: go on accepting, answer everything, then leave.
+    wait_for_exit_signal(&mut signals, handle).await;
+    // Planned shutdown: go on accepting for a while, answer everything, then exit.
     log::line("draining");
     program.client_gate.shut_down();
-    let left = duration_from_millis(program.driver.longest_deadline()).min(MOST_COUNTED) + LAST_WAIT;
-    let end = Instant::now() + left;
-    // Whatever is taken, now or later, is answered before.
-    program.driver.end_by(left - LAST_WRITE);
+    let time_left = duration_from_millis(program.driver.longest_deadline()).min(MAX_COUNTED_DEADLINE) + EXIT_GRACE;
+    let end = Instant::now() + time_left;
+    // Every query, open or still to come, gets its answer before the time for the final writes begins.
+    program.driver.exit_within(time_left - FINAL_WRITE_TIME);
     let server = program.server.clone();
     let stop_reading = async move {
-        Timer::at(end - LAST_WRITE).await;
+        Timer::at(end - FINAL_WRITE_TIME).await;
         server.stop_reading();
     };
     executor.spawn(stop_reading).detach();
     let drained = async {
-        Timer::after(IDLE_GRACE + KEEP_ACCEPTING).await;
+        Timer::after(IDLE_GRACE + ACCEPT_GRACE).await;
         program.close().await;
         while !program.is_done() {
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     };
-    let last = async {
+    let time_over = async {
         Timer::at(end).await;
     };
     let signals = async {
         loop {
-            until_told_to_end(&mut signals, attend).await;
+            wait_for_exit_signal(&mut signals, handle).await;
         }
     };
-    future::or(drained, future::or(last, signals)).await;
+    future::or(drained, future::or(time_over, signals)).await;
     program.end_recording().await;
     log::line(&format!("counters {}", program.driver.counters()));
     Ok(())
 }
 
 /// Follows the process that this one takes over from, and then waits for one that takes over from it.
-async fn stay_in_step(
-    meeting: std::path::PathBuf,
+async fn run_handover(
+    handover_socket: std::path::PathBuf,
     link: Option<(handover::link::Link, handover::link::LineReader)>,
     program: Rc<Program>,
     wire: Rc<PeerSender>,
@@ -116,15 +116,15 @@
     if let Some(link) = link {
         new::follow(link, &*program, &wire).await;
     }
-    old::serve_handovers(&meeting, program, &wire).await;
+    old::serve_handovers(&handover_socket, program, &wire).await;
 }
 
-/// Attends to signals until one of them ends the program.
-async fn until_told_to_end(signals: &mut Told, attend: impl Fn(Signal)) {
+/// Handles signals until one asks the program to exit.
+async fn wait_for_exit_signal(signals: &mut SignalReceiver, handle: impl Fn(Signal)) {
     loop {
         match signals.next().await {
             Signal::Term | Signal::Int => return,
-            signal => attend(signal),
+            signal => handle(signal),
         }
     }
 }
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -1,4 +1,4 @@
-//! The running program: its parts put together, and how another process takes over from it.
+//! Assembles the running program from its components and connects it to the handover.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use futures_lite::future;
 use ironpaddle_trace::file::Source;
 
-use super::reload::Reloads;
+use super::reload::Reloader;
 use crate::api::{Millis, ReplicaId};
 use crate::config::{Api, Config};
 use crate::core::drive::{Directory, Driver, RunStores};
@@ -36,37 +36,39 @@
 use crate::transport::frames::FrameTransport;
 use crate::transport::opensearch::SearchTransport;
 
-/// How long a start waits for the peers of the store.
-const PEERS_WAIT: Duration = Duration::from_millis(2000);
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// How long the end waits for the disk to take what was recorded last.
-const DISK_WAIT: Duration = Duration::from_millis(1000);
-const KEEP_DIRECTORY_EVERY: Duration = Duration::from_millis(500);
-/// Descriptors that are no client's and no run store's: standard streams, the reactor, listeners, discovery.
+/// How long a start waits for peers of the replicated store.
+const PEER_SYNC_TIMEOUT: Duration = Duration::from_millis(2000);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long the shutdown waits until the end of the trace is on disk.
+const TRACE_FLUSH_TIMEOUT: Duration = Duration::from_millis(1000);
+const DIRECTORY_SAVE_INTERVAL: Duration = Duration::from_millis(500);
+/// File descriptors other than those of clients and run stores: standard streams, the reactor, listeners,
+/// discovery.
 const OTHER_DESCRIPTORS: usize = 24;
 
-/// The program.
+/// The running program.
 pub struct Program {
     config: Config,
     executor: Rc<LocalExecutor<'static>>,
     pub(super) driver: Rc<Driver>,
     pub(super) server: Rc<Server>,
     pub(super) client_gate: Rc<ClientGate>,
-    pub(super) reloads: Reloads,
-    /// The clients' socket, until the end; and the store's.
+    pub(super) reloader: Reloader,
+    /// The socket that clients connect to, until it is closed.
     listener: RefCell<Option<TcpListener>>,
     store: Option<(Rc<Store>, TcpListener)>,
     accepting: RefCell<Option<Task<()>>>,
 }
 
-/// What another process hands over: its state and its sockets.
+/// The state and the sockets that another process hands over.
 pub type Inherited = (HandoverState, Vec<OwnedFd>);
 
 impl Program {
-    /// The program of a configuration, at the start, or taking over. It does not accept yet.
+    /// Starts the program with a configuration, or takes over from another process. It does not accept
+    /// clients yet.
     ///
     /// # Errors
-    /// Says which key is at fault.
+    /// Returns a message that names the faulty key.
     pub async fn new(
         path: &Path,
         config: Config,
@@ -77,28 +79,28 @@
         let mut sockets = sockets.unwrap_or_default().into_iter();
         let listener = listen("listen", config.listen, sockets.next()).await?;
         let store = start_store(&config, &executor, sockets.next(), state.as_ref()).await?;
-        let site = settle_settings(&config, store.as_ref().map(|(store, _)| &**store))?;
+        let site = newest_settings(&config, store.as_ref().map(|(store, _)| &**store))?;
         let mut core = Core::new(&site, config.seed()).map_err(|why| format!("key settings: {why}"))?;
         if let Some(state) = &state {
-            let read = core
+            let learned_state_read = core
                 .restore_takeover_state(&site, state.takeover_state.clone())
                 .map_err(|why| format!("key settings: {why}"))?;
-            log::line(if read {
+            log::line(if learned_state_read {
                 "handover: taken over"
             } else {
-                "handover: taken over, without what was learned"
+                "handover: taken over, but the learned state could not be read"
             });
         }
         let driver = match state.as_ref().and_then(|state| state.now) {
-            Some(now) => Driver::going_on_from(core, executor.clone(), now),
+            Some(now) => Driver::with_clock_at(core, executor.clone(), now),
             None => Driver::new(core, executor.clone()),
         };
         if let Some(trace) = &config.trace {
-            driver.set_recording(Control::new(trace.keep(), source(&config, driver.now())));
-            // As it was in the process that hands over: operators may have switched it there.
+            driver.set_trace_control(Control::new(trace.keep(), source(&config, driver.now())));
+            // As in the process that hands over, since operators may have switched recording there.
             let on = state.as_ref().and_then(|state| state.recording).unwrap_or(trace.on);
             if on {
-                driver.record(true).map_err(|why| format!("key trace.dir: {why}"))?;
+                driver.switch_recording(true).map_err(|why| format!("key trace.dir: {why}"))?;
             }
         }
         let limits = transport::Limits::from_settings(&site, config.run_store_connections(0));
@@ -107,12 +109,12 @@
             Api::Opensearch => Rc::new(SearchTransport::new(driver.clone(), limits)),
         };
         let (known, version) = known_list(&config, state.as_ref(), store.as_ref().map(|(store, _)| &**store));
-        let (listing, reload) = directory(&config, version, &driver)?;
-        driver.connect(stores, listing);
+        let (directory, reload) = build_directory(&config, version, &driver)?;
+        driver.connect(stores, directory);
         driver.apply_directory_update(DirectoryUpdate::Cached(known.endpoints));
         executor.spawn(driver.clone().run()).detach();
         if let Some((store, _)) = &store {
-            executor.spawn(keep_directory(store.clone(), driver.clone())).detach();
+            executor.spawn(save_directory(store.clone(), driver.clone())).detach();
         }
         let client_gate = Rc::new(ClientGate::default());
         client_gate.set_closed_by_operator(state.as_ref().is_some_and(|state| state.shut_by_operator));
@@ -124,14 +126,14 @@
         let server = Server::new("client", executor.clone(), front, limits, client_gate.clone());
         executor.spawn(server.clone().drain()).detach();
         let copy = store.as_ref().map(|(store, _)| store.clone());
-        let reloads = Reloads::new(path.into(), config.clone(), driver.clone(), reload, copy);
+        let reloader = Reloader::new(path.into(), config.clone(), driver.clone(), reload, copy);
         let program = Rc::new(Program {
             config,
             executor,
             driver,
             server,
             client_gate,
-            reloads,
+            reloader,
             listener: RefCell::new(Some(listener)),
             store,
             accepting: RefCell::default(),
@@ -140,12 +142,12 @@
         Ok(program)
     }
 
-    /// Where clients connect.
+    /// Returns the address that clients connect to.
     pub fn address(&self) -> Option<SocketAddr> {
         self.listener.borrow().as_ref()?.local_addr().ok()
     }
 
-    /// Accepts clients from now on.
+    /// Starts to accept clients.
     pub fn accept(&self) {
         if let Some(listener) = self.listener.borrow().clone() {
             let accepting = self.executor.spawn(self.server.clone().accept(listener));
@@ -153,8 +155,8 @@
         }
     }
 
-    /// Takes in what has connected by now, and then accepts no more and listens no more. Where another process has
-    /// the same socket, what waits there is its own.
+    /// Accepts the connections that are already waiting, then stops accepting and listening. If another
+    /// process shares the socket, the waiting connections are left to it.
     pub async fn close(&self) {
         let (accepting, listener) = (self.accepting.take(), self.listener.take());
         if let (Some(accepting), Some(listener)) = (accepting, listener) {
@@ -163,22 +165,22 @@
         }
     }
 
-    /// Ends the recording, and waits a moment for the disk.
+    /// Stops trace recording, and waits a moment for the disk.
     pub async fn end_recording(&self) {
-        // Only switching it on can fail.
-        let _ = self.driver.record(false);
+        // Only starting can fail.
+        let _ = self.driver.switch_recording(false);
         let written = async {
-            while self.driver.recording().is_some_and(|control| !control.is_done()) {
-                Timer::after(LOOK_EVERY).await;
+            while self.driver.trace_control().is_some_and(|control| !control.is_done()) {
+                Timer::after(POLL_INTERVAL).await;
             }
         };
         future::or(written, async {
-            Timer::after(DISK_WAIT).await;
+            Timer::after(TRACE_FLUSH_TIMEOUT).await;
         })
         .await;
     }
 
-    /// Whether nothing is left that a client waits for.
+    /// Returns whether no client waits for anything any more.
     pub fn is_done(&self) -> bool {
         self.driver.open_queries() == 0 && self.server.open_connections() == 0
     }
@@ -201,11 +203,11 @@
         list.index = self.driver.version().unwrap_or(0);
         HandoverState {
             list,
-            discovery: self.reloads.discovery(),
+            discovery: self.reloader.discovery(),
             takeover_state: self.driver.takeover_state(),
             now: Some(self.driver.now()),
             shut_by_operator: self.client_gate.is_closed_by_operator(),
-            recording: self.driver.recording().map(Control::is_on),
+            recording: self.driver.trace_control().map(Control::is_on),
             entries: self.store.as_ref().map(|(store, _)| store.entries()).unwrap_or_default(),
             held: self.held(),
         }
@@ -213,7 +215,7 @@
 
     fn held(&self) -> HeldResources {
         let descriptors = OTHER_DESCRIPTORS + self.server.open_connections() + self.driver.connections();
-        HeldResources { open: self.driver.held(), descriptors }
+        HeldResources { open: self.driver.open_work(), descriptors }
     }
 
     fn stop_accepting(&self) {
@@ -236,11 +238,11 @@
     fn reserve_for_peer(&self, held: Option<HeldResources>) {
         let HeldResources { open, descriptors } = held.unwrap_or_default();
         self.server.set_max_connections(self.config.client_connections(descriptors));
-        self.driver.leave_room(open, self.config.run_store_connections(descriptors));
+        self.driver.share_limits(open, self.config.run_store_connections(descriptors));
     }
 }
 
-/// What a trace says of this process.
+/// Returns the description of this process for the trace.
 fn source(config: &Config, now: Millis) -> Source {
     Source {
         aggregator: config.name.clone(),
@@ -252,22 +254,24 @@
     }
 }
 
-/// A listener at an address: the one that was handed over, or a new one.
-async fn listen(key: &str, address: SocketAddr, passed: Option<OwnedFd>) -> Result<TcpListener, String> {
+/// Returns a listener at an address: the inherited one, or a new one.
+async fn listen(key: &str, address: SocketAddr, inherited: Option<OwnedFd>) -> Result<TcpListener, String> {
     let failed = |error: std::io::Error| format!("key {key}: {address}: {error}");
-    let Some(passed) = passed else {
+    let Some(socket) = inherited else {
         return TcpListener::bind(address).await.map_err(failed);
     };
-    let listener = TcpListener::try_from(std::net::TcpListener::from(passed)).map_err(failed)?;
-    let at = listener.local_addr().map_err(failed)?;
-    // Two processes at two addresses would be two aggregators.
-    if at.ip() != address.ip() || (address.port() != 0 && at.port() != address.port()) {
-        return Err(format!("key {key}: the running process listens on {at}; a move needs a restart"));
+    let listener = TcpListener::try_from(std::net::TcpListener::from(socket)).map_err(failed)?;
+    let bound_to = listener.local_addr().map_err(failed)?;
+    // Two processes at two addresses would act as two aggregators.
+    if bound_to.ip() != address.ip() || (address.port() != 0 && bound_to.port() != address.port()) {
+        return Err(format!(
+            "key {key}: the running process listens on {bound_to}; a change of address needs a restart"
+        ));
     }
     Ok(listener)
 }
 
-/// A listener for operators, if there is to be one.
+/// Returns the listener for operators' calls, if one is configured.
 pub async fn operators(config: &Config) -> Result<Option<TcpListener>, String> {
     match config.operator {
         Some(address) => listen("operator", address, None).await.map(Some),
@@ -275,10 +279,10 @@
     }
 }
 
-/// The list of run stores to begin with, and its version at the discovery service that will be asked.
+/// Returns the initial list of run stores, and its version at the configured discovery service.
 fn known_list(config: &Config, state: Option<&HandoverState>, store: Option<&Store>) -> (List, Option<u64>) {
     if let Some(HandoverState { list, discovery, .. }) = state {
-        // Versions are each service's own.
+        // Versions of different services cannot be compared.
         let version = Some(list.index).filter(|index| *index > 0 && *discovery == config.discovery);
         return (list.clone(), version);
     }
@@ -286,18 +290,24 @@
     if !known.endpoints.is_empty() {
         return (known.clone(), Some(known.index));
     }
-    // Nothing is known here: what a peer last knew is a better start than nothing.
-    let last = store.and_then(|store| serde_json::from_str(&store.get(store::DIRECTORY)?.value).ok());
-    (last.unwrap_or_default(), None)
+    // No list is known here, so start with the last one that a peer knew.
+    let saved_by_peers =
+        store.and_then(|store| serde_json::from_str(&store.get(store::DIRECTORY)?.value).ok());
+    (saved_by_peers.unwrap_or_default(), None)
 }
 
-/// A directory for the core, and the same for reloads.
-type Listing = (Rc<dyn Directory>, Box<dyn Reload>);
+/// A directory for the core, and the interface that reloads it.
+type ReloadableDirectory = (Rc<dyn Directory>, Box<dyn Reload>);
 
-/// The directory that the configuration names, and what moves it at a reload.
-fn directory(config: &Config, version: Option<u64>, driver: &Rc<Driver>) -> Result<Listing, String> {
-    if let Some(place) = &config.dns_sd {
-        let dns = DnsSd::new(driver.clone(), place.clone());
+/// Returns the directory that the configuration names, and the interface that points it elsewhere at a
+/// reload.
+fn build_directory(
+    config: &Config,
+    version: Option<u64>,
+    driver: &Rc<Driver>,
+) -> Result<ReloadableDirectory, String> {
+    if let Some(name) = &config.dns_sd {
+        let dns = DnsSd::new(driver.clone(), name.clone());
         return Ok((Rc::new(dns.clone()), Box::new(dns)));
     }
     let address = config.discovery.ok_or("key discovery: is missing, and so is dns_sd")?;
@@ -305,45 +315,46 @@
     Ok((Rc::new(watch.clone()), Box::new(watch)))
 }
 
-/// Starts the replicated store, if it is configured. Its entries come from the process that hands over, or from
-/// peers, for which the start waits a moment.
+/// Starts the replicated store, if configured. Its entries come from the process that hands over, or else
+/// from peers, which the start waits for briefly.
 async fn start_store(
     config: &Config,
     executor: &Rc<LocalExecutor<'static>>,
-    passed: Option<OwnedFd>,
+    inherited: Option<OwnedFd>,
     state: Option<&HandoverState>,
 ) -> Result<Option<(Rc<Store>, TcpListener)>, String> {
-    let Some(place) = &config.store else { return Ok(None) };
-    let listener = listen("store.listen", place.listen, passed).await?;
+    let Some(store_config) = &config.store else { return Ok(None) };
+    let listener = listen("store.listen", store_config.listen, inherited).await?;
     let store = Rc::new(Store::new(&config.name));
     if let Ok(at) = listener.local_addr() {
         log::line(&format!("store meets peers on {at}"));
     }
-    let peers = Replication::start(store.clone(), executor.clone(), listener.clone(), &place.peers);
+    let peers = Replication::start(store.clone(), executor.clone(), listener.clone(), &store_config.peers);
     if let Some(state) = state {
         for entry in &state.entries {
             store.merge(entry.clone());
         }
         return Ok(Some((store, listener)));
     }
-    let settled = async {
-        while peers.settled() < place.peers.len() {
-            Timer::after(LOOK_EVERY).await;
+    let synced = async {
+        while peers.settled() < store_config.peers.len() {
+            Timer::after(POLL_INTERVAL).await;
         }
     };
-    future::or(settled, async {
-        Timer::after(PEERS_WAIT).await;
+    future::or(synced, async {
+        Timer::after(PEER_SYNC_TIMEOUT).await;
     })
     .await;
     Ok(Some((store, listener)))
 }
 
-/// The settings of the highest version: this file's or the store's, which gets this file's.
-pub fn settle_settings(config: &Config, store: Option<&Store>) -> Result<SiteSettings, String> {
+/// Returns the settings of the highest version: those of the configuration file or those in the store. The
+/// file's settings are first put into the store.
+pub fn newest_settings(config: &Config, store: Option<&Store>) -> Result<SiteSettings, String> {
     let own = config.settings.as_ref().map(|settings| settings.get());
-    if let (Some(store), Some(place)) = (store, &config.store) {
+    if let (Some(store), Some(store_config)) = (store, &config.store) {
         if let Some(own) = own {
-            store.put(store::SETTINGS, place.settings_version, own.to_string());
+            store.put(store::SETTINGS, store_config.settings_version, own.to_string());
         }
         if let Some(entry) = store.get(store::SETTINGS) {
             log::line(&format!("settings of version {} from {}", entry.version, entry.origin));
@@ -353,17 +364,17 @@
     config.parse_settings(own.ok_or("key settings: is missing, and no peer holds any")?)
 }
 
-/// Writes the directory to the store whenever it has changed.
-async fn keep_directory(store: Rc<Store>, driver: Rc<Driver>) {
-    let mut kept = List::default();
+/// Writes the directory's list to the store whenever it changes.
+async fn save_directory(store: Rc<Store>, driver: Rc<Driver>) {
+    let mut saved = List::default();
     loop {
         let list = List::of(driver.directory());
-        if list != kept && !list.endpoints.is_empty() {
+        if list != saved && !list.endpoints.is_empty() {
             if let Ok(text) = serde_json::to_string(&list) {
                 store.put(store::DIRECTORY, driver.now() as u64, text);
             }
-            kept = list;
+            saved = list;
         }
-        Timer::after(KEEP_DIRECTORY_EVERY).await;
+        Timer::after(DIRECTORY_SAVE_INTERVAL).await;
     }
 }
--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -299,7 +299,7 @@
                     shard: call.shard,
                     timeout_ms: timeout_ms(call),
                     key: call.key.as_deref(),
-                    text: &call.text,
+                    text: &call.payload,
                 })))
             }
         }
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -213,7 +213,7 @@
 
     /// Queues a call on a connection, or returns it if the connection limit is reached.
     fn try_submit(self: &Rc<Self>, call: Call, enqueue: EnqueueFn) -> Option<(Call, EnqueueFn)> {
-        match self.connection(&call.replica) {
+        match self.connection(&call.run_store) {
             Ok(connection) => {
                 enqueue(&mut connection.state.borrow_mut(), call);
                 connection.wake();
@@ -423,7 +423,7 @@
         self.submit(call, ConnectionState::push);
     }
 
-    fn give_up(&self, run_store: &ReplicaId, no: CallNo, await_proof: bool) {
+    fn abandon(&self, run_store: &ReplicaId, no: CallNo, await_proof: bool) {
         let unsent = self.take_waiting(|call| call.no == no);
         if await_proof {
             self.report(
@@ -478,7 +478,7 @@
         if let Some(entry) = self.run_stores.borrow_mut().get_mut(run_store) {
             entry.retired = true;
         }
-        for no in self.take_waiting(|call| call.replica == *run_store) {
+        for no in self.take_waiting(|call| call.run_store == *run_store) {
             self.driver.call_ended(no, CallEnd::bare(Outcome::NotSent));
         }
         self.for_each_connection(run_store, |connection| {
@@ -489,15 +489,15 @@
         self.remove_unused(run_store);
     }
 
-    fn places(&self) -> usize {
+    fn tracked_run_stores(&self) -> usize {
         self.run_stores.borrow().len()
     }
 
-    fn open(&self) -> usize {
+    fn connections(&self) -> usize {
         self.open_connections.get()
     }
 
-    fn room(&self, connections: usize) {
+    fn set_max_connections(&self, connections: usize) {
         self.limits.set(Limits { max_connections: connections, ..self.limits.get() });
         self.submit_waiting();
     }
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -355,8 +355,8 @@
         let request = match job {
             Job::Probe(_) => write::request("GET", "/", &host, &[], &[]),
             Job::Search(call) => {
-                let line_end = call.text.iter().position(|byte| *byte == b'\n').unwrap_or(0);
-                let parameters = String::from_utf8_lossy(&call.text[..line_end]);
+                let line_end = call.payload.iter().position(|byte| *byte == b'\n').unwrap_or(0);
+                let parameters = String::from_utf8_lossy(&call.payload[..line_end]);
                 let wait = (call.until - self.driver.now()).max(1.0) as u64;
                 let target = format!(
                     "/{}/_search?preference=_shards:{}&{parameters}&timeout={wait}ms\
@@ -366,7 +366,7 @@
                 let mut headers =
                     vec![("Content-Type", "application/json"), ("X-Opaque-Id", call.query.as_str())];
                 headers.extend(call.key.as_deref().map(|key| ("Idempotency-Key", key)));
-                write::request("POST", &target, &host, &headers, &call.text[line_end + 1..])
+                write::request("POST", &target, &host, &headers, &call.payload[line_end + 1..])
             }
         };
         let started = self.driver.now();
@@ -477,11 +477,11 @@
 
 impl RunStores for Rc<SearchTransport> {
     fn send(&self, call: Call) {
-        let run_store = call.replica.clone();
+        let run_store = call.run_store.clone();
         self.enqueue(&run_store, Job::Search(call));
     }
 
-    fn give_up(&self, run_store: &ReplicaId, no: CallNo, await_proof: bool) {
+    fn abandon(&self, run_store: &ReplicaId, no: CallNo, await_proof: bool) {
         if await_proof {
             self.cancel_with_proof(run_store, no);
         } else {
@@ -512,15 +512,15 @@
         self.remove_unused(run_store);
     }
 
-    fn places(&self) -> usize {
+    fn tracked_run_stores(&self) -> usize {
         self.run_stores.borrow().len()
     }
 
-    fn open(&self) -> usize {
+    fn connections(&self) -> usize {
         self.open_connections.get()
     }
 
-    fn room(&self, connections: usize) {
+    fn set_max_connections(&self, connections: usize) {
         self.limits.set(Limits { max_connections: connections, ..self.limits.get() });
         self.dispatch_waiting();
     }
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -102,7 +102,7 @@
         let mut day = Day::in_silence(false);
         day.end(day.first.no, proof);
         let again = day.pass(2.0 * STEP);
-        assert!(again.len() == 1 && again[0].replica != day.first.replica, "{proof:?}: {again:?}");
+        assert!(again.len() == 1 && again[0].run_store != day.first.run_store, "{proof:?}: {again:?}");
         // That the connection has ended says no more than that it is over.
         let told = if proof == Outcome::Reset { Outcome::Cancelled } else { proof };
         assert_eq!(day.core.counters.ends[place(told)], 1, "{proof:?}");
@@ -133,7 +133,7 @@
 fn without_proof_it_ends_with_its_query_and_there_is_no_repeat() {
     let none = |_: &mut Day| {};
     let leaves = |day: &mut Day| day.core.client_gone(day.now, day.query);
-    let overdue = |day: &mut Day| day.core.end_by(day.now);
+    let overdue = |day: &mut Day| day.core.set_exit_time(day.now);
     for (end, finals) in [(none as fn(&mut Day), 1), (leaves, 0), (overdue, 1)] {
         let mut day = Day::in_silence(false);
         end(&mut day);
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -56,7 +56,7 @@
     let mut random = fastrand::Rng::with_seed(seed);
     let mut core = Core::new(&site(1000.0), seed).unwrap();
     let source = Source { aggregator: "n0".into(), started: BEGIN as u64, seed, ..Source::default() };
-    core.record(BEGIN, Some(TraceWriter::new(source, limits, 0)));
+    core.set_trace_writer(BEGIN, Some(TraceWriter::new(source, limits, 0)));
     core.apply_directory_update(DirectoryUpdate::Cached(list(&mut random, BEGIN)));
     let (mut now, mut jobs, mut asked) = (BEGIN, Vec::new(), 0);
     let mut out: Vec<(f64, Call)> = Vec::new();
@@ -66,7 +66,7 @@
             let (class, parts) = if random.bool() { ("search", random.u32(1..6)) } else { ("entry", 1) };
             let mut ask = fixture::ask(&format!("c{asked}"), class, parts, 800.0 + random.f64() * 3000.0);
             ask.tenant = ["vaal", "vaal-muon", "unknown"].get(random.usize(..4)).map(ToString::to_string);
-            ask.retried = random.f64() < 0.1;
+            ask.is_retry = random.f64() < 0.1;
             asked += 1;
             let no = core.take_in(now, ask).unwrap();
             if random.f64() < 0.02 {
@@ -74,7 +74,7 @@
             }
         }
         if random.f64() < 0.002 {
-            core.not_taken(now, "search");
+            core.note_invalid_request(now, "search");
         }
         if random.f64() < 0.004 {
             let news = list(&mut random, now);
@@ -97,7 +97,7 @@
         }
         for call in calls(&commands) {
             // Two run stores fail much, one is slow.
-            let slow = if &*call.replica.0 == "s-2" { 900.0 } else { 60.0 };
+            let slow = if &*call.run_store.0 == "s-2" { 900.0 } else { 60.0 };
             out.push((now + random.f64() * slow, call));
         }
         let due = |(at, call): &(f64, Call)| *at <= now || call.until <= now;
@@ -108,7 +108,7 @@
                 core.call_timed_out(now, call.no);
                 continue;
             }
-            let bad = matches!(&*call.replica.0, "s-3" | "s-4") && step % 1000 > 500;
+            let bad = matches!(&*call.run_store.0, "s-3" | "s-4") && step % 1000 > 500;
             let outcome = match random.u32(..if bad { 8 } else { 200 }) {
                 0 => Outcome::Errored,
                 1 => Outcome::Reset,
@@ -123,10 +123,10 @@
             };
             core.call_ended(now, call.no, CallEnd { outcome, value, load: Some(load) });
         }
-        core.trace_due(now);
+        core.trace_counters(now);
         jobs.extend(fetch(&mut core, now));
     }
-    core.trace_last(now);
+    core.finish_trace(now);
     jobs.extend(fetch(&mut core, now));
     (jobs, core)
 }
