--- a/src/advice.rs
+++ b/src/advice.rs
@@ -1,35 +1,35 @@
-//! How long a client that is refused is told to stay away.
+//! Retry-after advice for clients whose queries are refused.
 //!
-//! Of those that come back, as many are refused again as now, if nothing has changed meanwhile: with a share `s` refused,
-//! one gets through after `1 / (1 - s)` tries on average. Each wait is made so much longer, so that repeats
-//! of refused queries are no more than the fleet can take, and it is scattered, so that those refused together do not come
-//! back together.
+//! With a share `s` of queries refused, a client needs `1 / (1 - s)` attempts on average until one is
+//! accepted. The wait grows by the same factor, so that the repeats do not add up to more than the fleet
+//! can take. It is jittered, so that clients that were refused together do not return together.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
 use crate::decaying_mean::DecayingMean;
 
-/// The wait while little is refused, of the aim.
+/// The wait while few queries are refused, as a share of the class's aim.
 const OF_AIM: f64 = 0.25;
-/// Waits lie within this part of their middle, to both sides.
+/// Jitter: a wait lies within this share of its mean, to both sides.
 const SCATTER: f64 = 0.5;
-/// Weight of a query in the share that is refused, and the most that share counts for.
+/// Weight of one query in the share of refused queries, and the upper bound of that share: at 1 the wait
+/// would be infinite.
 const STEP: f64 = 0.06;
 const MOST_REFUSED: f64 = 0.9;
 
-/// The share of queries that were refused lately.
+/// Moving average of the share of queries that were refused.
 #[derive(Debug, Default, Clone, Copy, Serialize, Deserialize)]
 pub struct RetryAdvice(DecayingMean);
 
 impl RetryAdvice {
-    /// A query was taken up, or refused; half of what is known fades in some time.
+    /// Records a query, with whether it was refused.
     pub fn note(&mut self, refused: bool, now: Millis, half: Millis) {
         self.0.note(f64::from(u8::from(refused)), STEP, now, half);
     }
 
-    /// How long to stay away, for a class of some aim, where clients heed no longer waits than `most`; chance is from 0
-    /// to 1.
+    /// Returns how long a refused client should stay away: the wait for a class with this aim, at most the
+    /// longest wait that clients heed. `random` is uniform from 0 to 1.
     pub fn wait(self, aim: Millis, most: Millis, (now, half): (Millis, Millis), chance: f64) -> Millis {
         let refused = self.0.at(now, half).min(MOST_REFUSED);
         let wait = aim * OF_AIM / (1.0 - refused);
--- a/src/advice/tests.rs
+++ b/src/advice/tests.rs
@@ -2,7 +2,7 @@
 use crate::hash::draw;
 
 #[test]
-fn those_refused_together_come_back_scattered_and_later_the_more_are_refused() {
+fn advice_is_jittered_and_grows_with_the_share_of_refused_queries() {
     let mut chance = 7;
     let mut waits = |advice: RetryAdvice| {
         let mut all: Vec<_> =
@@ -16,13 +16,13 @@
     let mut advice = RetryAdvice::default();
     (0..100).for_each(|no| advice.note(no % 4 > 0, 1000.0, 4000.0));
     let (_, pressed, _) = waits(advice);
-    assert!((300.0..500.0).contains(&pressed), "three in four are refused: {pressed}");
-    assert!(advice.wait(400.0, 0.0, (1000.0, 4000.0), 0.9) == 0.0, "where clients heed none");
+    assert!((300.0..500.0).contains(&pressed), "three in four queries are refused: {pressed}");
+    assert!(advice.wait(400.0, 0.0, (1000.0, 4000.0), 0.9) == 0.0, "clients heed no advice");
     assert!(advice.wait(1e6, 2000.0, (1000.0, 4000.0), 1.0) <= 2000.0);
 }
 
 #[test]
-fn what_was_refused_long_ago_counts_for_nothing() {
+fn old_refusals_decay() {
     let mut advice = RetryAdvice::default();
     (0..200).for_each(|_| advice.note(true, 0.0, 4000.0));
     assert!(advice.wait(400.0, 9000.0, (0.0, 4000.0), 0.5) > 900.0);
--- a/src/asking.rs
+++ b/src/asking.rs
@@ -1,61 +1,66 @@
-//! When to ask the discovery service for the list. Every router of a fleet asks the same service, which works
-//! through calls in turn: what each does after a failure, all do at once.
+//! Decides when to ask the discovery service for the list of replicas.
+//!
+//! All routers of a fleet ask the same service, which handles calls one after another, and they tend to
+//! fail at the same moment. Backoff therefore grows with the number of routers and is jittered.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
 
-/// Routers up to which one waits after a failure as if it were alone. Of more, each waits longer in proportion,
-/// so that all together ask no more often than so many.
+/// Up to this many routers, each backs off as if it were alone. With more, the backoff grows in proportion,
+/// so that all routers together ask no more often than this many would.
 const FEW: f64 = 4.0;
-/// Half the first wait after a failure, of the aim, and how often it doubles with failures in a row.
+/// The backoff after `n` failures in a row is this share of the shortest aim times 2^n, before jitter, and
+/// `n` is capped.
 const WAIT_OF_AIM: f64 = 0.25;
 const DOUBLINGS: u32 = 5;
-/// Aims after which a call has failed.
+/// A call without an answer is made again after this many of the shortest aims.
 const PATIENCE: f64 = 8.0;
 
-/// A change of the list counts as told so long after the service had it and could be reached, whether or not it has
-/// come: whatever becomes of calls and watches, the next list is here by then.
+/// Longest time until a change of the list reaches a router, from when the discovery service has the change
+/// and can be reached. After that the change counts as received even if it has not come, so calls, watches
+/// and backoff are bounded such that the next list arrives within this time.
 pub const TOLD_WITHIN: Millis = 6000.0;
-/// How long a call may take that does not wait for news, from its connecting on. The service works through calls in
-/// turn, and fails itself what has waited for so long. One for the whole list is then made once more, on another
-/// connection, while the first goes on for as long again: a service may be slow.
+/// Timeout of a call that does not wait for changes, from the start of its connect. The service handles
+/// calls one after another and itself fails those that waited this long. A call for the whole list is then
+/// repeated once on another connection while the first goes on for as long again, as the service may only
+/// be slow.
 pub const CALL: Millis = 2000.0;
-/// The longest pause after a call that failed: one may have begun just before the service could be reached again, and
-/// one more has to be over in time after it.
+/// Longest backoff after a failed call. The failed call may have started just before the service came back,
+/// and one more has to complete in time after the backoff.
 pub const LONGEST_PAUSE: Millis = TOLD_WITHIN - 2.0 * CALL;
-/// How much later than the end of its wait the answer of a watch may come before the watch counts as silent: what the
-/// service has to do at once for all.
+/// How long after the end of its wait a watch may still be answered before it counts as silent: time for
+/// the service to answer the watches of all routers at once.
 pub const SILENT_AFTER: Millis = 750.0;
-/// The time over which routers scatter the calls by which they open silent watches anew.
+/// Routers spread the calls that reopen silent watches over this time.
 const REOPENED_OVER: Millis = 250.0;
-/// How long a watch asks the service to wait for news. A change that a silent watch missed is here in time by the
-/// call that opens it anew.
+/// How long a watch asks the service to wait for a change. If a watch goes silent, the call that reopens it
+/// still delivers a missed change in time.
 pub const WAIT: Millis = TOLD_WITHIN - SILENT_AFTER - REOPENED_OVER - CALL;
-/// How soon a watch on pushed lists is begun again after it broke: a watch goes on as long as its next call comes
-/// within 200 ms of the last answer, and half of that is left for the call's own way.
+/// Delay before a broken watch on the agent is reopened. The agent keeps a watch alive if the next call
+/// comes within 200 ms of the last answer; the other half of that is left for the call itself.
 const AGAIN: Millis = 100.0;
 
-/// The asking of one router. It is asked for whenever it is not on.
+/// Requests of one router for the list. A request is due whenever changes do not arrive by themselves.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct ListRequests {
-    /// Whether news come by themselves.
+    /// Whether changes arrive without a request.
     on: bool,
-    /// When to ask next.
+    /// When the next request is due.
     at: Millis,
     failures: u32,
 }
 
 impl ListRequests {
-    /// News came from the service, or (`false`) an old list from elsewhere.
+    /// Records that a list arrived, from the discovery service or (`false`) an old one from elsewhere.
     pub fn told(&mut self, by_service: bool) {
         self.on = by_service;
         self.failures = 0;
     }
 
-    /// A call failed, of one of so many routers that are to ask within some time. Waits grow with the shortest aim of
-    /// queries and from failure to failure, up to the longest that still tells in time, and are scattered by chance (0
-    /// to 1).
+    /// Records a failed call and schedules the next. The backoff grows with the shortest aim, the failures
+    /// in a row and the number of routers. It is at most [`LONGEST_PAUSE`] and the interval in which the
+    /// list has to be refreshed, and is jittered by a random number from 0 to 1.
     pub fn failed(&mut self, now: Millis, aim: Millis, (within, routers): (Millis, u32), chance: f64) {
         self.on = false;
         self.failures = (self.failures + 1).min(DOUBLINGS);
@@ -64,7 +69,8 @@
         self.at = now + wait.min(within.min(LONGEST_PAUSE) * (0.5 + 0.5 * chance));
     }
 
-    /// Whether to ask now. After some aims a call of which nothing is heard is made again.
+    /// Returns whether to send a request now, and if so schedules a repeat for the case that no answer
+    /// comes.
     pub fn is_due(&mut self, now: Millis, aim: Millis) -> bool {
         let due = !self.on && now >= self.at;
         if due {
@@ -74,50 +80,54 @@
     }
 }
 
-/// A watch that is to be begun again soon after it broke, at no wish of the router. Lists that are pushed come to an
-/// agent of one's own, which is watched at all times: what it holds counts as told, and asking costs nobody else
-/// anything. A watch on the service of all routers is opened anew by this only if it fell silent: a call that failed
-/// says that the service has too much to do, but silence says nothing, and all that it hides soon counts as told.
+/// When to reopen a watch on the list that broke, independent of the requests that the router makes.
+///
+/// Lists that are pushed come from the process's own agent, which is watched at all times: what the agent
+/// holds counts as received, and asking it loads no one else. A watch on the discovery service, which all
+/// routers share, is reopened here only if it went silent. A failed call shows that the service is
+/// overloaded, so it is left to the backoff of [`ListRequests`]. Silence shows nothing, and a change that
+/// it hides soon counts as received.
 #[derive(Debug, Clone)]
 pub struct WatchSchedule(State);
 
 #[derive(Debug, Clone, Copy)]
 enum State {
-    /// It is to begin again after so long.
+    /// Broken: to be reopened after this delay, which starts at the next step.
     Broken(Millis),
-    /// It is to begin.
+    /// To be opened at this time.
     Due(Millis),
     On,
 }
 
 impl WatchSchedule {
-    /// A watch on an agent, to begin at once.
+    /// Creates a schedule for a watch on the agent, to be opened at once.
     pub fn an_agent() -> Self {
         WatchSchedule(State::Due(0.0))
     }
 
-    /// A watch on the service, which the router begins.
+    /// Creates a schedule for a watch on the discovery service, which the router opens.
     pub fn the_service() -> Self {
         WatchSchedule(State::On)
     }
 
-    /// The watch on the agent has broken.
+    /// Marks the watch on the agent as broken.
     pub fn broken(&mut self) {
         self.0 = State::Broken(AGAIN);
     }
 
-    /// The watch on the service has fallen silent, maybe those of all routers at once: all open it anew before what it
-    /// missed counts as told, scattered by chance (0 to 1), as the service works through calls in turn.
+    /// Marks the watch on the discovery service as silent. The watches of all routers may have gone silent
+    /// at once, so the reopening is spread by a random number from 0 to 1. It still comes before a missed
+    /// change counts as received.
     pub fn silent(&mut self, chance: f64) {
         self.0 = State::Broken(REOPENED_OVER * chance);
     }
 
-    /// Whether it has broken, and when to begin it is still to be said.
+    /// Returns whether the watch has broken and its reopening is not scheduled yet.
     pub fn is_broken(&self) -> bool {
         matches!(self.0, State::Broken(_))
     }
 
-    /// When to begin the watch, if it is not on.
+    /// Returns when to open the watch, if that is scheduled.
     pub fn due(&self) -> Option<Millis> {
         match self.0 {
             State::Due(at) => Some(at),
@@ -125,7 +135,8 @@
         }
     }
 
-    /// Whether to begin it now. It is on from then until it is told to have broken.
+    /// Returns whether to open the watch now. It then counts as open until it is marked as broken or
+    /// silent.
     pub fn begins(&mut self, now: Millis) -> bool {
         if let State::Broken(after) = self.0 {
             self.0 = State::Due(now + after);
--- a/src/budget.rs
+++ b/src/budget.rs
@@ -1,4 +1,5 @@
-//! The stated limit on attempts past the first of each part, within a window.
+//! The limit on retries from the settings: attempts after the first of each part, counted in a sliding
+//! window.
 
 use std::collections::VecDeque;
 
@@ -6,12 +7,13 @@
 
 use crate::api::{AttemptBudget, Millis};
 
-/// What was taken (queries and parts), and sent again (true), within the window, in order of time.
+/// Events in the window, oldest first: a query or part that was accepted (`false`), or a part that was sent
+/// again (`true`).
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct BudgetUsage(VecDeque<(Millis, bool)>);
 
 impl BudgetUsage {
-    /// Something was taken, or sent again.
+    /// Records an accepted query or part, or a part that was sent again.
     pub fn note(&mut self, rule: Option<AttemptBudget>, now: Millis, again: bool) {
         if let Some(rule) = rule {
             self.0.push_back((now, again));
@@ -21,7 +23,7 @@
         }
     }
 
-    /// Whether one more may be sent again.
+    /// Returns whether one more part may be sent again.
     pub fn allows(&self, rule: Option<AttemptBudget>, now: Millis) -> bool {
         rule.is_none_or(|rule| {
             let since = now - rule.window;
