--- a/src/cold.rs
+++ b/src/cold.rs
@@ -1,50 +1,58 @@
-//! What one router of a fleet may send to a replica that has just started.
+//! Limits what one router of a fleet sends to a replica that has just started.
 //!
-//! A cold replica bears so much from all routers together, and they share nothing. An even share each leaves most of
-//! it unused: a router that seldom has a part for the replica saves up no more than one, and a busy one has used up its
-//! share. So each takes the share that it has of the fleet's traffic, as far as replicas report what they serve: then
-//! all shares still add up to one, and each router can use its own.
+//! A cold replica can take a limited load from all routers together, and routers share no state. If each
+//! took an even share, most of the load would go unused: a router that rarely has a part for the replica
+//! cannot save up its share, and a busy router exhausts its own. Each router therefore takes the share that
+//! it has of the fleet's traffic, where replicas report what they serve. These shares still add up to one.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::{ColdStartRule, LoadReport, Millis};
 use crate::exact::ExactSum;
 
-/// Utilization under which a report tells too little of what its replica could do.
+/// Lowest utilization at which the report of a warm replica is used to estimate the capacity of a replica.
 const TELLING: f64 = 0.2;
-/// Standard deviations by which a count may lie above what is to be expected.
+/// Standard deviations by which a count may exceed its expected value.
 const CHANCE: f64 = 2.0;
-/// Share of the most that a cold replica bears which is aimed at: the rest is for chance.
+/// Share of the overload limit of a cold replica that is aimed at. The rest is the margin for random
+/// variation.
 const AIMED: f64 = 0.5;
 
-/// The most times sooner that any report can tell: one of a replica that has hardly begun tells next to nothing.
+/// Upper bound of the estimated warm-up speed. Without it the estimate diverges, as the report of a replica
+/// that has just started carries almost no information.
 const MOST_PACE: f64 = 1000.0;
-/// Queries of a router for which it keeps a call that it may send to a cold replica.
+/// A router with rare queries may keep one call for a cold replica for as long as this many of its queries
+/// take to arrive.
 const KEPT_FOR: f64 = 2.0;
 
-/// A router's own part in what the fleet serves, counted over about the time in which a replica gets warm.
+/// One router's share of the fleet's traffic, in counts that decay with the longest warm-up time as their
+/// time constant.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetTraffic {
-    /// Parts of this router and of the whole fleet that were worked on, both faded alike, and until when.
+    /// Parts of this router and of the whole fleet that ran, both with the same decay, and the time of the
+    /// last update.
     own: f64,
     fleet: f64,
     at: Millis,
-    /// What all replicas together serve by their reports, in parts a millisecond; 0 where they don't tell.
+    /// Estimated throughput of all replicas, in parts per millisecond; 0 if no replica reports its
+    /// throughput.
     rate: f64,
-    /// What a warm replica can serve, in parts a millisecond, where reports tell.
+    /// Estimated capacity of a warm replica, in parts per millisecond, once reports allow an estimate.
     capacity: Option<f64>,
-    /// How many times sooner than at the latest replicas get warm, as those that are cold now report.
+    /// How many times faster than the longest warm-up time replicas get warm, by the reports of those that
+    /// are cold now.
     pace: f64,
-    /// Parts of a query, smoothed.
+    /// Moving average of the parts of a query.
     clump: Option<f64>,
-    /// Queries of this router, and the time in which they came, both faded alike.
+    /// Queries of this router, and the time in which they came in, in milliseconds, both with the same
+    /// decay.
     queries: f64,
     seen: Millis,
 }
 
 impl FleetTraffic {
-    /// Takes in what replicas reported last. Counts fade over the time in which a replica gets warm at the latest.
+    /// Updates the counts and estimates with the load reports that replicas sent last.
     pub fn told(&mut self, now: Millis, rule: Option<ColdStartRule>, reports: &LoadReports) {
         let Some(rule) = rule else { return };
         let span = rule.warm_within.max(1.0);
@@ -63,21 +71,22 @@
         self.pace = self.capacity.map_or(1.0, |capacity| cold.pace(rule.initial_share, capacity));
     }
 
-    /// A query of so many parts came in; each new one counts for one in so many of the mean.
+    /// Records a query with its number of parts. `weight` is the weight of one query in the moving average
+    /// of parts.
     pub fn asked(&mut self, parts: usize, smooth: f64) {
         let clump = self.clump.unwrap_or(parts as f64);
         self.clump = Some(clump + smooth * (parts as f64 - clump));
         self.queries += 1.0;
     }
 
-    /// An attempt of this router has ended, and may have been worked on.
+    /// Records the end of one of this router's attempts.
     pub fn worked(&mut self, may_have: bool) {
         if may_have && self.rate > 0.0 {
             self.own += 1.0;
         }
     }
 
-    /// The time between two queries of this router; none before any is known.
+    /// Returns the mean time between two queries of this router, or 0 before the first.
     fn between(&self) -> Millis {
         if self.queries >= 1.0 {
             self.seen / self.queries
@@ -86,44 +95,45 @@
         }
     }
 
-    /// The share of this router, of so many, in the fleet's traffic. That each has an even one counts for as much
-    /// as a query of each: one query tells little.
+    /// Returns this router's share of the fleet's traffic. An even share is the prior, with the weight of
+    /// one query per router, as a single query says little.
     fn share(&self, routers: f64) -> f64 {
         let guess = self.clump.unwrap_or(1.0).max(1.0);
         ((self.own + guess) / (self.fleet + guess * routers)).min(1.0)
     }
 }
 
-/// What all replicas reported last, in sums that are kept as it changes.
+/// The last load reports of all replicas, as sums that are updated incrementally.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct LoadReports {
     all: usize,
-    /// Of those that tell what they serve: how many, and parts a second.
+    /// Replicas that report their throughput, and the sum of it in parts per second.
     tell: usize,
     served: ExactSum,
-    /// Of these, those that are warm and busy enough to tell what they could do, and those that are cold.
+    /// Of these, warm replicas that are busy enough for an estimate of the capacity, and cold ones.
     warm: Sums,
     cold: Sums,
 }
 
-/// Sums over reports of some replicas.
+/// Sums over the reports of some replicas.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Sums {
-    /// Parts a second, busy shares, and busy shares times the way to be warm that was behind.
+    /// Throughput in parts per second, utilization, and utilization times age, where the age is in longest
+    /// warm-up times.
     served: ExactSum,
     busy: ExactSum,
     grown: ExactSum,
 }
 
 impl LoadReports {
-    /// A replica's report, with how much of the time in which it gets warm at the latest had passed then, if it ever
-    /// started.
+    /// Adds the report of a replica. `age` is the age of the replica at the report, in longest warm-up
+    /// times, if its start is known.
     pub fn add(&mut self, load: LoadReport, age: Option<f64>) {
         self.all += 1;
         self.count(load, age, ExactSum::add, |tell| tell + 1);
     }
 
-    /// A report that was added holds no longer.
+    /// Removes a report that was added.
     pub fn take(&mut self, load: LoadReport, age: Option<f64>) {
         self.all -= 1;
         self.count(load, age, ExactSum::take, |tell| tell - 1);
@@ -151,15 +161,18 @@
 }
 
 impl Sums {
-    /// How many times sooner than at the latest these get warm, at least. A busy share of one that is cold serves that
-    /// share of its capacity, which begins at `from`, so that together they serve as much as their shares times
-    /// `from + (1 - from) * pace * age`. What they serve in a second is a count, of which chance may have made some.
+    /// Returns a lower bound of the warm-up speed: how many times faster than the longest warm-up time
+    /// these cold replicas get warm. A cold replica's capacity begins at the share `initial_share` and
+    /// grows linearly, and its throughput is its utilization times that capacity. Summed over the replicas,
+    /// throughput / capacity is `initial_share * utilization + (1 - initial_share) * speed * utilization *
+    /// age`, which is solved for the speed. The throughput is a count, so its statistical error is deducted
+    /// first.
     fn pace(&self, from: f64, capacity: f64) -> f64 {
         let served = self.served.value();
         let sure = served / 1000.0 * (1.0 - CHANCE / served.max(1.0).sqrt());
         let pace = (sure / capacity - from * self.busy.value())
             / ((1.0 - from) * self.grown.value()).max(f64::MIN_POSITIVE);
-        // Where nothing is served it is no number, and tells nothing.
+        // It is NaN if nothing is served, which allows no estimate.
         if pace.is_nan() {
             1.0
         } else {
@@ -168,13 +181,16 @@
     }
 }
 
-/// Room for work at a replica that started at some time, and the most there can be; `None` if it is warm. `left` is
-/// what there was at some time, and `best` what a sound replica does with one part, in cost units a millisecond.
+/// Returns the work that a router may send now to a replica that is still cold, and the upper bound of what
+/// it can save up, both in cost units; `None` if the replica is warm. `left` is the remaining allowance and
+/// the time at which it was computed. `best_rate` is the rate at which a healthy replica processes a single
+/// part, in cost units per millisecond.
 ///
-/// The share comes in evenly, from a start drawn by chance: few of many routers send at once, and none waits long. What
-/// is not used is lost after a while: all routers' shares of so much time, and what they do meanwhile, are no more
-/// than the replica bears in its window, however suddenly all have work for it. Only where queries are so seldom that
-/// most would be lost is that time the one in which two come.
+/// The allowance grows evenly from a random start, so that only a few of many routers send at the same time
+/// and none waits long. What is not used is lost beyond an upper bound: the saved allowances of all routers
+/// plus what they gain meanwhile do not exceed what the replica can take in its overload window, even if
+/// all routers get work for it at the same moment. If queries are so rare that most of the allowance would
+/// be lost, the bound is what the router gains while two queries arrive.
 pub fn room(
     rule: &ColdStartRule,
     (started, now): (Millis, Millis),
@@ -188,8 +204,9 @@
     }
     let pace = traffic.pace.max(1.0);
     let warmth = rule.initial_share + (1.0 - rule.initial_share) * (age.max(0.0) * pace).min(1.0);
-    // Where reports tell what a replica can do, more than that would only wait there. Else the best one-part rate
-    // stands for it: it holds call overhead and one core only.
+    // With reports the aim is at most the capacity of the replica: more would only queue there. Without
+    // them the best rate of a single part stands in for it, which includes the call overhead and uses only
+    // one core.
     let multiple = rule.overload_multiple;
     let (bears, falls) = traffic.capacity.map_or((multiple * best, multiple * best), |capacity| {
         (capacity * (multiple * AIMED).min(1.0), capacity * multiple)
@@ -197,21 +214,24 @@
     let share = traffic.share(f64::from(routers));
     let since = now - left.1;
     let saved = left.0 + share * bears * warmth * since;
-    // All that came in since counts as much as it would have now, so that more comes in than a share while it warms.
+    // All time since then counts with the present warmth, so while the replica warms up more is gained than
+    // the share. The growth term accounts for that.
     let growth =
         if age * pace < 1.0 { (1.0 - rule.initial_share) * pace / rule.warm_within.max(1.0) } else { 0.0 };
     let coming = bears * (warmth + growth * since) * rule.overload_window;
-    // What all may have saved up: the budget of a window less what comes in during one, and two calls of what is put
-    // down to chance. The rest of that, twice the budget's root, is left for chance itself, but for one root where a
-    // guess at what one core does leaves nothing else. A router that has a query seldom keeps its call for as long as
-    // it takes for two to come, or most would be lost: what such have out together is bounded by that.
+    // The bound on what all routers have saved up: the budget of one overload window, less what is gained
+    // during one, plus two calls as random variation. The random variation that the overload rule tolerates
+    // beyond that (twice the square root of the budget) stays as a margin, except for one root where the
+    // estimate by one core would leave nothing to save. A router with rare queries keeps its call until two
+    // queries have arrived, as most of its allowance would be lost otherwise; this bounds the calls that
+    // such routers have out at the same time.
     let budget = falls * warmth * rule.overload_window;
     let saved_by_all = (budget - coming).max(budget.sqrt()) + 2.0;
     let most = share * saved_by_all.max(bears * warmth * traffic.between() * KEPT_FOR);
     if most >= 1.0 || saved < 1.0 {
         return Some((saved.min(most.max(1.0)), most.max(1.0)));
     }
-    // One call at a time, for as long as the next one takes to come in up to that share.
+    // A bound below one call: one call is kept until the gain towards the next one exceeds the bound.
     let next = saved.fract();
     Some((if next <= most { 1.0 + next } else { next }, 1.0))
 }
--- a/src/cold/tests.rs
+++ b/src/cold/tests.rs
@@ -8,9 +8,9 @@
     overload_window: 1000.0,
 };
 const ROUTERS: u32 = 100;
-/// Parts that all routers together would have for the cold replica, a millisecond.
+/// Load that all routers together have for the cold replica, in parts per millisecond.
 const MEETS: f64 = 0.15;
-/// What a warm replica does, in parts a millisecond.
+/// Capacity of a warm replica, in parts per millisecond.
 const CAPACITY: f64 = 0.1;
 
 fn reports(all: impl IntoIterator<Item = (LoadReport, Option<f64>)>) -> LoadReports {
@@ -23,8 +23,9 @@
     LoadReport { throughput: Some(throughput), utilization: Some(utilization), ..LoadReport::default() }
 }
 
-/// What is sent to a replica that started at 10 s, in each tenth of the ten seconds in which it gets warm, by
-/// routers of which every tenth has more than half of the traffic. A hundred warm replicas report, or none does.
+/// Returns the parts sent to a replica that started at 10 s, per tenth of a second of the ten seconds in
+/// which it gets warm. Every tenth router has more than half of the traffic. A hundred warm replicas report
+/// their load, or none does.
 fn sent(tell: bool) -> Vec<f64> {
     let traffic = |router: u32| if router.is_multiple_of(10) { 5.5 } else { 0.5 } / f64::from(ROUTERS);
     let mut chance = 7;
@@ -37,7 +38,7 @@
                 let warm = if tell { report(50.0, 0.5) } else { LoadReport::default() };
                 known.told(f64::from(now), Some(RULE), &reports((0..100).map(|_| (warm, None))));
             }
-            // All warm replicas together do five parts a millisecond.
+            // All warm replicas together process five parts per millisecond.
             if draw(&mut chance) < 5.0 * traffic(router) {
                 known.worked(true);
                 known.asked(1, 0.2);
@@ -58,14 +59,15 @@
 }
 
 #[test]
-fn unequal_routers_use_what_a_cold_replica_bears_and_never_push_it_over() {
+fn unequal_routers_use_a_cold_replica_without_overloading_it() {
     let by_traffic = sent(true);
     let all: f64 = by_traffic.iter().sum();
-    // It does 0.4 of its capacity at first and all of it in the end.
+    // The capacity grows from 0.4 of the full capacity to all of it.
     let bears = CAPACITY * 10_000.0 * 0.7;
-    // What the quiet ones do not use in time is lost: kept, all together could push it over.
+    // Allowance that quiet routers do not use in time is lost. If it were kept, all together could overload
+    // the replica.
     assert!((bears * 0.7..bears * 1.1).contains(&all), "{all} of {bears}");
-    assert!(all > 1.2 * sent(false).iter().sum::<f64>(), "even shares are used as well");
+    assert!(all > 1.2 * sent(false).iter().sum::<f64>(), "even shares are used equally well");
     for (at, second) in by_traffic.windows(10).enumerate() {
         let capacity = CAPACITY * 1000.0 * (0.4 + 0.6 * at as f64 / 100.0);
         assert!(
@@ -75,7 +77,8 @@
     }
 }
 
-/// Some replicas that are half on their way by the time at the latest, and as warm as twice that long makes them.
+/// Returns the warm-up speed estimated from the reports of replicas halfway through the longest warm-up
+/// time, which are as warm as replicas that warm up twice as fast.
 fn pace(replicas: usize, capacity: f64) -> f64 {
     let warm = (0..50).map(|_| (report(capacity * 0.8, 0.8), None));
     let cold = (0..replicas).map(|_| (report(capacity * 0.3, 0.3), Some(0.5)));
@@ -85,15 +88,15 @@
 }
 
 #[test]
-fn replicas_that_report_more_are_sent_more_and_a_few_reports_prove_nothing() {
+fn the_warm_up_speed_is_estimated_from_many_reports_and_not_from_a_few() {
     let many = pace(40, 100.0);
     assert!((1.7..2.0).contains(&many), "{many}");
-    assert_eq!(pace(1, 10.0), 1.0, "three parts a second may be chance");
+    assert_eq!(pace(1, 10.0), 1.0, "three parts per second may be random variation");
     assert_eq!(pace(0, 100.0), 1.0);
 }
 
 #[test]
-fn reports_of_replicas_that_have_just_started_leave_a_pace_that_can_be_written_down() {
+fn reports_of_replicas_that_have_just_started_give_a_warm_up_speed_that_can_be_serialized() {
     let warm = (0..50).map(|_| (report(80.0, 0.8), None));
     let cold = (0..40).map(|_| (report(80.0, 0.8), Some(0.0)));
     let mut known = FleetTraffic::default();
@@ -104,7 +107,7 @@
 }
 
 #[test]
-fn reports_of_replicas_that_serve_nothing_tell_of_no_pace() {
+fn reports_of_replicas_that_serve_nothing_give_no_warm_up_speed() {
     let warm = (0..50).map(|_| (report(0.0, 0.8), None));
     let cold = (0..40).map(|_| (report(0.0, 0.0), Some(0.5)));
     let mut known = FleetTraffic::default();
@@ -113,7 +116,7 @@
 }
 
 #[test]
-fn a_router_that_has_just_started_takes_an_even_share_and_the_last_one_left_takes_all() {
+fn a_new_router_has_an_even_share_and_the_last_one_left_has_nearly_all() {
     let mut known = FleetTraffic::default();
     known.asked(20, 0.2);
     assert_eq!(known.share(100.0), 0.01);
@@ -122,19 +125,21 @@
         (0..50).for_each(|_| known.worked(true));
     }
     assert!(known.share(2.0) > 0.9, "{known:?}");
-    // Reports that come to an end leave nothing to reckon with.
+    // Once reports stop, attempts no longer change the share.
     known.told(30_000.0, Some(RULE), &reports([(LoadReport::default(), None)]));
     let before = known.share(2.0);
     known.worked(true);
     assert_eq!(known.share(2.0), before);
 }
 
-/// What a replica of the sites does when warm, in parts a millisecond.
+/// Capacity of a small warm replica, in parts per millisecond.
 const SMALL: f64 = 0.015;
 
-/// How far what so many routers send within a window goes beyond what a replica bears that started so long ago, in
-/// what is put down to chance, when each had nothing to send at first and then at once has more than it may. Each has
-/// the same traffic, of so many parts a millisecond together, and warm replicas do so many; reports tell of it or do not.
+/// Returns the largest excess, over all windows, of what the routers send over what the cold replica can
+/// take, as a multiple of the allowed random variation. The replica started `idle` ms before. No router has
+/// anything to send to it until then, and afterwards each has more than it may send. All routers have the
+/// same traffic, `traffic` parts per millisecond together. Warm replicas have the given capacity, and
+/// report it if `tell` is set.
 fn at_once(routers: u32, idle: u32, tell: bool, (traffic, capacity): (f64, f64)) -> f64 {
     let mut chance = 7;
     let mut all: Vec<_> =
@@ -174,30 +179,33 @@
     sent.windows(RULE.overload_window as usize).enumerate().map(beyond).fold(f64::MIN, f64::max)
 }
 
-/// Beyond what the replica bears in a window only so much is put down to chance, however many routers there are.
+/// The parts sent in a window may exceed what the replica can take by the random variation only, for any
+/// number of routers.
 #[test]
-fn what_all_routers_have_saved_up_is_no_more_than_a_cold_replica_bears() {
+fn saved_allowances_of_all_routers_do_not_overload_a_cold_replica() {
     for idle in [500, 3000, 6000] {
         for routers in [2, 20, 30, 100, 300] {
             for reports in [false, true] {
                 let beyond = at_once(routers, idle, reports, (SMALL * 50.0, SMALL));
-                assert!(beyond <= 1.0, "{routers}, idle for {idle}, reports {reports}: {beyond}");
+                assert!(beyond <= 1.0, "{routers} routers, idle for {idle} ms, reports {reports}: {beyond}");
             }
         }
     }
 }
 
-/// The same where each router has a query only every so many milliseconds: calls that are kept until two queries have come
-/// add up.
+/// The same with routers that each have a query only every `every` milliseconds: calls that are kept until
+/// two queries have arrived must not add up to an overload.
 #[test]
-fn what_routers_with_few_queries_have_saved_up_is_no_more_than_a_cold_replica_bears() {
+fn saved_allowances_of_routers_with_rare_queries_do_not_overload_a_cold_replica() {
     for capacity in [SMALL, CAPACITY] {
         for every in [1600.0, 20_000.0] {
             for idle in [500, 6000] {
                 for routers in [30, 300] {
                     let traffic = (f64::from(routers) / every, capacity);
                     let beyond = at_once(routers, idle, true, traffic);
-                    let case = format!("{routers} of {capacity}, one in {every}, idle for {idle}");
+                    let case = format!(
+                        "{routers} routers, capacity {capacity}, every {every} ms, idle for {idle} ms"
+                    );
                     assert!(beyond <= 1.0, "{case}: {beyond}");
                 }
             }
@@ -205,9 +213,9 @@
     }
 }
 
-/// Thirty routers with twice the work that it bears use it all the same.
+/// Thirty routers with twice the work that the replica can take use most of its capacity.
 #[test]
-fn thirty_routers_use_a_cold_replica() {
+fn thirty_routers_use_most_of_a_cold_replica() {
     let mut chance = 7;
     let mut all: Vec<_> = (0..30).map(|_| (FleetTraffic::default(), (draw(&mut chance), 10_000.0))).collect();
     let mut sent = 0.0;
--- a/src/pace.rs
+++ b/src/pace.rs
@@ -1,24 +1,27 @@
-//! How fast a replica works off what one router has out there, and when more would only wait in vain.
+//! Estimates how fast a replica processes the parts of one router, and detects when more parts would only
+//! time out in its queue.
 //!
-//! A replica that is asked for more than it does keeps a full queue, in which all that is sent to it waits longer than
-//! anybody waits for it: it works on, and nothing of it is of use. A router that sends it no more than it works off
-//! in time gets that much from it.
+//! A replica that gets more than it can process has a full queue, in which every part waits longer than its
+//! client does: the replica works, but none of its answers is of use. A router that sends it no more than
+//! it processes in time gets that much from it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
 
-/// How fast the pace follows what shows that it is higher, and lower: one sample in a quiet moment shows how fast a
-/// replica can be, and it takes several to show that it is no longer.
+/// Weight of a sample above the estimate, and of one below. A single sample in a quiet moment shows how
+/// fast a replica can be, while it takes several to show that it has become slower.
 const STEPS: (f64, f64) = (0.2, 0.06);
 
-/// The pace of one replica, in cost units a millisecond; none before any sample.
+/// Service rate of one replica, in cost units per millisecond; `None` before the first sample.
 #[derive(Debug, Default, Clone, Copy, Serialize, Deserialize)]
 pub struct ServiceRate(Option<f64>);
 
 impl ServiceRate {
-    /// A part was completed after some time, or called back, with so much out at its start, itself included: by Little's
-    /// law that was worked off at what was out over the time. A part called back can only tell that it was no faster.
+    /// Adds a sample: a part that was completed or cancelled after a time in milliseconds. `in_flight` is
+    /// the work that was in flight when it was sent, itself included. By Little's law the service rate is
+    /// that work divided by the time. A cancelled part was not completed in this time, so it can only lower
+    /// the estimate.
     pub fn note(&mut self, ahead: f64, took: Millis, completed: bool) {
         let rate = ahead / took;
         let known = self.0.unwrap_or(rate);
@@ -29,12 +32,13 @@
         }
     }
 
-    /// How long so much takes there; no time before any sample.
+    /// Returns how long this much work takes, in milliseconds; 0 before the first sample.
     pub fn takes(self, out: f64) -> Millis {
         self.0.map_or(0.0, |pace| out / pace)
     }
 
-    /// Whether what is out takes longer than a limit, as far as is known; one part may always be out.
+    /// Returns whether the work in flight is expected to take longer than a limit in milliseconds. One part
+    /// may always be in flight, and without a sample nothing is known.
     pub fn is_laden(self, out: f64, limit: Millis) -> bool {
         self.0.is_some_and(|pace| out >= (pace * limit).max(1.0))
     }
--- a/src/pace/tests.rs
+++ b/src/pace/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use std::collections::VecDeque;
 
-/// Two routers send to a replica with a queue of 40 that does one part in `each` ms, each a part every 20 ms unless
-/// it is laden; what has not come after 250 ms is called back and worked on all the same. Says how many come in time
-/// within 20 s.
+/// Returns how many parts complete in time within 20 s. Two routers each send a part every 20 ms, unless
+/// the replica is saturated, to a replica with a queue of 40 that processes one part in `each` ms. Parts
+/// without an answer after 250 ms are cancelled, but the replica processes them all the same.
 fn in_time(each: u32, bounded: bool) -> u32 {
     let mut paces = [ServiceRate::default(); 2];
     let mut out = [0.0; 2];
@@ -11,7 +11,7 @@
     let (mut done, mut free) = (0, 0);
     for now in 0..20_000 {
         for (router, (pace, out)) in paces.iter_mut().zip(&mut out).enumerate() {
-            // Each is called back but once, at its time.
+            // Each part is cancelled only once, exactly at its timeout.
             for (_, _, ahead) in queue.iter().filter(|(of, sent, _)| *of == router && now - sent == 250) {
                 pace.note(*ahead, 250.0, false);
                 *out -= 1.0;
@@ -37,25 +37,25 @@
 }
 
 #[test]
-fn a_replica_asked_for_too_much_still_completes_what_it_can() {
-    // It does 62 parts a second and is asked for 100: nothing comes out of its full queue in time.
+fn an_overloaded_replica_still_completes_what_it_can() {
+    // It processes 62 parts per second and is sent 100: no part gets through its full queue in time.
     assert!(in_time(16, false) < 100, "{}", in_time(16, false));
     assert!(in_time(16, true) > 800, "{}", in_time(16, true));
 }
 
 #[test]
-fn a_replica_with_time_to_spare_is_not_bounded() {
+fn a_replica_with_spare_capacity_is_not_limited() {
     assert_eq!(in_time(5, true), in_time(5, false));
 }
 
 #[test]
-fn a_part_called_back_never_makes_a_replica_look_faster() {
+fn a_cancelled_part_never_raises_the_rate() {
     let mut pace = ServiceRate::default();
     pace.note(1.0, 10.0, true);
     pace.note(50.0, 100.0, false);
     assert!(pace.is_laden(10.0, 100.0) && !pace.is_laden(9.9, 100.0));
     pace.note(2.0, 100.0, false);
     assert!(pace.is_laden(9.9, 100.0));
-    assert!(!pace.is_laden(0.5, 1.0), "one may always be out");
-    assert!(!ServiceRate::default().is_laden(99.0, 1.0), "nothing is known");
+    assert!(!pace.is_laden(0.5, 1.0), "one part may always be in flight");
+    assert!(!ServiceRate::default().is_laden(99.0, 1.0), "there is no sample");
 }
