--- a/src/decaying_mean.rs
+++ b/src/decaying_mean.rs
@@ -1,20 +1,21 @@
-//! A share of what happened lately, in which old cases fade.
+//! An exponentially decaying mean.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
 
-/// The share, and when it was last told: an exponentially weighted mean that decays to nothing by itself.
+/// The mean and the time of its last update, in milliseconds. It decays to 0 by itself, so that old samples
+/// lose their effect.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct DecayingMean(pub f64, pub Millis);
 
 impl DecayingMean {
-    /// The share now, of which half fades in some time.
+    /// Returns the mean at a time. It halves in every half-life.
     pub fn at(self, now: Millis, half: Millis) -> f64 {
         self.0 * 0.5f64.powf((now - self.1) / half)
     }
 
-    /// A further case, 0 or 1, of a weight.
+    /// Adds a sample, such as 0 or 1 for a share, with a weight from 0 to 1.
     pub fn note(&mut self, told: f64, weight: f64, now: Millis, half: Millis) {
         let known = self.at(now, half);
         *self = DecayingMean(known + weight * (told - known), now);
--- a/src/exact.rs
+++ b/src/exact.rs
@@ -1,15 +1,18 @@
-//! Sums that are kept as their terms come and go: what is taken out leaves no trace, and no order of terms shows.
+//! Exact sums whose terms can be added and removed in any order, and a total order of times.
+//!
+//! Floating-point sums would accumulate rounding errors that depend on the order of updates. An
+//! [`ExactSum`] always equals the sum of its present terms.
 
 use std::cmp::Ordering;
 
 use crate::api::Millis;
 
-/// Parts of one that a term is cut to: far finer than anything is measured.
+/// Units per 1: terms are truncated to 2^-64, far finer than any measurement.
 const UNIT: f64 = (1u128 << 64) as f64;
-/// Terms count for no more than this, so that millions of them fit.
+/// Terms are clamped to this magnitude, so that millions of them fit into an `i128`.
 const MOST: f64 = (1u64 << 40) as f64;
 
-/// A sum of figures, in whole units.
+/// A sum of fixed-point numbers.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ExactSum(i128);
 
@@ -18,23 +21,23 @@
         (term.clamp(-MOST, MOST) * UNIT) as i128
     }
 
-    /// A term comes. One that is no number counts for nothing.
+    /// Adds a term. NaN counts as 0.
     pub fn add(&mut self, term: f64) {
         self.0 += Self::units(term);
     }
 
-    /// A term that was added goes.
+    /// Removes a term that was added.
     pub fn take(&mut self, term: f64) {
         self.0 -= Self::units(term);
     }
 
-    /// The sum.
+    /// Returns the sum.
     pub fn value(self) -> f64 {
         self.0 as f64 / UNIT
     }
 }
 
-/// A time in an order of times.
+/// A time with a total order, for use as a key.
 #[derive(Debug, Clone, Copy)]
 pub struct OrderedTime(pub Millis);
 
--- a/src/exact/tests.rs
+++ b/src/exact/tests.rs
@@ -2,7 +2,7 @@
 use crate::hash::draw;
 
 #[test]
-fn a_sum_is_the_same_in_any_order_and_whatever_has_come_and_gone() {
+fn a_sum_depends_neither_on_the_order_nor_on_removed_terms() {
     let mut chance = 3;
     let terms: Vec<f64> =
         (0..1000).map(|_| (draw(&mut chance) - 0.5) * 10f64.powf(draw(&mut chance) * 12.0)).collect();
