--- a/src/idle.rs
+++ b/src/idle.rs
@@ -1,31 +1,35 @@
-//! Whether something on the way drops idle connections unseen, and how long they may be idle then.
+//! Detects that something on the network path silently drops idle connections, and after how long an idle
+//! time.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
 use crate::decaying_mean::DecayingMean;
 
-/// Share of sends on idle connections lost from which these are closed, at this share of a fatal idleness.
+/// Share of sends on idle connections that are lost from which idle connections count as dropped, and the
+/// share of the shortest idle time with a loss at which they are closed instead.
 const DROPS: f64 = 0.1;
 const MARGIN: f64 = 0.5;
-/// Weight of a send in that share.
+/// Weight of one send in the share of lost sends.
 const SMOOTH: f64 = 0.06;
 
-/// What is known of idle connections.
+/// Losses of sends on idle connections.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct IdleDrops {
     drops: DecayingMean,
-    /// The idleness to allow, where such are dropped.
+    /// The idle time after which connections are to be closed, in milliseconds, while idle connections
+    /// count as dropped.
     pub limit: Millis,
 }
 
 impl IdleDrops {
-    /// Whether idle connections are dropped. Half of what tells so fades in `half`.
+    /// Returns whether idle connections count as dropped. The share of lost sends halves in every
+    /// half-life.
     pub fn drops(&self, now: Millis, half: Millis) -> bool {
         self.drops.at(now, half) > DROPS
     }
 
-    /// A send on a connection idle for so long was lost, or was not.
+    /// Records whether a send on a connection that had been idle for this long was lost.
     pub fn note(&mut self, idle: Millis, lost: bool, now: Millis, half: Millis) {
         if lost {
             let limit = if self.drops.at(now, half) < DROPS { idle } else { self.limit };
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -1,29 +1,30 @@
-//! What each tenant has left of its own share of the fleet, at one router of many.
+//! Quotas of tenants: what each tenant has left of its share of the fleet, at one router of many.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::{Millis, Tenant};
 
-/// Queries of a tenant that may come in a clump within its share, if a second's worth is less.
+/// Smallest burst in queries that fits into a tenant's quota, for quotas of less than this per second.
 const SLACK: f64 = 5.0;
 
-/// By tenant: what is left, in queries, and when that was reckoned.
+/// A token bucket per tenant: the tokens that are left, in queries, and the time of the last update.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct Quotas(Vec<(f64, Millis)>);
 
 impl Quotas {
-    /// A second's worth for each tenant.
+    /// Creates a bucket with the quota of one second for each tenant.
     pub fn new(tenants: &[Tenant], now: Millis) -> Self {
         Quotas(tenants.iter().map(|tenant| (tenant.quota_per_s, now)).collect())
     }
 
-    /// A query of a tenant came in at one of so many routers, which have even parts in its share; says whether it is
-    /// within that. Queries of no tenant are.
+    /// Takes a token for a query of a tenant and returns whether the query is within its quota. Every
+    /// router has an even part of the quota. Queries without a tenant are always within it.
     pub fn take(&mut self, tenant: usize, tenants: &[Tenant], routers: u32, now: Millis) -> bool {
         let Some((bucket, told)) = self.0.get_mut(tenant).zip(tenants.get(tenant)) else { return true };
         let rate = told.quota_per_s / f64::from(routers);
         let left = (bucket.0 + rate * (now - bucket.1) / 1000.0).min(rate.max(SLACK));
-        // What is beyond the share takes what is left of it too: who goes on asking for more is beyond it with all.
+        // A query beyond the quota takes the rest of the token too: a tenant that keeps asking for more
+        // stays beyond its quota.
         *bucket = ((left - 1.0).max(0.0), now);
         left >= 1.0
     }
--- a/src/repeats.rs
+++ b/src/repeats.rs
@@ -1,19 +1,20 @@
-//! One budget of repeats for a whole fleet: what one router of many may send again.
+//! A retry budget that is shared by a fleet: what one router of many may send again.
 //!
-//! Each router earns by the parts that it takes, so that the parts of all add up to a share of the fleet's traffic, however
-//! that is spread over them. What a router may save up is divided by their number: three hundred that each had
-//! saved for a lone one's bad moment would be a storm together.
+//! Each router earns retries for the parts that it accepts, so that the budgets of all routers add up to a
+//! share of the fleet's traffic, however that is spread over them. What a router may save up is divided by
+//! the number of routers: if each of three hundred saved up as much as a single one may, they could send
+//! all of that at once.
 
 use serde::{Deserialize, Serialize};
 
-/// Repeats earned by each part taken: more would be load on a slow fleet.
+/// Retries earned by each accepted part. More would add load to a fleet that is already slow.
 const RATIO: f64 = 0.1;
-/// The most that one router saves up, and the most that all of a fleet do, as four would: also the most that they may be
-/// behind after repeats that could not wait.
+/// The most retries that one router saves up, and that all routers of a fleet do together (as much as four
+/// single ones). It also bounds the debt of retries that could not wait.
 const SAVED: f64 = 10.0;
 const SAVED_BY_ALL: f64 = 4.0 * SAVED;
 
-/// What one router may still send again; less than none where it had to.
+/// The retries that one router may still send; negative after retries that could not wait.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct RetryBudget(f64);
 
@@ -24,30 +25,31 @@
 }
 
 impl RetryBudget {
-    /// A part was taken, by one of so many routers, of a query that has so many by now. What a query earns is not lost to
-    /// the bound on what is saved up.
+    /// Earns the share of a retry for a part that was accepted. `parts` is the number of parts of its query
+    /// so far: what one query earns is not lost to the bound on savings.
     pub fn earn(&mut self, routers: u32, parts: usize) {
         self.0 = (self.0 + RATIO).min(most(routers).max(RATIO * parts as f64).min(SAVED));
     }
 
-    /// Whether there is one to spend.
+    /// Returns whether there is a retry to spend.
     pub fn allows(self) -> bool {
         self.0 >= 1.0
     }
 
-    /// A part is sent again by one of so many routers. What had to be goes to a bounded debt: a bad moment is not paid
-    /// for to the end of the day.
+    /// Spends a retry. Retries that could not wait lead to a debt, which is bounded, so that a short
+    /// incident does not block retries for long after it.
     pub fn spend(&mut self, routers: u32) {
         self.0 = (self.0 - 1.0).max(-most(routers));
     }
 
-    /// A repeat that costs the fleet nothing, as the last attempt never came to work there.
+    /// Gives back a retry that adds no load to the fleet, as the previous attempt never ran.
     pub fn free(&mut self) {
         self.0 += 1.0;
     }
 }
 
-/// A router's part in what the fleet may save up; one at least, or it could never repeat anything.
+/// Returns the share of one router in what the fleet may save up: at least one, or the router could never
+/// retry.
 fn most(routers: u32) -> f64 {
     (SAVED_BY_ALL / f64::from(routers)).clamp(1.0, SAVED)
 }
--- a/src/repeats/tests.rs
+++ b/src/repeats/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Repeats that so many routers send in a second in which each would repeat all it may, after a long calm, with so
-/// many parts taken by each.
+/// Returns the retries that all routers send in a burst after a long quiet time, in which each sends as
+/// many as it may and accepts `parts` parts.
 fn at_once(routers: u32, parts: u32) -> u32 {
     let mut all = vec![RetryBudget::default(); routers as usize];
     let mut sent = 0;
@@ -21,17 +21,17 @@
 }
 
 #[test]
-fn the_parts_of_all_routers_add_up_to_one_budget() {
+fn the_budgets_of_all_routers_add_up_to_one() {
     for routers in [1, 3, 10, 40] {
         let budget = SAVED * f64::from(routers.min(4)) + RATIO * f64::from(routers * 300);
         assert!(f64::from(at_once(routers, 300)) <= budget + 0.5, "{routers}: {}", at_once(routers, 300));
     }
-    // Each of three hundred may repeat one part, and what it earns.
+    // Each of three hundred routers may send one retry, and what it earns.
     assert!(at_once(300, 10) <= 600, "{}", at_once(300, 10));
 }
 
 #[test]
-fn a_bad_moment_is_paid_for_by_as_much_as_may_be_saved_and_no_more() {
+fn the_debt_is_at_most_what_may_be_saved() {
     let mut router = RetryBudget::default();
     (0..1000).for_each(|_| router.spend(1));
     assert!(!router.allows());
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_a_query_of_many_parts_earns_is_there_for_it() {
+fn a_query_with_many_parts_may_spend_what_it_earns() {
     let mut router = RetryBudget::default();
     (0..20).for_each(|_| router.spend(300));
     (1..=60).for_each(|parts| router.earn(300, parts));
