--- a/src/query_index.rs
+++ b/src/query_index.rs
@@ -1,28 +1,28 @@
-//! Which queries are due to be looked at, in order of time, kept as they change: a step looks at no others.
+//! An index of queries by when and why they need attention, so that a step looks at no others.
 //!
-//! It decides nothing: a query that is looked at too soon stays as it is. Nothing of it is written down; all of it can be
-//! reckoned anew from queries, parts and flights.
+//! It makes no decisions: a query that is looked at too early stays as it is. It is not part of a
+//! checkpoint, as all of it can be rebuilt from the queries, parts and attempts in flight.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{Attempt, Millis, PartId};
 use crate::exact::OrderedTime;
 
-/// A query's number, and the place of a part in it.
+/// The location of a part: the number of its query, and its index in it.
 pub type Place = (u64, usize);
-/// Attempts at one replica, in order of their sends.
+/// Attempts at one replica, in the order in which they were sent.
 type Sends = BTreeSet<(OrderedTime, PartId, Attempt)>;
 
-/// How much sooner than due a query may be looked at, for what sums of times lose.
+/// Tolerance in milliseconds by which a query may be looked at too early, to cover rounding in sums of
+/// times.
 const SLACK: Millis = 1.0;
 
-/// When a query is due by time: at the end of its aim or of its client's patience, whichever comes first, and at the
-/// latter.
+/// Times at which a query needs attention.
 #[derive(Debug, Clone, Copy)]
 pub struct QueryTimes {
-    /// The query.
+    /// The number of the query.
     pub number: u64,
-    /// The first of both.
+    /// The end of its aim or its deadline, whichever comes first.
     pub aim: Millis,
     /// When its client gives up.
     pub deadline: Millis,
@@ -33,45 +33,46 @@
 struct Class {
     aims: BTreeSet<(OrderedTime, u64)>,
     deadlines: BTreeSet<(OrderedTime, u64)>,
-    /// Those of `aims` that have enough for an answer.
+    /// The entries of `aims` whose queries have enough parts for an answer.
     enough: BTreeSet<(OrderedTime, u64)>,
-    /// Parts out, by when they were sent, but for those whose replica is known to have answered since.
+    /// Parts in flight by the time they were sent, except those whose replica is known to have answered
+    /// since.
     out: BTreeSet<(OrderedTime, Place)>,
 }
 
-/// All queries.
+/// The index of all queries.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct QueryIndex {
     classes: Vec<Class>,
-    /// Those of which something has changed.
+    /// Queries that have changed.
     touched: BTreeSet<u64>,
-    /// Those with resets on connections surely open.
+    /// Queries that had parts reset on connections that were not idle.
     resets: BTreeSet<u64>,
-    /// Parts out that are lost, as enough later ones were answered first.
+    /// Parts in flight that count as lost, as enough later parts at their replica were answered first.
     lost: BTreeSet<Place>,
-    /// The other parts out, by replica.
+    /// The other parts in flight, by replica.
     sends: BTreeMap<u64, Sends>,
 }
 
-/// Numbers of queries up to some time.
+/// Returns the numbers of the queries whose time has come.
 fn until(set: &BTreeSet<(OrderedTime, u64)>, at: Millis) -> impl Iterator<Item = u64> + '_ {
     set.iter().take_while(move |(time, _)| time.0 <= at + SLACK).map(|(_, number)| *number)
 }
 
 impl QueryIndex {
-    /// None yet, of so many classes.
+    /// Creates an empty index for this number of classes.
     pub fn new(classes: usize) -> Self {
         QueryIndex { classes: vec![Class::default(); classes], ..QueryIndex::default() }
     }
 
-    /// A query has come.
+    /// Adds a query.
     pub fn comes(&mut self, class: usize, ends: QueryTimes) {
         self.classes[class].aims.insert((OrderedTime(ends.aim), ends.number));
         self.classes[class].deadlines.insert((OrderedTime(ends.deadline), ends.number));
         self.touched.insert(ends.number);
     }
 
-    /// A query is over.
+    /// Removes a query.
     pub fn goes(&mut self, class: usize, ends: QueryTimes) {
         self.classes[class].aims.remove(&(OrderedTime(ends.aim), ends.number));
         self.classes[class].deadlines.remove(&(OrderedTime(ends.deadline), ends.number));
@@ -80,7 +81,7 @@
         self.touched.remove(&ends.number);
     }
 
-    /// Whether it has enough for an answer.
+    /// Sets whether a query has enough parts for an answer.
     pub fn enough(&mut self, class: usize, ends: QueryTimes, enough: bool) {
         let key = (OrderedTime(ends.aim), ends.number);
         if enough {
@@ -90,27 +91,28 @@
         }
     }
 
-    /// Something of a query has changed.
+    /// Marks a query as changed.
     pub fn touch(&mut self, number: u64) {
         self.touched.insert(number);
     }
 
-    /// A part of it was lost to a reset on a connection surely open.
+    /// Marks a query as having lost a part to a reset on a connection that was not idle.
     pub fn reset(&mut self, number: u64) {
         self.resets.insert(number);
     }
 
-    /// A part is out.
+    /// Adds a part in flight.
     pub fn sent(&mut self, class: usize, sent: Millis, place: Place) {
         self.classes[class].out.insert((OrderedTime(sent), place));
     }
 
-    /// A part is no longer out, or its replica has answered since it was sent.
+    /// Removes a part that is no longer in flight, or whose replica has answered since it was sent.
     pub fn answered(&mut self, class: usize, sent: Millis, place: Place) {
         self.classes[class].out.remove(&(OrderedTime(sent), place));
     }
 
-    /// Whether an attempt that is out counts as lost, or may be yet.
+    /// Adds an attempt in flight, either as lost, with the location of its part, or as one that can still
+    /// become lost.
     pub fn follow(
         &mut self,
         replica: u64,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// An attempt has ended, or was called back.
+    /// Removes an attempt that has ended or was cancelled.
     pub fn unfollow(&mut self, replica: u64, sent: Millis, (part, attempt): (PartId, Attempt), place: Place) {
         self.lost.remove(&place);
         if let Some(sends) = self.sends.get_mut(&replica) {
@@ -135,51 +137,52 @@
         }
     }
 
-    /// Attempts at a replica that were sent before some time and are not yet lost.
+    /// Returns the attempts at a replica that were sent before a time and do not count as lost.
     pub fn before(&self, replica: u64, sent: Millis) -> Vec<(PartId, Attempt)> {
         let sends = self.sends.get(&replica).into_iter().flatten();
         let older = sends.take_while(|(at, ..)| at.0 < sent);
         older.map(|(_, part, attempt)| (part.clone(), *attempt)).collect()
     }
 
-    /// Those of which something has changed since this was asked last.
+    /// Returns and clears the set of queries that have changed.
     pub fn take_touched(&mut self) -> BTreeSet<u64> {
         std::mem::take(&mut self.touched)
     }
 
-    /// Those that have parts which count as lost.
+    /// Returns the queries with parts that count as lost.
     pub fn lost(&self) -> impl Iterator<Item = u64> + '_ {
         self.lost.iter().map(|(number, _)| *number)
     }
 
-    /// Those with resets on connections surely open.
+    /// Returns the queries that had parts reset on connections that were not idle.
     pub fn resets(&self) -> impl Iterator<Item = u64> + '_ {
         self.resets.iter().copied()
     }
 
-    /// Those of a class whose deadlines come by some time.
+    /// Returns the queries of a class whose deadlines have come at a time.
     pub fn deadlines(&self, class: usize, at: Millis) -> impl Iterator<Item = u64> + '_ {
         until(&self.classes[class].deadlines, at)
     }
 
-    /// Those whose aims, or deadlines, come by some time.
+    /// Returns the queries of a class whose aims or deadlines have come at a time.
     pub fn aims(&self, class: usize, at: Millis) -> impl Iterator<Item = u64> + '_ {
         until(&self.classes[class].aims, at)
     }
 
-    /// Those of them that have enough for an answer.
+    /// Returns those of them that have enough parts for an answer.
     pub fn answerable(&self, class: usize, at: Millis) -> impl Iterator<Item = u64> + '_ {
         until(&self.classes[class].enough, at)
     }
 
-    /// Those with parts out since some time.
+    /// Returns the queries of a class with parts that have been in flight since a time or longer.
     pub fn out(&self, class: usize, since: Millis) -> impl Iterator<Item = u64> + '_ {
         let sent = self.classes[class].out.iter().take_while(move |(sent, _)| sent.0 <= since + SLACK);
         sent.map(|(_, (number, _))| *number)
     }
 
-    /// What differs from a recount, but for what was touched and parts out whose replica has answered since: these are
-    /// there in `all`, and not in `silent`.
+    /// Describes a difference from a rebuilt index, if there is one. Changed queries are not compared. The
+    /// parts in flight have to include those of `silent` and be included in those of `all`, as parts whose
+    /// replica has answered since they were sent are removed late.
     pub fn differs(&self, all: &QueryIndex, silent: &QueryIndex) -> Option<String> {
         let bare = |due: &QueryIndex| {
             let class = |class: &Class| Class { out: BTreeSet::new(), ..class.clone() };
--- a/src/replica_index.rs
+++ b/src/replica_index.rs
@@ -1,7 +1,8 @@
-//! What is known of all replicas together, kept as it changes: who holds a shard, sums, and who is due for something.
+//! An index of all replicas, updated incrementally: the holders of each shard, sums over load reports, and
+//! replicas that need attention.
 //!
-//! It decides nothing, and nothing of it is written down: all of it can be reckoned anew from the replicas
-//! ([`ReplicaIndex::of`]), and equals that at any time.
+//! It makes no decisions and is not part of a checkpoint. It always equals the index that
+//! [`ReplicaIndex::of`] builds from all replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,28 +10,28 @@
 use crate::cold::LoadReports;
 use crate::exact::{ExactSum, OrderedTime};
 
-/// What is to be known of one replica.
+/// The fields of one replica that the index depends on.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct ReplicaFacts {
-    /// Its number.
+    /// The number of the replica.
     pub number: u64,
     /// Its cell.
     pub cell: u32,
     /// Its state in the list.
     pub state: ReplicaState,
-    /// When it started.
+    /// When it started, if known.
     pub started: Option<Millis>,
-    /// Its rate, if it was heard.
+    /// Its measured rate, in cost units per millisecond, once there is a sample.
     pub rate: Option<f64>,
-    /// What it reported, and when.
+    /// Its last load report.
     pub load: LoadReport,
-    /// See `load`.
+    /// When it sent that report.
     pub loaded: Millis,
     /// When it last looked dead.
     pub died: Option<Millis>,
-    /// When it is to be probed, if it is parked.
+    /// When its next probe is due, if it is parked.
     pub probe_at: Option<Millis>,
-    /// When an open connection to it was last used, if nothing is out there.
+    /// When a connection to it that is still open was last used, if no part is in flight there.
     pub idle_since: Option<Millis>,
 }
 
@@ -40,24 +41,24 @@
     }
 }
 
-/// Replicas in order of some time of theirs.
+/// Replicas, by number, in the order of some time.
 type ByTime = BTreeSet<(OrderedTime, u64)>;
 
-/// What is known of them together.
+/// The index of all replicas.
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct ReplicaIndex {
     cells: u32,
     width: u32,
     warm_within: Option<Millis>,
-    /// Those that are listed, by cell.
+    /// Listed replicas, by cell.
     holders: BTreeSet<(u32, u64)>,
     gone: BTreeSet<u64>,
     active: usize,
-    /// Of those that are listed: how many were heard, and their rates.
+    /// Listed replicas with a measured rate, and the sum of their rates.
     heard: usize,
     rates: ExactSum,
     reports: LoadReports,
-    /// Utilizations reported since some time.
+    /// Utilizations that were reported after a time, and their sum.
     since: Millis,
     told: BTreeMap<(OrderedTime, u64), f64>,
     busy: ExactSum,
@@ -66,7 +67,7 @@
     idle: ByTime,
 }
 
-/// Puts what is after in the place of what was before, if they differ.
+/// Replaces one key of a set by another, if they differ.
 fn shift<K: Ord>(set: &mut BTreeSet<K>, before: Option<K>, after: Option<K>) {
     if before != after {
         before.map(|key| set.remove(&key));
@@ -74,7 +75,8 @@
     }
 }
 
-/// Those up to some time, in order of their numbers.
+/// Returns the replicas whose times meet a condition that holds up to some time, in the order of their
+/// numbers.
 fn until(set: &ByTime, at: impl Fn(Millis) -> bool) -> Vec<u64> {
     let mut due: Vec<u64> =
         set.iter().take_while(|(time, _)| at(time.0)).map(|(_, number)| *number).collect();
@@ -83,8 +85,8 @@
 }
 
 impl ReplicaIndex {
-    /// All replicas at once, in a layout of shards over so many cells, of which so many in a row hold one; utilizations
-    /// count that were reported after some time.
+    /// Builds the index of all replicas. Shards are laid out over `cells`, and a number of consecutive
+    /// cells holds each. Utilizations count that were reported after `since`.
     pub fn of(
         (cells, width): (u32, u32),
         warm_within: Option<Millis>,
@@ -96,7 +98,7 @@
         pool
     }
 
-    /// One replica has changed, or is new or gone for good.
+    /// Updates the index for a replica that was added (no `before`), changed or removed (no `after`).
     pub fn change(&mut self, before: Option<&ReplicaFacts>, after: Option<&ReplicaFacts>) {
         let cells = self.cells;
         let holder = |facts: &ReplicaFacts| facts.is_listed().then_some((facts.cell % cells, facts.number));
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Time goes on: utilizations count that were reported after this one.
+    /// Drops utilizations that were reported at a time or earlier.
     pub fn forget(&mut self, since: Millis) {
         self.since = since;
         while let Some(oldest) = self.told.first_entry().filter(|oldest| oldest.key().0 .0 <= since) {
@@ -163,12 +165,12 @@
         }
     }
 
-    /// Whether any is listed.
+    /// Returns whether any replica is listed.
     pub fn is_listed(&self) -> bool {
         !self.holders.is_empty()
     }
 
-    /// Those listed that hold a shard, in order.
+    /// Returns the listed replicas that hold a shard, in the order of their numbers.
     pub fn holders(&self, shard: Shard) -> Vec<u64> {
         let cells = (0..self.width).map(|next| (shard.0 % self.cells + next) % self.cells);
         let of = |cell| self.holders.range((cell, 0)..=(cell, u64::MAX)).map(|(_, number)| *number);
@@ -177,43 +179,44 @@
         holders
     }
 
-    /// Those that are gone from the list.
+    /// Returns the replicas that are gone from the list.
     pub fn gone(&self) -> Vec<u64> {
         self.gone.iter().copied().collect()
     }
 
-    /// How many are active, and how many parked.
+    /// Returns the number of active and of parked replicas.
     pub fn active_and_parked(&self) -> (usize, usize) {
         (self.active, self.parked.len())
     }
 
-    /// The mean rate of those listed, if any was heard.
+    /// Returns the mean rate of the listed replicas, if any has one.
     pub fn mean_rate(&self) -> Option<f64> {
         (self.heard > 0).then(|| self.rates.value() / self.heard as f64)
     }
 
-    /// What those listed reported last.
+    /// Returns the sums of the load reports of the listed replicas.
     pub fn reports(&self) -> &LoadReports {
         &self.reports
     }
 
-    /// The utilizations reported lately: their sum and how many.
+    /// Returns the sum of the recently reported utilizations, and their number.
     pub fn busy(&self) -> (f64, usize) {
         (self.busy.value(), self.told.len())
     }
 
-    /// Those that last looked dead between two times, the second included, with when.
+    /// Returns the replicas that last looked dead after `since` and at `until` at the latest, with the
+    /// time.
     pub fn died(&self, since: Millis, until: Millis) -> impl Iterator<Item = (u64, Millis)> + '_ {
         let late = self.died.iter().rev().skip_while(move |(at, _)| at.0 > until);
         late.take_while(move |(at, _)| at.0 > since).map(|(at, number)| (*number, at.0))
     }
 
-    /// Those whose probes are due.
+    /// Returns the parked replicas whose probe is due.
     pub fn to_probe(&self, now: Millis) -> Vec<u64> {
         until(&self.parked, |at| now >= at)
     }
 
-    /// Those with connections that have been idle for longer than a limit.
+    /// Returns the replicas with connections that have been idle for longer than a limit.
     pub fn idle(&self, now: Millis, limit: Millis) -> Vec<u64> {
         until(&self.idle, |used| now - used > limit)
     }
--- a/src/starts.rs
+++ b/src/starts.rs
@@ -1,9 +1,10 @@
-//! When run stores started, by this process's own clock.
+//! Places the start times of run stores on this process's own clock.
 //!
-//! Lists state starts as Unix times of the machines' wall clock. The process's clock begins at that too and then only
-//! runs forward, so that the two part once the wall clock is stepped. A start that is told as news lies in the past and
-//! not long ago, whatever a wall clock says; where it cannot be placed, it is taken to be now, and what the run
-//! store reports meanwhile tells nothing of how others get warm.
+//! Lists give start times as Unix times of the machines' wall clock. The process's clock is set to the wall
+//! clock once and then only runs forward, so the two diverge when the wall clock is stepped. A start in an
+//! update of the list is recent and not in the future, whatever the wall clock says. A start that cannot be
+//! placed is taken to be now; until the run store is warm in any case, its load reports are not used to
+//! estimate how fast others get warm.
 
 use std::collections::BTreeMap;
 
@@ -11,42 +12,44 @@
 
 use crate::api::{Millis, ReplicaId};
 
-/// The wall clock is taken to be stepped if it parts from the process's by more than this.
+/// The wall clock counts as stepped if its offset from the process's clock changes by more than this, in
+/// milliseconds.
 const STEP: Millis = 250.0;
-/// Steps that are remembered, the latest ones.
+/// The number of offsets that are kept, the latest ones.
 const MOST_STEPS: usize = 8;
 
-/// A start as it was stated, and as it was placed on the process's clock.
+/// A start time as stated, and as placed on the process's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 struct Start {
     stated: Millis,
     placed: Millis,
-    /// Until when it is not known how warm the run store is, as its start could not be placed.
+    /// Until when the run store may be warm or cold, as its start could not be placed.
     unsure_until: Millis,
 }
 
-/// How a start came to be known.
+/// Where a start time comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartSource {
-    /// It stands in the list that the process begins with: it may lie long ago.
+    /// The list that the process starts with: the run store may have started long ago.
     AtFirst,
-    /// It is news.
+    /// A later update.
     Since,
 }
 
-/// The starts of the run stores that are listed.
+/// The start times of the listed run stores.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StartTimes {
     known: BTreeMap<ReplicaId, Start>,
-    /// How far the wall clock was ahead of the process's, at each step the last time, oldest first.
+    /// Offsets of the wall clock from the process's clock, in milliseconds, oldest first and the present
+    /// one last.
     ahead: Vec<Millis>,
-    /// Whether the clock is known not to be far ahead of the run stores': no start is told before it was, so that it is
-    /// ahead by no more than the time that seems to have passed since any.
+    /// Whether the clock is known not to be far ahead of the clocks of the run stores. No start is listed
+    /// before it happens, so the clock is ahead by at most the age that any start seems to have.
     is_known: bool,
 }
 
 impl StartTimes {
-    /// The wall clock is so far ahead of the process's clock now.
+    /// Records the present offset of the wall clock from the process's clock.
     pub fn note_wall_clock(&mut self, ahead: Millis) {
         if self.ahead.iter().any(|known| (known - ahead).abs() <= STEP) {
             return;
@@ -58,8 +61,9 @@
         self.is_known = false;
     }
 
-    /// Places the start that a line states. A start within `warm_within`, in which a run store gets warm, tells that the
-    /// clock is right, but for less than that; while none has, news of an older one cannot be placed.
+    /// Places a stated start on the process's clock and returns it. A start that seems to be younger than
+    /// `warm_within`, the longest warm-up time, shows that the clock is ahead by less than that. Until
+    /// there was one, an older start in an update cannot be placed.
     pub fn place(
         &mut self,
         id: &ReplicaId,
@@ -86,22 +90,24 @@
         Some(start.placed)
     }
 
-    /// Whether it is known at some time how warm a run store is, so that its reports tell how others get warm.
+    /// Returns whether it is known how warm a run store is, so that its load reports show how fast others
+    /// get warm.
     pub fn is_sure(&self, id: &ReplicaId, now: Millis) -> bool {
         self.known.get(id).is_none_or(|start| now >= start.unsure_until)
     }
 
-    /// The start as the list states it.
+    /// Returns the start as stated in the list.
     pub fn stated(&self, id: &ReplicaId) -> Option<Millis> {
         self.known.get(id).map(|start| start.stated)
     }
 
-    /// A run store is no longer listed.
+    /// Removes a run store that is no longer listed.
     pub fn forget(&mut self, id: &ReplicaId) {
         self.known.remove(id);
     }
 
-    /// A stated time on the process's clock: by the step of the wall clock under which it is latest, and not ahead.
+    /// Converts a stated time to the process's clock, by the offset that gives the latest time that is not
+    /// in the future.
     fn latest_before(&self, stated: Millis, now: Millis) -> Option<Millis> {
         let steps = self.ahead.iter().copied().chain([0.0]);
         steps.map(|ahead| stated - ahead).filter(|at| *at <= now).reduce(f64::max)
--- a/src/starts/tests.rs
+++ b/src/starts/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_clock_that_is_wrong_by_an_hour_makes_no_start_older_and_none_lies_ahead() {
+fn a_clock_off_by_an_hour_makes_no_start_older_and_puts_none_in_the_future() {
     for clock_is_ahead in [-HOUR, 0.0, HOUR] {
         let mut starts = StartTimes::default();
         for (n, lag) in [3000.0, 1000.0, 9000.0].into_iter().enumerate() {
@@ -28,9 +28,10 @@
     }
 }
 
-/// Seconds are not told from the way that news take: the start is off by no more than these, and never ahead.
+/// A wrong clock of a few seconds cannot be told from the delay of the update: the start is off by these at
+/// most, and never in the future.
 #[test]
-fn a_clock_that_is_wrong_by_seconds_is_off_by_no_more() {
+fn a_clock_off_by_seconds_moves_starts_by_no_more() {
     for clock_is_ahead in [-5000.0, 5000.0] {
         let placed = news(&mut StartTimes::default(), "a", NOW - 4000.0 - clock_is_ahead, NOW);
         assert!(
@@ -42,14 +43,14 @@
 }
 
 #[test]
-fn a_step_of_the_wall_clock_that_was_seen_moves_no_start() {
+fn a_recorded_step_of_the_wall_clock_moves_no_start() {
     for step in [-HOUR, -5000.0, HOUR] {
         let mut starts = StartTimes::default();
         starts.note_wall_clock(0.0);
         let before = news(&mut starts, "before", NOW - 2000.0, NOW);
         starts.note_wall_clock(step);
         let later = NOW + 30_000.0;
-        // Told again, with another state.
+        // Stated again in an update with another state.
         assert_eq!(news(&mut starts, "before", NOW - 2000.0, later), before);
         let placed = news(&mut starts, "behind", later - 4000.0 + step, later);
         assert_eq!(later - placed, 4000.0, "step {step}");
@@ -57,13 +58,13 @@
 }
 
 #[test]
-fn news_that_come_long_after_a_start_are_placed_once_the_clock_is_known() {
+fn late_updates_are_placed_once_the_clock_is_verified() {
     let mut starts = StartTimes::default();
-    assert_eq!(news(&mut starts, "unknown", NOW - 60_000.0, NOW), NOW, "the clock may be ahead by a minute");
-    assert!(!starts.is_sure(&id("unknown"), NOW + WARM_WITHIN - 1.0), "it may be warm");
+    assert_eq!(news(&mut starts, "unknown", NOW - 60_000.0, NOW), NOW, "the clock may be a minute ahead");
+    assert!(!starts.is_sure(&id("unknown"), NOW + WARM_WITHIN - 1.0), "the run store may be warm already");
     assert!(starts.is_sure(&id("unknown"), NOW + WARM_WITHIN) && starts.is_sure(&id("not listed"), NOW));
     news(&mut starts, "soon", NOW - 2000.0, NOW);
-    // Discovery was out of reach for a while.
+    // The discovery service was unreachable for a while.
     assert_eq!(news(&mut starts, "late", NOW - 60_000.0, NOW), NOW - 60_000.0);
     assert!(starts.is_sure(&id("late"), NOW));
     starts.note_wall_clock(HOUR);
@@ -71,13 +72,13 @@
 }
 
 #[test]
-fn what_a_process_begins_with_is_as_old_as_stated() {
+fn starts_in_the_initial_list_are_placed_as_stated() {
     let mut starts = StartTimes::default();
     let at = |starts: &mut StartTimes, stated| {
         starts.place(&id("a"), stated, NOW, StartSource::AtFirst, WARM_WITHIN)
     };
     assert_eq!(at(&mut starts, Some(NOW - HOUR)), Some(NOW - HOUR));
-    assert_eq!(at(&mut starts, Some(NOW + HOUR)), Some(NOW), "its own clock is wrong");
+    assert_eq!(at(&mut starts, Some(NOW + HOUR)), Some(NOW), "a future start is taken to be now");
     assert_eq!(at(&mut starts, None), None);
     assert_eq!(starts.stated(&id("a")), None);
 }
--- a/src/trim.rs
+++ b/src/trim.rs
@@ -1,13 +1,14 @@
-//! Which parts of a query that may be answered in part are worth their work while the fleet is busy.
+//! Chooses the parts to leave out of a query while the fleet is busy, if its class allows partial answers.
 
 use crate::api::Class;
 
-/// Weight kept above the least share, as some parts may be late, and the least gain in worth for work.
+/// Weight to keep above the class's least share, as some parts may be late, and the least ratio by which
+/// the worth per work has to grow.
 const KEEPS: f64 = 0.15;
 const GAIN: f64 = 1.2;
 
-/// The places of the lightest parts, by their weights, where leaving them out earns more for the work: those under the
-/// mean, and, while queries are slow, all that the least share does without. None where that gains too little.
+/// Returns the indexes of the lightest parts if leaving them out raises the worth per work enough, or none.
+/// These are the parts below the mean weight and, under pressure, all that the least share does not need.
 pub fn lightest(weights: &[f64], class: &Class, pressed: bool) -> Vec<usize> {
     let (goal, all) = (class.least_share + KEEPS, weights.len() as f64);
     let mut order: Vec<_> = (0..weights.len()).collect();
