--- a/src/budget.rs
+++ b/src/budget.rs
@@ -14,9 +14,9 @@
 
 impl BudgetUsage {
     /// Records an accepted query or part, or a part that was sent again.
-    pub fn note(&mut self, rule: Option<AttemptBudget>, now: Millis, again: bool) {
+    pub fn record(&mut self, rule: Option<AttemptBudget>, now: Millis, retry: bool) {
         if let Some(rule) = rule {
-            self.0.push_back((now, again));
+            self.0.push_back((now, retry));
             while self.0.front().is_some_and(|(at, _)| *at < now - rule.window) {
                 self.0.pop_front();
             }
@@ -24,12 +24,12 @@
     }
 
     /// Returns whether one more part may be sent again.
-    pub fn allows(&self, rule: Option<AttemptBudget>, now: Millis) -> bool {
+    pub fn allows_retry(&self, rule: Option<AttemptBudget>, now: Millis) -> bool {
         rule.is_none_or(|rule| {
             let since = now - rule.window;
-            let made = self.0.iter().filter(|(at, again)| *again && *at >= since).count() as f64;
-            let taken = self.0.iter().filter(|(at, again)| !again && *at > since).count() as f64;
-            made + 1.0 <= rule.base_attempts + rule.ratio * taken
+            let retries = self.0.iter().filter(|(at, retry)| *retry && *at >= since).count() as f64;
+            let accepted = self.0.iter().filter(|(at, retry)| !retry && *at > since).count() as f64;
+            retries + 1.0 <= rule.base_attempts + rule.ratio * accepted
         })
     }
 }
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -38,14 +38,14 @@
     pub(super) fn advice(&mut self, now: Millis, class: usize) -> Millis {
         let aim = self.classes.at(class).class.aim;
         let half = aim * FORGET_AIMS;
-        self.advice.note(true, now, half);
-        self.advice.wait(aim, self.settings.max_retry_after, (now, half), draw(&mut self.chance))
+        self.advice.record(true, now, half);
+        self.advice.retry_after(aim, self.settings.max_retry_after, (now, half), draw(&mut self.chance))
     }
 
     /// A query went on to the router.
     pub(super) fn taken_up(&mut self, now: Millis, class: usize) {
         let half = self.classes.at(class).class.aim * FORGET_AIMS;
-        self.advice.note(false, now, half);
+        self.advice.record(false, now, half);
     }
 
     /// A failure; only clients of what is safe to repeat are asked back.
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -9,7 +9,7 @@
 use crate::api::*;
 use crate::hash::{draw, hash, mix};
 use crate::{asking::ListRequests, cold, decaying_mean::DecayingMean, lag::StepLag, query_index::QueryIndex};
-use crate::{quota::Quotas, replica_index::ReplicaIndex, trim::lightest};
+use crate::{quota::Quotas, replica_index::ReplicaIndex, trim::parts_to_leave_out};
 
 mod indexes;
 mod state;
@@ -158,7 +158,7 @@
 
     /// Takes in all that happened by `now` and says what to do.
     pub fn step(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action> {
-        self.lag.note(self.wake, now, self.min_aim, self.forgive);
+        self.lag.record_step(self.wake, now, self.min_aim, self.forgive);
         self.now = now;
         if !self.indexed {
             self.index();
@@ -255,10 +255,10 @@
 
     fn take_query(&mut self, new: NewQuery) {
         let class = new.class.0.min(self.settings.classes.len() - 1);
-        self.measures.budget.note(self.settings.budget, self.now, false);
+        self.measures.budget.record(self.settings.budget, self.now, false);
         let mut worth = self.settings.classes[class].worth;
         let tenant = new.tenant.map_or(usize::MAX, |TenantIndex(tenant)| tenant);
-        if !self.measures.quota.take(tenant, &self.settings.tenants, self.settings.routers, self.now) {
+        if !self.measures.quota.charge(tenant, &self.settings.tenants, self.settings.routers, self.now) {
             worth *= self.settings.over_share_worth;
         }
         let NewQuery { id, number, deadline, arrived, .. } = new;
@@ -271,7 +271,7 @@
     }
 
     fn take_part(&mut self, new: NewPart) {
-        self.measures.budget.note(self.settings.budget, self.now, false);
+        self.measures.budget.record(self.settings.budget, self.now, false);
         let Some(query) = self.queries.get_mut(&new.query) else { return };
         let hint = new.cost_hint.filter(|hint| *hint > 0.0);
         self.measures.hint = hint.map(|hint| blend(self.measures.hint, hint)).or(self.measures.hint);
@@ -342,9 +342,9 @@
         }
         if let (true, Some(idle)) = (dropped || outcome == Outcome::Completed, flight.idle) {
             if dropped {
-                self.measures.further.free();
+                self.measures.further.refund();
             }
-            self.measures.idle.note(idle, dropped, now, forgive);
+            self.measures.idle.record_send(idle, dropped, now, forgive);
         }
         self.measures.traffic.worked(!outcome.never_ran());
         let known =
@@ -359,17 +359,17 @@
         (replica.load, replica.loaded) = load.map_or((replica.load, replica.loaded), |load| (load, now));
         let lost = !dropped && matches!(outcome, Outcome::Errored | Outcome::Reset | Outcome::TimedOut);
         if lost || outcome == Outcome::Completed {
-            replica.lost.note(f64::from(u8::from(lost)), SMOOTH, now, forgive);
+            replica.lost.record(f64::from(u8::from(lost)), SMOOTH, now, forgive);
         }
         if matches!(outcome, Outcome::Completed | Outcome::Cancelled) {
-            replica.pace.note(flight.ahead, latency.max(self.settings.tick), outcome == Outcome::Completed);
+            replica.pace.record(flight.ahead, latency.max(self.settings.tick), outcome == Outcome::Completed);
         }
         match outcome {
             Outcome::Completed => {
-                replica.dr = replica.dr.filter(|_| self.lag.back == now).or(Some(dr));
+                replica.dr = replica.dr.filter(|_| self.lag.stall_ended == now).or(Some(dr));
                 (replica.heard, replica.answered, replica.parked, replica.idle) = (now, now, None, None);
-                replica.failed[flight.class].note(0.0, TRUST_STEP, now, forget);
-                measures = self.lag.back < now;
+                replica.failed[flight.class].record(0.0, TRUST_STEP, now, forget);
+                measures = self.lag.stall_ended < now;
             }
             // A connection dropped while idle says nothing of its replica.
             Outcome::Reset if dropped => replica.used = None,
@@ -378,7 +378,7 @@
                 replica.answered = now;
                 // A connection that breaks ends many parts in one step, by one cause: it counts once.
                 if replica.failed[flight.class].1 < now {
-                    replica.failed[flight.class].note(1.0, TRUST_STEP, now, forget);
+                    replica.failed[flight.class].record(1.0, TRUST_STEP, now, forget);
                 }
             }
             // A replica that answered others meanwhile is slow, not gone: its rate says so.
@@ -386,10 +386,10 @@
                 replica.dr = Some(replica.dr.map_or(dr, |old| old.min(dr)));
                 replica.heard = now;
             }
-            Outcome::TimedOut if self.lag.back == now => {}
+            Outcome::TimedOut if self.lag.stall_ended == now => {}
             Outcome::TimedOut | Outcome::ConnectFailed => hung = true,
             // What was called back took at least so long: of a slow replica often the only sample.
-            Outcome::Cancelled if self.lag.back < now && dr < known => {
+            Outcome::Cancelled if self.lag.stall_ended < now && dr < known => {
                 (replica.dr, replica.heard) = (Some(dr), now);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
@@ -503,7 +503,7 @@
             } else if predicted > PRESSED_AT || many || self.busy().is_some() {
                 let weights: Vec<_> = query.parts.iter().map(|p| p.weight).collect();
                 let class = &self.settings.classes[class];
-                self.leave_out(number, lightest(&weights, class, predicted > PRESSED_AT));
+                self.leave_out(number, parts_to_leave_out(&weights, class, predicted > PRESSED_AT));
             }
         }
     }
@@ -519,7 +519,7 @@
 
     /// Whether what this router has out at a replica takes a share of the aim, as far as it knows.
     fn laden(&self, replica: &ReplicaStats, class: usize, share: f64) -> bool {
-        replica.pace.is_laden(replica.out, self.settings.classes[class].aim * share)
+        replica.pace.is_saturated(replica.out, self.settings.classes[class].aim * share)
     }
 
     /// Leaves out parts that none could take, or only laden replicas; says why if too few remain for an
@@ -616,7 +616,7 @@
             // A query that may kill what takes it risks one replica until a part of it has completed.
             let risky = query.share == 0.0 && (self.now < self.wary || query.resets.len() >= POISON);
             let held = (risky && query.parts.iter().any(|p| p.out.is_some()))
-                || (part.attempts > 0 && !self.measures.budget.allows(self.settings.budget, self.now));
+                || (part.attempts > 0 && !self.measures.budget.allows_retry(self.settings.budget, self.now));
             if held || !self.may_send(part, query.class) {
                 continue;
             }
@@ -740,7 +740,7 @@
         self.actions.push(Action::Send { part, replica: replica_id, timeout, reason, choice });
         if again {
             self.measures.further.spend(self.settings.routers);
-            self.measures.budget.note(self.settings.budget, self.now, true);
+            self.measures.budget.record(self.settings.budget, self.now, true);
         }
     }
 
@@ -780,7 +780,7 @@
         let class = &self.settings.classes[query.class];
         let enough = query.share > 0.0 && query.share >= class.least_share;
         // What is given at the aim itself reaches its client late, and earns next to nothing.
-        let lag = self.lag.of_an_answer(self.now, class.aim, self.forgive);
+        let lag = self.lag.answer_margin(self.now, class.aim, self.forgive);
         let moment = (query.accepted + class.aim).min(query.deadline) - step * 2.0 - lag;
         let late = self.now + step >= self.useful_until(query);
         let all = query.share > 0.0 && query.parts.iter().all(|p| p.done);
@@ -841,12 +841,12 @@
             self.query_index.unfollow(replica, sent, (id.clone(), attempt), (number, index));
             self.query_index.follow(replica, sent, (id.clone(), attempt), None);
             if let Some(replica) = self.replicas.get_mut(&replica) {
-                replica.failed[class].note(1.0, TRUST_STEP, now, forget);
-                replica.lost.note(1.0, SMOOTH, now, forgive);
+                replica.failed[class].record(1.0, TRUST_STEP, now, forget);
+                replica.lost.record(1.0, SMOOTH, now, forgive);
             }
             let safe = self.settings.classes[class].repeat != RepeatPolicy::Unsafe;
             if safe && attempts < self.settings.max_attempts {
-                self.measures.further.free();
+                self.measures.further.refund();
                 self.cancel(&id, attempt, AttemptReason::Overtaken);
             }
         }
@@ -873,14 +873,14 @@
                 s.number != replica && s.parked.is_none() && s.line.state == ReplicaState::Active
             };
             let alone = !self.holders(self.queries[&number].parts[index].shard).into_iter().any(other);
-            let usual = known.pace.takes(flight.ahead) * SUSPECT_OF_USUAL;
-            if self.lag.back > since || (alone && self.now - sent < usual) {
+            let usual = known.pace.time_for(flight.ahead) * SUSPECT_OF_USUAL;
+            if self.lag.stall_ended > since || (alone && self.now - sent < usual) {
                 continue;
             }
             let again = safe && attempts < self.settings.max_attempts;
             // Silence on an idle connection is not the replica's only where resets say that such are dropped.
             let idle = flight.cancelled.is_none() && flight.idle.is_some();
-            let dropped = idle && self.measures.idle.drops(self.now, self.forgive);
+            let dropped = idle && self.measures.idle.drops_detected(self.now, self.forgive);
             let parked = !dropped && self.park(replica, false);
             if again && (dropped || (parked && !none && self.measures.further.allows())) {
                 let reason = if dropped { AttemptReason::Dropped } else { AttemptReason::Silent };
@@ -902,7 +902,7 @@
 
     fn answer(&mut self, number: u64, whole: bool) {
         let Some(query) = self.queries.get_mut(&number) else { return };
-        self.measures.advice.note(false, self.now, self.forgive);
+        self.measures.advice.record(false, self.now, self.forgive);
         let two_steps = self.settings.classes[query.class].second_step_parts > 0;
         let whole = whole && query.second.unwrap_or(true);
         self.actions.push(Action::Answer { query: query.id.clone(), whole });
@@ -923,9 +923,10 @@
         let class = &self.settings.classes[query.class];
         let ran = query.parts.iter().any(|p| p.may_have_run.is_some() || p.out.is_some() || p.done);
         let id = query.id.clone();
-        self.measures.advice.note(true, self.now, self.forgive);
+        self.measures.advice.record(true, self.now, self.forgive);
         let (faded, chance) = ((self.now, self.forgive), draw(&mut self.rng));
-        let retry_after = self.measures.advice.wait(class.aim, self.settings.max_retry_after, faded, chance);
+        let retry_after =
+            self.measures.advice.retry_after(class.aim, self.settings.max_retry_after, faded, chance);
         let safe = class.repeat == RepeatPolicy::Safe;
         self.actions.push(if (ran && !safe) || query.second.is_some() || (late && ran) {
             // Only what is safe to repeat is asked back.
@@ -959,7 +960,7 @@
 
     fn look_after_replicas(&mut self) {
         let now = self.now;
-        if self.measures.idle.drops(self.now, self.forgive) {
+        if self.measures.idle.drops_detected(self.now, self.forgive) {
             let idle = self.replica_index.idle(now, self.measures.idle.limit);
             idle.into_iter().for_each(|number| self.let_go(number));
         }
--- a/src/decide/indexes.rs
+++ b/src/decide/indexes.rs
@@ -119,7 +119,7 @@
             due.extend(self.query_index.resets());
         }
         for class in 0..self.settings.classes.len() {
-            let lag = self.lag.of_an_answer(self.now, self.settings.classes[class].aim, self.forgive);
+            let lag = self.lag.answer_margin(self.now, self.settings.classes[class].aim, self.forgive);
             due.extend(self.query_index.answerable(class, self.now + step * 2.0 + lag));
             due.extend(self.query_index.deadlines(class, self.now + step));
             if self.ends_at_aim(class) {
--- a/src/idle.rs
+++ b/src/idle.rs
@@ -6,17 +6,18 @@
 use crate::api::Millis;
 use crate::decaying_mean::DecayingMean;
 
-/// Share of sends on idle connections that are lost from which idle connections count as dropped, and the
-/// share of the shortest idle time with a loss at which they are closed instead.
-const DROPS: f64 = 0.1;
-const MARGIN: f64 = 0.5;
+/// Share of sends on idle connections that are lost from which idle connections count as dropped.
+const DROPPED_SHARE: f64 = 0.1;
+/// Idle connections are then closed at this share of the shortest idle time with a loss.
+const LIMIT_MARGIN: f64 = 0.5;
 /// Weight of one send in the share of lost sends.
-const SMOOTH: f64 = 0.06;
+const SEND_WEIGHT: f64 = 0.06;
 
 /// Losses of sends on idle connections.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct IdleDrops {
-    drops: DecayingMean,
+    #[serde(rename = "drops")]
+    losses: DecayingMean,
     /// The idle time after which connections are to be closed, in milliseconds, while idle connections
     /// count as dropped.
     pub limit: Millis,
@@ -25,17 +26,17 @@
 impl IdleDrops {
     /// Returns whether idle connections count as dropped. The share of lost sends halves in every
     /// half-life.
-    pub fn drops(&self, now: Millis, half: Millis) -> bool {
-        self.drops.at(now, half) > DROPS
+    pub fn drops_detected(&self, now: Millis, half_life: Millis) -> bool {
+        self.losses.at(now, half_life) > DROPPED_SHARE
     }
 
     /// Records whether a send on a connection that had been idle for this long was lost.
-    pub fn note(&mut self, idle: Millis, lost: bool, now: Millis, half: Millis) {
+    pub fn record_send(&mut self, idle_time: Millis, lost: bool, now: Millis, half_life: Millis) {
         if lost {
-            let limit = if self.drops.at(now, half) < DROPS { idle } else { self.limit };
-            self.limit = limit.min(idle * MARGIN);
+            let limit = if self.losses.at(now, half_life) < DROPPED_SHARE { idle_time } else { self.limit };
+            self.limit = limit.min(idle_time * LIMIT_MARGIN);
         }
-        self.drops.note(f64::from(u8::from(lost)), SMOOTH, now, half);
+        self.losses.record(f64::from(u8::from(lost)), SEND_WEIGHT, now, half_life);
     }
 }
 
--- a/src/lag.rs
+++ b/src/lag.rs
@@ -11,32 +11,34 @@
 const STALL_OF_AIM: f64 = 0.1;
 /// Lags that an answer may meet: its query waits to be read, its step is late, and its bytes wait to be
 /// written.
-const OF_AN_ANSWER: f64 = 3.0;
+const LAGS_PER_ANSWER: f64 = 3.0;
 
 /// The lag of one router's steps.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct StepLag {
     /// Decaying maximum of the lag.
-    worst: DecayingMean,
+    #[serde(rename = "worst")]
+    max_lag: DecayingMean,
     /// When the last stall of the router ended.
-    pub back: Millis,
+    #[serde(rename = "back")]
+    pub stall_ended: Millis,
 }
 
 impl StepLag {
     /// Records a step. `due` is the time for which a wake-up was requested, if one is outstanding. The
     /// maximum lag halves in every half-life.
-    pub fn note(&mut self, due: Option<Millis>, now: Millis, aim: Millis, half: Millis) {
-        let late = due.map_or(0.0, |due| (now - due).max(0.0));
+    pub fn record_step(&mut self, due: Option<Millis>, now: Millis, aim: Millis, half_life: Millis) {
+        let lateness = due.map_or(0.0, |due| (now - due).max(0.0));
         // The router itself was late for its wake-up, so the gap is not a silence of the replicas.
-        if late > aim * STALL_OF_AIM {
-            self.back = now;
+        if lateness > aim * STALL_OF_AIM {
+            self.stall_ended = now;
         }
-        self.worst = DecayingMean(late.max(self.worst.at(now, half)), now);
+        self.max_lag = DecayingMean(lateness.max(self.max_lag.at(now, half_life)), now);
     }
 
     /// Returns how much earlier than its aim an answer is to be sent.
-    pub fn of_an_answer(&self, now: Millis, aim: Millis, half: Millis) -> Millis {
-        (self.worst.at(now, half) * OF_AN_ANSWER).min(aim * STALL_OF_AIM)
+    pub fn answer_margin(&self, now: Millis, aim: Millis, half_life: Millis) -> Millis {
+        (self.max_lag.at(now, half_life) * LAGS_PER_ANSWER).min(aim * STALL_OF_AIM)
     }
 }
 
--- a/src/pace/tests.rs
+++ b/src/pace/tests.rs
@@ -4,29 +4,29 @@
 /// Returns how many parts complete in time within 20 s. Two routers each send a part every 20 ms, unless
 /// the replica is saturated, to a replica with a queue of 40 that processes one part in `each` ms. Parts
 /// without an answer after 250 ms are cancelled, but the replica processes them all the same.
-fn in_time(each: u32, bounded: bool) -> u32 {
-    let mut paces = [ServiceRate::default(); 2];
+fn in_time(each: u32, limited: bool) -> u32 {
+    let mut rates = [ServiceRate::default(); 2];
     let mut out = [0.0; 2];
     let mut queue: VecDeque<(usize, u32, f64)> = VecDeque::new();
-    let (mut done, mut free) = (0, 0);
+    let (mut done, mut idle_from) = (0, 0);
     for now in 0..20_000 {
-        for (router, (pace, out)) in paces.iter_mut().zip(&mut out).enumerate() {
+        for (router, (rate, out)) in rates.iter_mut().zip(&mut out).enumerate() {
             // Each part is cancelled only once, exactly at its timeout.
-            for (_, _, ahead) in queue.iter().filter(|(of, sent, _)| *of == router && now - sent == 250) {
-                pace.note(*ahead, 250.0, false);
+            for (_, _, in_flight) in queue.iter().filter(|(of, sent, _)| *of == router && now - sent == 250) {
+                rate.record(*in_flight, 250.0, false);
                 *out -= 1.0;
             }
-            let laden = bounded && pace.is_laden(*out, 250.0 * 0.85);
-            if now % 20 == router as u32 * 10 && queue.len() < 40 && !laden {
+            let saturated = limited && rate.is_saturated(*out, 250.0 * 0.85);
+            if now % 20 == router as u32 * 10 && queue.len() < 40 && !saturated {
                 *out += 1.0;
                 queue.push_back((router, now, *out));
             }
         }
-        if now >= free {
-            if let Some((router, sent, ahead)) = queue.pop_front() {
-                free = now + each;
+        if now >= idle_from {
+            if let Some((router, sent, in_flight)) = queue.pop_front() {
+                idle_from = now + each;
                 if now - sent < 250 {
-                    paces[router].note(ahead, f64::from(now + each - sent), true);
+                    rates[router].record(in_flight, f64::from(now + each - sent), true);
                     out[router] -= 1.0;
                     done += 1;
                 }
@@ -50,12 +50,12 @@
 
 #[test]
 fn a_cancelled_part_never_raises_the_rate() {
-    let mut pace = ServiceRate::default();
-    pace.note(1.0, 10.0, true);
-    pace.note(50.0, 100.0, false);
-    assert!(pace.is_laden(10.0, 100.0) && !pace.is_laden(9.9, 100.0));
-    pace.note(2.0, 100.0, false);
-    assert!(pace.is_laden(9.9, 100.0));
-    assert!(!pace.is_laden(0.5, 1.0), "one part may always be in flight");
-    assert!(!ServiceRate::default().is_laden(99.0, 1.0), "there is no sample");
+    let mut rate = ServiceRate::default();
+    rate.record(1.0, 10.0, true);
+    rate.record(50.0, 100.0, false);
+    assert!(rate.is_saturated(10.0, 100.0) && !rate.is_saturated(9.9, 100.0));
+    rate.record(2.0, 100.0, false);
+    assert!(rate.is_saturated(9.9, 100.0));
+    assert!(!rate.is_saturated(0.5, 1.0), "one part may always be in flight");
+    assert!(!ServiceRate::default().is_saturated(99.0, 1.0), "there is no sample");
 }
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -5,7 +5,7 @@
 use crate::api::{Millis, Tenant};
 
 /// Smallest burst in queries that fits into a tenant's quota, for quotas of less than this per second.
-const SLACK: f64 = 5.0;
+const MIN_BURST: f64 = 5.0;
 
 /// A token bucket per tenant: the tokens that are left, in queries, and the time of the last update.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
@@ -19,14 +19,14 @@
 
     /// Takes a token for a query of a tenant and returns whether the query is within its quota. Every
     /// router has an even part of the quota. Queries without a tenant are always within it.
-    pub fn take(&mut self, tenant: usize, tenants: &[Tenant], routers: u32, now: Millis) -> bool {
-        let Some((bucket, told)) = self.0.get_mut(tenant).zip(tenants.get(tenant)) else { return true };
-        let rate = told.quota_per_s / f64::from(routers);
-        let left = (bucket.0 + rate * (now - bucket.1) / 1000.0).min(rate.max(SLACK));
+    pub fn charge(&mut self, tenant: usize, tenants: &[Tenant], routers: u32, now: Millis) -> bool {
+        let Some((bucket, limits)) = self.0.get_mut(tenant).zip(tenants.get(tenant)) else { return true };
+        let rate = limits.quota_per_s / f64::from(routers);
+        let tokens = (bucket.0 + rate * (now - bucket.1) / 1000.0).min(rate.max(MIN_BURST));
         // A query beyond the quota takes the rest of the token too: a tenant that keeps asking for more
         // stays beyond its quota.
-        *bucket = ((left - 1.0).max(0.0), now);
-        left >= 1.0
+        *bucket = ((tokens - 1.0).max(0.0), now);
+        tokens >= 1.0
     }
 }
 
--- a/src/repeats/tests.rs
+++ b/src/repeats/tests.rs
@@ -2,7 +2,7 @@
 
 /// Returns the retries that all routers send in a burst after a long quiet time, in which each sends as
 /// many as it may and accepts `parts` parts.
-fn at_once(routers: u32, parts: u32) -> u32 {
+fn retries_in_burst(routers: u32, parts: u32) -> u32 {
     let mut all = vec![RetryBudget::default(); routers as usize];
     let mut sent = 0;
     for router in &mut all {
@@ -23,11 +23,15 @@
 #[test]
 fn the_budgets_of_all_routers_add_up_to_one() {
     for routers in [1, 3, 10, 40] {
-        let budget = SAVED * f64::from(routers.min(4)) + RATIO * f64::from(routers * 300);
-        assert!(f64::from(at_once(routers, 300)) <= budget + 0.5, "{routers}: {}", at_once(routers, 300));
+        let budget = MAX_SAVED * f64::from(routers.min(4)) + RETRIES_PER_PART * f64::from(routers * 300);
+        assert!(
+            f64::from(retries_in_burst(routers, 300)) <= budget + 0.5,
+            "{routers}: {}",
+            retries_in_burst(routers, 300)
+        );
     }
     // Each of three hundred routers may send one retry, and what it earns.
-    assert!(at_once(300, 10) <= 600, "{}", at_once(300, 10));
+    assert!(retries_in_burst(300, 10) <= 600, "{}", retries_in_burst(300, 10));
 }
 
 #[test]
@@ -35,7 +39,7 @@
     let mut router = RetryBudget::default();
     (0..1000).for_each(|_| router.spend(1));
     assert!(!router.allows());
-    (0..=((SAVED + 1.0) / RATIO) as u32).for_each(|_| router.earn(1, 1));
+    (0..=((MAX_SAVED + 1.0) / RETRIES_PER_PART) as u32).for_each(|_| router.earn(1, 1));
     assert!(router.allows());
 }
 
