--- a/crates/lab/src/capacity/answers.rs
+++ b/crates/lab/src/capacity/answers.rs
@@ -1,7 +1,7 @@
 //! The tables that answer the page's questions, and the order in which mechanisms are missing.
 
 use ironpaddle::api::ColdStartRule;
-use ironpaddle::asking::TOLD_WITHIN;
+use ironpaddle::asking::MAX_LIST_DELAY;
 
 use super::fit::Figure;
 use super::number::{number, percent};
@@ -238,10 +238,10 @@
         ),
         plain(
             "the longest way of a change on one leg, whatever fails (`src/asking.rs`)",
-            TOLD_WITHIN / 1000.0,
+            MAX_LIST_DELAY / 1000.0,
             "s",
         ),
-        plain("two legs, discovery to control machine to aggregator", 2.0 * TOLD_WITHIN / 1000.0, "s"),
+        plain("two legs, discovery to control machine to aggregator", 2.0 * MAX_LIST_DELAY / 1000.0, "s"),
         plain("a change has to be in force within", a.in_force_s, "s"),
         plain("one control machine dies: aggregators that lose it", s.told_each, "aggregators"),
         plain("one dies: more aggregators for each of the others", s.told_each / left, "aggregators"),
@@ -592,7 +592,7 @@
         },
         Gap {
             what: "a change on two legs, each as long as it may take".into(),
-            asks: Some(Figure::plain(2.0 * TOLD_WITHIN / 1000.0)),
+            asks: Some(Figure::plain(2.0 * MAX_LIST_DELAY / 1000.0)),
             bound: a.in_force_s,
             unit: "s",
             state: MISSING,
--- a/crates/lab/src/capacity/sizes.rs
+++ b/crates/lab/src/capacity/sizes.rs
@@ -1,6 +1,6 @@
 //! What the full size comes to, before any slope: counts and rates that follow from the assumptions.
 
-use ironpaddle::asking::WAIT;
+use ironpaddle::asking::WATCH_WAIT;
 use ironpaddle::http::write;
 
 use super::assumptions::Assumptions;
@@ -82,7 +82,7 @@
             own_changes: changes * a.line_regions / a.regions,
             own_lines: a.run_stores * a.line_regions / a.regions,
             told_each: a.aggregators / a.control_machines,
-            watch_calls: 1000.0 / WAIT,
+            watch_calls: 1000.0 / WATCH_WAIT,
             call_bytes: request.len() as f64,
             answer_bytes: EMPTY_ANSWER.len() as f64,
         }
--- a/src/asking.rs
+++ b/src/asking.rs
@@ -9,72 +9,80 @@
 
 /// Up to this many routers, each backs off as if it were alone. With more, the backoff grows in proportion,
 /// so that all routers together ask no more often than this many would.
-const FEW: f64 = 4.0;
-/// The backoff after `n` failures in a row is this share of the shortest aim times 2^n, before jitter, and
-/// `n` is capped.
-const WAIT_OF_AIM: f64 = 0.25;
-const DOUBLINGS: u32 = 5;
+const UNSCALED_ROUTERS: f64 = 4.0;
+/// The backoff after `n` failures in a row is this share of the shortest aim times 2^n, before jitter.
+const BACKOFF_OF_AIM: f64 = 0.25;
+/// Upper bound of `n` in the backoff.
+const MAX_DOUBLINGS: u32 = 5;
 /// A call without an answer is made again after this many of the shortest aims.
-const PATIENCE: f64 = 8.0;
+const REPEAT_AIMS: f64 = 8.0;
 
 /// Longest time until a change of the list reaches a router, from when the discovery service has the change
 /// and can be reached. After that the change counts as received even if it has not come, so calls, watches
 /// and backoff are bounded such that the next list arrives within this time.
-pub const TOLD_WITHIN: Millis = 6000.0;
+pub const MAX_LIST_DELAY: Millis = 6000.0;
 /// Timeout of a call that does not wait for changes, from the start of its connect. The service handles
 /// calls one after another and itself fails those that waited this long. A call for the whole list is then
 /// repeated once on another connection while the first goes on for as long again, as the service may only
 /// be slow.
-pub const CALL: Millis = 2000.0;
+pub const CALL_TIMEOUT: Millis = 2000.0;
 /// Longest backoff after a failed call. The failed call may have started just before the service came back,
 /// and one more has to complete in time after the backoff.
-pub const LONGEST_PAUSE: Millis = TOLD_WITHIN - 2.0 * CALL;
+pub const MAX_BACKOFF: Millis = MAX_LIST_DELAY - 2.0 * CALL_TIMEOUT;
 /// How long after the end of its wait a watch may still be answered before it counts as silent: time for
 /// the service to answer the watches of all routers at once.
-pub const SILENT_AFTER: Millis = 750.0;
+pub const WATCH_GRACE: Millis = 750.0;
 /// Routers spread the calls that reopen silent watches over this time.
-const REOPENED_OVER: Millis = 250.0;
+const REOPEN_JITTER: Millis = 250.0;
 /// How long a watch asks the service to wait for a change. If a watch goes silent, the call that reopens it
 /// still delivers a missed change in time.
-pub const WAIT: Millis = TOLD_WITHIN - SILENT_AFTER - REOPENED_OVER - CALL;
+pub const WATCH_WAIT: Millis = MAX_LIST_DELAY - WATCH_GRACE - REOPEN_JITTER - CALL_TIMEOUT;
 /// Delay before a broken watch on the agent is reopened. The agent keeps a watch alive if the next call
 /// comes within 200 ms of the last answer; the other half of that is left for the call itself.
-const AGAIN: Millis = 100.0;
+const REOPEN_DELAY: Millis = 100.0;
 
 /// Requests of one router for the list. A request is due whenever changes do not arrive by themselves.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 pub struct ListRequests {
     /// Whether changes arrive without a request.
-    on: bool,
+    #[serde(rename = "on")]
+    subscribed: bool,
     /// When the next request is due.
-    at: Millis,
+    #[serde(rename = "at")]
+    next_request_at: Millis,
     failures: u32,
 }
 
 impl ListRequests {
     /// Records that a list arrived, from the discovery service or (`false`) an old one from elsewhere.
-    pub fn told(&mut self, by_service: bool) {
-        self.on = by_service;
+    pub fn record_list(&mut self, from_service: bool) {
+        self.subscribed = from_service;
         self.failures = 0;
     }
 
     /// Records a failed call and schedules the next. The backoff grows with the shortest aim, the failures
-    /// in a row and the number of routers. It is at most [`LONGEST_PAUSE`] and the interval in which the
+    /// in a row and the number of routers. It is at most [`MAX_BACKOFF`] and the interval in which the
     /// list has to be refreshed, and is jittered by a random number from 0 to 1.
-    pub fn failed(&mut self, now: Millis, aim: Millis, (within, routers): (Millis, u32), chance: f64) {
-        self.on = false;
-        self.failures = (self.failures + 1).min(DOUBLINGS);
-        let crowd = (f64::from(routers) / FEW).max(1.0);
-        let wait = aim * WAIT_OF_AIM * crowd * f64::from(1u32 << self.failures) * (0.5 + chance);
-        self.at = now + wait.min(within.min(LONGEST_PAUSE) * (0.5 + 0.5 * chance));
+    pub fn record_failure(
+        &mut self,
+        now: Millis,
+        aim: Millis,
+        (refresh_within, routers): (Millis, u32),
+        random: f64,
+    ) {
+        self.subscribed = false;
+        self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
+        let routers_factor = (f64::from(routers) / UNSCALED_ROUTERS).max(1.0);
+        let wait = aim * BACKOFF_OF_AIM * routers_factor * f64::from(1u32 << self.failures) * (0.5 + random);
+        self.next_request_at = now + wait.min(refresh_within.min(MAX_BACKOFF) * (0.5 + 0.5 * random));
     }
 
     /// Returns whether to send a request now, and if so schedules a repeat for the case that no answer
     /// comes.
-    pub fn is_due(&mut self, now: Millis, aim: Millis) -> bool {
-        let due = !self.on && now >= self.at;
+    pub fn start_if_due(&mut self, now: Millis, aim: Millis) -> bool {
+        let due = !self.subscribed && now >= self.next_request_at;
         if due {
-            self.at = now + aim * PATIENCE;
+            self.next_request_at = now + aim * REPEAT_AIMS;
         }
         due
     }
@@ -96,30 +104,30 @@
     Broken(Millis),
     /// To be opened at this time.
     Due(Millis),
-    On,
+    Open,
 }
 
 impl WatchSchedule {
     /// Creates a schedule for a watch on the agent, to be opened at once.
-    pub fn an_agent() -> Self {
+    pub fn for_agent() -> Self {
         WatchSchedule(State::Due(0.0))
     }
 
     /// Creates a schedule for a watch on the discovery service, which the router opens.
-    pub fn the_service() -> Self {
-        WatchSchedule(State::On)
+    pub fn for_service() -> Self {
+        WatchSchedule(State::Open)
     }
 
     /// Marks the watch on the agent as broken.
-    pub fn broken(&mut self) {
-        self.0 = State::Broken(AGAIN);
+    pub fn mark_broken(&mut self) {
+        self.0 = State::Broken(REOPEN_DELAY);
     }
 
     /// Marks the watch on the discovery service as silent. The watches of all routers may have gone silent
     /// at once, so the reopening is spread by a random number from 0 to 1. It still comes before a missed
     /// change counts as received.
-    pub fn silent(&mut self, chance: f64) {
-        self.0 = State::Broken(REOPENED_OVER * chance);
+    pub fn mark_silent(&mut self, random: f64) {
+        self.0 = State::Broken(REOPEN_JITTER * random);
     }
 
     /// Returns whether the watch has broken and its reopening is not scheduled yet.
@@ -128,23 +136,23 @@
     }
 
     /// Returns when to open the watch, if that is scheduled.
-    pub fn due(&self) -> Option<Millis> {
+    pub fn due_at(&self) -> Option<Millis> {
         match self.0 {
             State::Due(at) => Some(at),
-            State::Broken(_) | State::On => None,
+            State::Broken(_) | State::Open => None,
         }
     }
 
     /// Returns whether to open the watch now. It then counts as open until it is marked as broken or
     /// silent.
-    pub fn begins(&mut self, now: Millis) -> bool {
+    pub fn open_if_due(&mut self, now: Millis) -> bool {
         if let State::Broken(after) = self.0 {
             self.0 = State::Due(now + after);
         }
-        let begins = self.due().is_some_and(|at| now >= at);
-        if begins {
-            self.0 = State::On;
+        let open_now = self.due_at().is_some_and(|at| now >= at);
+        if open_now {
+            self.0 = State::Open;
         }
-        begins
+        open_now
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -332,8 +332,8 @@
             clock: None,
             began: None,
             listed: false,
-            agent: WatchSchedule::an_agent(),
-            service: WatchSchedule::the_service(),
+            agent: WatchSchedule::for_agent(),
+            service: WatchSchedule::for_service(),
             chance: mix(seed),
             advice: RetryAdvice::default(),
             inbox: Vec::new(),
@@ -429,7 +429,7 @@
 
     /// When the next step is due, if nothing happens before.
     pub fn wake_at(&self) -> Option<Millis> {
-        self.wake.into_iter().chain(self.watching().due()).reduce(f64::min)
+        self.wake.into_iter().chain(self.watching().due_at()).reduce(f64::min)
     }
 
     fn watching(&self) -> &WatchSchedule {
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -30,7 +30,7 @@
             self.act(now, action);
         }
         let watching = if self.is_pushed() { &mut self.agent } else { &mut self.service };
-        if watching.begins(now) {
+        if watching.open_if_due(now) {
             self.commands.push_back(Command::Watch);
         }
     }
@@ -81,10 +81,10 @@
             DirectoryUpdate::Changes(lines) => (lines.as_slice(), false),
             // The router's own waits are for a service that fails.
             DirectoryUpdate::Silent if !self.is_pushed() => {
-                return self.service.silent(draw(&mut self.chance));
+                return self.service.mark_silent(draw(&mut self.chance));
             }
             DirectoryUpdate::Failed | DirectoryUpdate::Silent => {
-                self.agent.broken();
+                self.agent.mark_broken();
                 (&[][..], false)
             }
         };
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -216,9 +216,9 @@
         let (ListUpdate::Full(lines) | ListUpdate::Cached(lines) | ListUpdate::Changes(lines)) = news else {
             let chance = draw(&mut self.rng);
             let limits = (self.settings.list_refresh_within, self.settings.routers);
-            return self.asking.failed(self.now, self.min_aim, limits, chance);
+            return self.asking.record_failure(self.now, self.min_aim, limits, chance);
         };
-        self.asking.told(by_service);
+        self.asking.record_list(by_service);
         if whole {
             self.replicas.values_mut().for_each(|replica| replica.line.state = ReplicaState::Gone);
         }
@@ -973,7 +973,7 @@
             });
             self.actions.extend(replica_id.filter(|_| probes).map(|id| Action::Probe { replica: id }));
         }
-        if self.settings.discovery == Discovery::Asked && self.asking.is_due(now, self.min_aim) {
+        if self.settings.discovery == Discovery::Asked && self.asking.start_if_due(now, self.min_aim) {
             self.actions.push(Action::Subscribe);
         }
     }
--- a/src/directory/watch.rs
+++ b/src/directory/watch.rs
@@ -11,7 +11,7 @@
 
 use super::{Reload, Target};
 use crate::api::Millis;
-use crate::asking::{CALL, SILENT_AFTER, WAIT};
+use crate::asking::{CALL_TIMEOUT, WATCH_GRACE, WATCH_WAIT};
 use crate::config::Config;
 use crate::core::drive::{Directory, Driver};
 use crate::core::DirectoryUpdate;
@@ -108,7 +108,7 @@
         let answer = match self.index.get() {
             None => whole_list(address, open).await,
             Some(index) => {
-                let changes = within(ms(WAIT + SILENT_AFTER), changes(address, open, index)).await;
+                let changes = within(ms(WATCH_WAIT + WATCH_GRACE), changes(address, open, index)).await;
                 let unanswered = changes.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::TimedOut);
                 self.silent.set(unanswered);
                 changes
@@ -137,7 +137,7 @@
 async fn changes(address: SocketAddr, open: Option<Client>, index: u64) -> io::Result<Answered> {
     let begun = Instant::now();
     let open = connected(address, open).await?;
-    let wait = ms(WAIT).saturating_sub(begun.elapsed()).as_millis();
+    let wait = ms(WATCH_WAIT).saturating_sub(begun.elapsed()).as_millis();
     ask(address, open, &format!("/v1/servers?after={index}&wait_ms={wait}")).await
 }
 
@@ -146,14 +146,14 @@
 async fn whole_list(address: SocketAddr, open: Option<Client>) -> io::Result<Answered> {
     let call = |open| async move { ask(address, connected(address, open).await?, "/v1/servers").await };
     let again = async {
-        Timer::after(ms(CALL)).await;
+        Timer::after(ms(CALL_TIMEOUT)).await;
         match call(None).await {
             Ok(answered) => Ok(answered),
             // The first one may still be answered.
             Err(_) => future::pending().await,
         }
     };
-    within(ms(CALL + CALL), future::or(call(open), again)).await
+    within(ms(CALL_TIMEOUT + CALL_TIMEOUT), future::or(call(open), again)).await
 }
 
 async fn connected(address: SocketAddr, open: Option<Client>) -> io::Result<Client> {
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -3,7 +3,7 @@
 pub mod opensearch;
 pub mod platform;
 
-use crate::asking::TOLD_WITHIN;
+use crate::asking::MAX_LIST_DELAY;
 use crate::core::drive::Driver;
 use crate::http::door::Door;
 use crate::http::parse::Headers;
@@ -34,7 +34,7 @@
 fn health(door: &Door, driver: &Driver) -> Response {
     if !door.takes_clients() {
         Response::text(503, "draining")
-    } else if driver.run_stores() == 0 && driver.age() < TOLD_WITHIN {
+    } else if driver.run_stores() == 0 && driver.age() < MAX_LIST_DELAY {
         Response::text(503, "no run store is listed yet")
     } else {
         Response::text(200, "ready")
