--- a/crates/lab/src/capacity/ramp.rs
+++ b/crates/lab/src/capacity/ramp.rs
@@ -1,7 +1,7 @@
 //! What a cold run store gets from all of its senders together, by the program's own rule (`src/cold.rs`).
 
 use ironpaddle::api::{ColdStartRule, LoadReport};
-use ironpaddle::cold::{room, FleetTraffic, LoadReports};
+use ironpaddle::cold::{allowance, FleetTraffic, LoadReports};
 use ironpaddle::hash::draw;
 
 /// A cold run store and one of its senders. Rates are in parts a second.
@@ -69,13 +69,13 @@
     let mut queries = 0.0;
     for now in 0..end as usize {
         if now % LOOK == 0 {
-            traffic.told(now as f64, Some(*rule), &reports);
+            traffic.update(now as f64, Some(*rule), &reports);
         }
         queries += sender.queries / 1000.0;
         while queries >= 1.0 {
             queries -= 1.0;
-            traffic.asked(sender.query_parts as usize, 0.2);
-            (0..sender.query_parts as usize).for_each(|_| traffic.worked(true));
+            traffic.record_query(sender.query_parts as usize, 0.2);
+            (0..sender.query_parts as usize).for_each(|_| traffic.record_attempt_end(true));
         }
         let now = now as f64;
         if now < start {
@@ -85,7 +85,7 @@
             while *next <= now {
                 *next += gap(&mut chance);
                 let best = sender.parts / sender.busy / 1000.0;
-                let room = room(rule, (start, now), *left, best, (&traffic, sender.routers));
+                let room = allowance(rule, (start, now), *left, best, (&traffic, sender.routers));
                 if let Some((room, _)) = room.filter(|(room, most)| *room >= most.min(1.0)) {
                     *left = (room - 1.0, now);
                     sent[((now - start) / 1000.0) as usize] += 1.0 / STARTS as f64;
--- a/src/cold/tests.rs
+++ b/src/cold/tests.rs
@@ -9,7 +9,7 @@
 };
 const ROUTERS: u32 = 100;
 /// Load that all routers together have for the cold replica, in parts per millisecond.
-const MEETS: f64 = 0.15;
+const COLD_LOAD: f64 = 0.15;
 /// Capacity of a warm replica, in parts per millisecond.
 const CAPACITY: f64 = 0.1;
 
@@ -26,31 +26,32 @@
 /// Returns the parts sent to a replica that started at 10 s, per tenth of a second of the ten seconds in
 /// which it gets warm. Every tenth router has more than half of the traffic. A hundred warm replicas report
 /// their load, or none does.
-fn sent(tell: bool) -> Vec<f64> {
+fn parts_sent(with_reports: bool) -> Vec<f64> {
     let traffic = |router: u32| if router.is_multiple_of(10) { 5.5 } else { 0.5 } / f64::from(ROUTERS);
     let mut chance = 7;
     let mut routers = vec![(FleetTraffic::default(), (0.0, 10_000.0)); ROUTERS as usize];
-    routers.iter_mut().for_each(|(_, left)| left.0 = draw(&mut chance));
+    routers.iter_mut().for_each(|(_, previous)| previous.0 = draw(&mut chance));
     let mut sent = vec![0.0; 100];
     for now in 0..20_000 {
-        for (router, (known, left)) in (0..).zip(&mut routers) {
+        for (router, (known, previous)) in (0..).zip(&mut routers) {
             if now % 100 == 0 {
-                let warm = if tell { report(50.0, 0.5) } else { LoadReport::default() };
-                known.told(f64::from(now), Some(RULE), &reports((0..100).map(|_| (warm, None))));
+                let warm = if with_reports { report(50.0, 0.5) } else { LoadReport::default() };
+                known.update(f64::from(now), Some(RULE), &reports((0..100).map(|_| (warm, None))));
             }
             // All warm replicas together process five parts per millisecond.
             if draw(&mut chance) < 5.0 * traffic(router) {
-                known.worked(true);
-                known.asked(1, 0.2);
+                known.record_attempt_end(true);
+                known.record_query(1, 0.2);
             }
-            if now < 10_000 || draw(&mut chance) >= MEETS * traffic(router) {
+            if now < 10_000 || draw(&mut chance) >= COLD_LOAD * traffic(router) {
                 continue;
             }
             let at = f64::from(now);
-            let (room, most) =
-                room(&RULE, (10_000.0, at), *left, CAPACITY / 2.0, (known, ROUTERS)).expect("it is cold");
-            if room >= most.min(1.0) {
-                *left = (room - 1.0, at);
+            let (allowance, max) =
+                allowance(&RULE, (10_000.0, at), *previous, CAPACITY / 2.0, (known, ROUTERS))
+                    .expect("it is cold");
+            if allowance >= max.min(1.0) {
+                *previous = (allowance - 1.0, at);
                 sent[(now as usize - 10_000) / 100] += 1.0;
             }
         }
@@ -60,14 +61,14 @@
 
 #[test]
 fn unequal_routers_use_a_cold_replica_without_overloading_it() {
-    let by_traffic = sent(true);
+    let by_traffic = parts_sent(true);
     let all: f64 = by_traffic.iter().sum();
     // The capacity grows from 0.4 of the full capacity to all of it.
-    let bears = CAPACITY * 10_000.0 * 0.7;
+    let full_load = CAPACITY * 10_000.0 * 0.7;
     // Allowance that quiet routers do not use in time is lost. If it were kept, all together could overload
     // the replica.
-    assert!((bears * 0.7..bears * 1.1).contains(&all), "{all} of {bears}");
-    assert!(all > 1.2 * sent(false).iter().sum::<f64>(), "even shares are used equally well");
+    assert!((full_load * 0.7..full_load * 1.1).contains(&all), "{all} of {full_load}");
+    assert!(all > 1.2 * parts_sent(false).iter().sum::<f64>(), "even shares are used equally well");
     for (at, second) in by_traffic.windows(10).enumerate() {
         let capacity = CAPACITY * 1000.0 * (0.4 + 0.6 * at as f64 / 100.0);
         assert!(
@@ -79,20 +80,20 @@
 
 /// Returns the warm-up speed estimated from the reports of replicas halfway through the longest warm-up
 /// time, which are as warm as replicas that warm up twice as fast.
-fn pace(replicas: usize, capacity: f64) -> f64 {
+fn warm_up_speed(replicas: usize, capacity: f64) -> f64 {
     let warm = (0..50).map(|_| (report(capacity * 0.8, 0.8), None));
     let cold = (0..replicas).map(|_| (report(capacity * 0.3, 0.3), Some(0.5)));
     let mut known = FleetTraffic::default();
-    known.told(0.0, Some(RULE), &reports(warm.chain(cold)));
-    known.pace
+    known.update(0.0, Some(RULE), &reports(warm.chain(cold)));
+    known.warm_up_speed
 }
 
 #[test]
 fn the_warm_up_speed_is_estimated_from_many_reports_and_not_from_a_few() {
-    let many = pace(40, 100.0);
+    let many = warm_up_speed(40, 100.0);
     assert!((1.7..2.0).contains(&many), "{many}");
-    assert_eq!(pace(1, 10.0), 1.0, "three parts per second may be random variation");
-    assert_eq!(pace(0, 100.0), 1.0);
+    assert_eq!(warm_up_speed(1, 10.0), 1.0, "three parts per second may be random variation");
+    assert_eq!(warm_up_speed(0, 100.0), 1.0);
 }
 
 #[test]
@@ -100,10 +101,10 @@
     let warm = (0..50).map(|_| (report(80.0, 0.8), None));
     let cold = (0..40).map(|_| (report(80.0, 0.8), Some(0.0)));
     let mut known = FleetTraffic::default();
-    known.told(0.0, Some(RULE), &reports(warm.chain(cold)));
-    assert!(known.pace.is_finite(), "{}", known.pace);
+    known.update(0.0, Some(RULE), &reports(warm.chain(cold)));
+    assert!(known.warm_up_speed.is_finite(), "{}", known.warm_up_speed);
     let read: FleetTraffic = serde_json::from_str(&serde_json::to_string(&known).unwrap()).unwrap();
-    assert_eq!(read.pace, known.pace);
+    assert_eq!(read.warm_up_speed, known.warm_up_speed);
 }
 
 #[test]
@@ -111,36 +112,36 @@
     let warm = (0..50).map(|_| (report(0.0, 0.8), None));
     let cold = (0..40).map(|_| (report(0.0, 0.0), Some(0.5)));
     let mut known = FleetTraffic::default();
-    known.told(0.0, Some(RULE), &reports(warm.chain(cold)));
-    assert_eq!(known.pace, 1.0);
+    known.update(0.0, Some(RULE), &reports(warm.chain(cold)));
+    assert_eq!(known.warm_up_speed, 1.0);
 }
 
 #[test]
 fn a_new_router_has_an_even_share_and_the_last_one_left_has_nearly_all() {
     let mut known = FleetTraffic::default();
-    known.asked(20, 0.2);
+    known.record_query(20, 0.2);
     assert_eq!(known.share(100.0), 0.01);
     for now in 0..20 {
-        known.told(f64::from(now) * 1000.0, Some(RULE), &reports([(report(50.0, 0.5), None)]));
-        (0..50).for_each(|_| known.worked(true));
+        known.update(f64::from(now) * 1000.0, Some(RULE), &reports([(report(50.0, 0.5), None)]));
+        (0..50).for_each(|_| known.record_attempt_end(true));
     }
     assert!(known.share(2.0) > 0.9, "{known:?}");
     // Once reports stop, attempts no longer change the share.
-    known.told(30_000.0, Some(RULE), &reports([(LoadReport::default(), None)]));
+    known.update(30_000.0, Some(RULE), &reports([(LoadReport::default(), None)]));
     let before = known.share(2.0);
-    known.worked(true);
+    known.record_attempt_end(true);
     assert_eq!(known.share(2.0), before);
 }
 
 /// Capacity of a small warm replica, in parts per millisecond.
-const SMALL: f64 = 0.015;
+const SMALL_CAPACITY: f64 = 0.015;
 
 /// Returns the largest excess, over all windows, of what the routers send over what the cold replica can
 /// take, as a multiple of the allowed random variation. The replica started `idle` ms before. No router has
 /// anything to send to it until then, and afterwards each has more than it may send. All routers have the
 /// same traffic, `traffic` parts per millisecond together. Warm replicas have the given capacity, and
-/// report it if `tell` is set.
-fn at_once(routers: u32, idle: u32, tell: bool, (traffic, capacity): (f64, f64)) -> f64 {
+/// report it if `with_reports` is set.
+fn largest_excess(routers: u32, idle: u32, with_reports: bool, (traffic, capacity): (f64, f64)) -> f64 {
     let mut chance = 7;
     let mut all: Vec<_> =
         (0..routers).map(|_| (FleetTraffic::default(), (draw(&mut chance), 10_000.0))).collect();
@@ -148,35 +149,40 @@
     let mut sent = vec![0.0; 3000];
     for now in 0..from + 3000 {
         let at = f64::from(now);
-        for (known, left) in &mut all {
-            if tell && now % 100 == 0 {
-                known.told(at, Some(RULE), &reports((0..100).map(|_| (report(capacity * 500.0, 0.5), None))));
+        for (known, previous) in &mut all {
+            if with_reports && now % 100 == 0 {
+                known.update(
+                    at,
+                    Some(RULE),
+                    &reports((0..100).map(|_| (report(capacity * 500.0, 0.5), None))),
+                );
             }
             if draw(&mut chance) < traffic / f64::from(routers) {
-                known.worked(true);
-                known.asked(1, 0.2);
+                known.record_attempt_end(true);
+                known.record_query(1, 0.2);
             }
             if now < from {
                 continue;
             }
             loop {
-                let (room, most) =
-                    room(&RULE, (10_000.0, at), *left, capacity / 2.0, (known, routers)).expect("it is cold");
-                if room < most.min(1.0) {
+                let (allowance, max) =
+                    allowance(&RULE, (10_000.0, at), *previous, capacity / 2.0, (known, routers))
+                        .expect("it is cold");
+                if allowance < max.min(1.0) {
                     break;
                 }
-                *left = (room - 1.0, at);
+                *previous = (allowance - 1.0, at);
                 sent[(now - from) as usize] += 1.0;
             }
         }
     }
-    let beyond = |(at, window): (usize, &[f64])| {
+    let excess = |(at, window): (usize, &[f64])| {
         let warmth = RULE.initial_share
             + (1.0 - RULE.initial_share) * (f64::from(idle) + at as f64) / RULE.warm_within;
-        let bears = RULE.overload_multiple * capacity * RULE.overload_window * warmth;
-        (window.iter().sum::<f64>() - bears) / (2.0 * bears.sqrt() + 2.0)
+        let limit = RULE.overload_multiple * capacity * RULE.overload_window * warmth;
+        (window.iter().sum::<f64>() - limit) / (2.0 * limit.sqrt() + 2.0)
     };
-    sent.windows(RULE.overload_window as usize).enumerate().map(beyond).fold(f64::MIN, f64::max)
+    sent.windows(RULE.overload_window as usize).enumerate().map(excess).fold(f64::MIN, f64::max)
 }
 
 /// The parts sent in a window may exceed what the replica can take by the random variation only, for any
@@ -186,8 +192,8 @@
     for idle in [500, 3000, 6000] {
         for routers in [2, 20, 30, 100, 300] {
             for reports in [false, true] {
-                let beyond = at_once(routers, idle, reports, (SMALL * 50.0, SMALL));
-                assert!(beyond <= 1.0, "{routers} routers, idle for {idle} ms, reports {reports}: {beyond}");
+                let excess = largest_excess(routers, idle, reports, (SMALL_CAPACITY * 50.0, SMALL_CAPACITY));
+                assert!(excess <= 1.0, "{routers} routers, idle for {idle} ms, reports {reports}: {excess}");
             }
         }
     }
@@ -197,16 +203,16 @@
 /// two queries have arrived must not add up to an overload.
 #[test]
 fn saved_allowances_of_routers_with_rare_queries_do_not_overload_a_cold_replica() {
-    for capacity in [SMALL, CAPACITY] {
+    for capacity in [SMALL_CAPACITY, CAPACITY] {
         for every in [1600.0, 20_000.0] {
             for idle in [500, 6000] {
                 for routers in [30, 300] {
                     let traffic = (f64::from(routers) / every, capacity);
-                    let beyond = at_once(routers, idle, true, traffic);
+                    let excess = largest_excess(routers, idle, true, traffic);
                     let case = format!(
                         "{routers} routers, capacity {capacity}, every {every} ms, idle for {idle} ms"
                     );
-                    assert!(beyond <= 1.0, "{case}: {beyond}");
+                    assert!(excess <= 1.0, "{case}: {excess}");
                 }
             }
         }
@@ -221,25 +227,25 @@
     let mut sent = 0.0;
     for now in 0..20_000 {
         let at = f64::from(now);
-        for (known, left) in &mut all {
+        for (known, previous) in &mut all {
             if now % 100 == 0 {
-                known.told(at, Some(RULE), &reports((0..100).map(|_| (report(50.0, 0.5), None))));
+                known.update(at, Some(RULE), &reports((0..100).map(|_| (report(50.0, 0.5), None))));
             }
             if draw(&mut chance) < 5.0 / 30.0 {
-                known.worked(true);
-                known.asked(1, 0.2);
+                known.record_attempt_end(true);
+                known.record_query(1, 0.2);
             }
-            if now < 10_000 || draw(&mut chance) >= MEETS / 30.0 {
+            if now < 10_000 || draw(&mut chance) >= COLD_LOAD / 30.0 {
                 continue;
             }
-            let (room, most) =
-                room(&RULE, (10_000.0, at), *left, CAPACITY / 2.0, (known, 30)).expect("it is cold");
-            if room >= most.min(1.0) {
-                *left = (room - 1.0, at);
+            let (allowance, max) =
+                allowance(&RULE, (10_000.0, at), *previous, CAPACITY / 2.0, (known, 30)).expect("it is cold");
+            if allowance >= max.min(1.0) {
+                *previous = (allowance - 1.0, at);
                 sent += 1.0;
             }
         }
     }
-    let bears = CAPACITY * 10_000.0 * 0.7;
-    assert!(sent >= 0.75 * bears, "{sent} of {bears}");
+    let full_load = CAPACITY * 10_000.0 * 0.7;
+    assert!(sent >= 0.75 * full_load, "{sent} of {full_load}");
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -163,7 +163,7 @@
         if !self.indexed {
             self.index();
         }
-        self.replica_index.forget(now - self.forgive);
+        self.replica_index.expire_utilizations(now - self.forgive);
         for event in events {
             self.take(event);
         }
@@ -239,7 +239,7 @@
             }
             if !whole {
                 self.replica_index
-                    .change(before.as_ref(), self.replicas.get(&number).map(|s| s.facts()).as_ref());
+                    .update(before.as_ref(), self.replicas.get(&number).map(|s| s.facts()).as_ref());
             }
         }
         if whole {
@@ -247,7 +247,7 @@
         }
         for number in self.replica_index.gone() {
             if let Some(replica) = self.replicas.get(&number).filter(|s| s.in_flight == 0) {
-                self.replica_index.change(Some(&replica.facts()), None);
+                self.replica_index.update(Some(&replica.facts()), None);
                 self.replicas.remove(&number);
             }
         }
@@ -346,7 +346,7 @@
             }
             self.measures.idle.record_send(idle, dropped, now, forgive);
         }
-        self.measures.traffic.worked(!outcome.never_ran());
+        self.measures.traffic.record_attempt_end(!outcome.never_ran());
         let known =
             self.replicas.get(&flight.replica).map_or(0.0, |replica| self.rate(replica, flight.class));
         let Some(replica) = self.replicas.get_mut(&flight.replica) else { return };
@@ -394,7 +394,7 @@
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
-        self.replica_index.change(Some(&before), Some(&replica.facts()));
+        self.replica_index.update(Some(&before), Some(&replica.facts()));
         if measures {
             self.measure(flight, latency);
         }
@@ -459,7 +459,7 @@
         let (cold, started) = (self.settings.cold?, replica.line.started?);
         let best = self.measures.best.unwrap_or(self.mean_rate(class));
         let traffic = (&self.measures.traffic, self.settings.routers);
-        cold::room(&cold, (started, self.now), replica.cold, best, traffic)
+        cold::allowance(&cold, (started, self.now), replica.cold, best, traffic)
     }
 
     /// How long a replica may be silent before a hang is the likely cause.
@@ -476,7 +476,7 @@
             let (density, parts) = (query.worth / per, query.parts.len());
             let usual = blend(self.measures.density, density);
             self.measures.density = Some(usual);
-            self.measures.traffic.asked(parts, SMOOTH_QUERIES);
+            self.measures.traffic.record_query(parts, SMOOTH_QUERIES);
             let factor = (density / usual.max(f64::MIN_POSITIVE)).sqrt().clamp(ADMIT_RANGE.0, ADMIT_RANGE.1);
             if let Some(why) = self.spare_laden(number, ADMIT_AT * factor.min(1.0)) {
                 self.end_query(number, false, why);
@@ -527,7 +527,7 @@
     fn spare_laden(&mut self, number: u64, share: f64) -> Option<Cause> {
         let query = self.queries.get(&number)?;
         // Before any list nothing is known to be missing.
-        self.replica_index.is_listed().then_some(())?;
+        self.replica_index.any_listed().then_some(())?;
         let (mut why, mut lost, mut out) = (Cause::PredictedLate, 0.0, Vec::new());
         for (at, part) in query.parts.iter().enumerate() {
             let mut pool = self.holders(part.shard);
@@ -573,7 +573,7 @@
 
     /// Whether the fleet has little room, by what replicas reported lately; `None` if none did: it may have.
     fn busy(&self) -> Option<bool> {
-        let (busy, told) = self.replica_index.busy();
+        let (busy, told) = self.replica_index.utilization();
         (told > 0).then_some(busy >= BUSY_AT * told as f64)
     }
 
@@ -601,12 +601,12 @@
 
     fn place(&mut self) {
         self.measures.mean = self.replica_index.mean_rate();
-        self.measures.traffic.told(self.now, self.settings.cold, self.replica_index.reports());
+        self.measures.traffic.update(self.now, self.settings.cold, self.replica_index.load_reports());
         let since = self.now - self.forgive;
         let before = self.now - self.measures.usual.unwrap_or(0.0) * DEAD_AFTER_USUAL;
         let dead =
             |(number, at): &(ReplicaNo, Millis)| self.replicas.get(number).is_some_and(|s| s.heard < *at);
-        let died = self.replica_index.died(since, before).filter(dead).count();
+        let died = self.replica_index.died_between(since, before).filter(dead).count();
         if died as f64 > SHARED_CAUSE * self.replicas.len() as f64 {
             self.wary = self.now + self.min_aim * WARY_AIMS;
         }
@@ -726,7 +726,7 @@
         replica.in_flight += 1;
         replica.call = (self.now, if replica.call.0 == self.now { replica.call.1 + 1 } else { 1 });
         replica.cold = (room.map_or(0.0, |(room, _)| room - part.cost), self.now);
-        self.replica_index.change(Some(&before), Some(&replica.facts()));
+        self.replica_index.update(Some(&before), Some(&replica.facts()));
         let (class, sent, cost, idle, ahead) = (query.class, self.now, part.cost, replica.idle, replica.out);
         let load_then = self.load_out;
         let flight =
@@ -818,7 +818,7 @@
 
     fn why_missing(&self, part: &Part) -> Cause {
         let holders = self.holders(part.shard);
-        match self.replica_index.is_listed() {
+        match self.replica_index.any_listed() {
             false => Cause::NoList,
             _ if holders.is_empty() => Cause::NoHolder(part.shard),
             _ if holders.iter().all(|s| s.line.state == ReplicaState::Draining) => Cause::Drained(part.shard),
@@ -961,11 +961,11 @@
     fn look_after_replicas(&mut self) {
         let now = self.now;
         if self.measures.idle.drops_detected(self.now, self.forgive) {
-            let idle = self.replica_index.idle(now, self.measures.idle.limit);
+            let idle = self.replica_index.idle_longer_than(now, self.measures.idle.limit);
             idle.into_iter().for_each(|number| self.let_go(number));
         }
         let (next, probes) = (now + self.min_aim * PROBE_OF_AIM, self.settings.probes);
-        for number in self.replica_index.to_probe(now) {
+        for number in self.replica_index.probes_due(now) {
             let replica_id = self.change(number, |replica| {
                 replica.probe_at = next;
                 replica.parked = replica.parked.filter(|_| probes);
--- a/src/decide/indexes.rs
+++ b/src/decide/indexes.rs
@@ -17,7 +17,7 @@
     pub(super) fn counted(&self) -> ReplicaIndex {
         let warm_within = self.settings.cold.map(|rule| rule.warm_within);
         let all = self.replicas.values().map(|replica| replica.facts());
-        ReplicaIndex::of(
+        ReplicaIndex::build(
             (self.settings.cells, self.settings.cells_per_shard),
             warm_within,
             self.now - self.forgive,
@@ -76,7 +76,7 @@
         let replica = self.replicas.get_mut(&number)?;
         let before = replica.facts();
         let done = how(replica);
-        self.replica_index.change(Some(&before), Some(&replica.facts()));
+        self.replica_index.update(Some(&before), Some(&replica.facts()));
         Some(done)
     }
 
@@ -147,7 +147,7 @@
             started: self.line.started,
             rate: self.dr,
             load: self.load,
-            loaded: self.loaded,
+            load_at: self.loaded,
             died: self.died,
             probe_at: self.parked.map(|_| self.probe_at),
             idle_since: self.used.filter(|_| self.in_flight == 0),
--- a/src/exact.rs
+++ b/src/exact.rs
@@ -8,9 +8,9 @@
 use crate::api::Millis;
 
 /// Units per 1: terms are truncated to 2^-64, far finer than any measurement.
-const UNIT: f64 = (1u128 << 64) as f64;
+const UNITS_PER_ONE: f64 = (1u128 << 64) as f64;
 /// Terms are clamped to this magnitude, so that millions of them fit into an `i128`.
-const MOST: f64 = (1u64 << 40) as f64;
+const MAX_TERM: f64 = (1u64 << 40) as f64;
 
 /// A sum of fixed-point numbers.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 
 impl ExactSum {
     fn units(term: f64) -> i128 {
-        (term.clamp(-MOST, MOST) * UNIT) as i128
+        (term.clamp(-MAX_TERM, MAX_TERM) * UNITS_PER_ONE) as i128
     }
 
     /// Adds a term. NaN counts as 0.
@@ -27,13 +27,13 @@
     }
 
     /// Removes a term that was added.
-    pub fn take(&mut self, term: f64) {
+    pub fn remove(&mut self, term: f64) {
         self.0 -= Self::units(term);
     }
 
     /// Returns the sum.
     pub fn value(self) -> f64 {
-        self.0 as f64 / UNIT
+        self.0 as f64 / UNITS_PER_ONE
     }
 }
 
--- a/src/replica_index.rs
+++ b/src/replica_index.rs
@@ -2,7 +2,7 @@
 //! replicas that need attention.
 //!
 //! It makes no decisions and is not part of a checkpoint. It always equals the index that
-//! [`ReplicaIndex::of`] builds from all replicas.
+//! [`ReplicaIndex::build`] builds from all replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,8 +25,8 @@
     pub rate: Option<f64>,
     /// Its last load report.
     pub load: LoadReport,
-    /// When it sent that report.
-    pub loaded: Millis,
+    /// When that report arrived.
+    pub load_at: Millis,
     /// When it last looked dead.
     pub died: Option<Millis>,
     /// When its next probe is due, if it is parked.
@@ -48,27 +48,27 @@
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct ReplicaIndex {
     cells: u32,
-    width: u32,
+    cells_per_shard: u32,
     warm_within: Option<Millis>,
     /// Listed replicas, by cell.
     holders: BTreeSet<(u32, u64)>,
     gone: BTreeSet<u64>,
     active: usize,
     /// Listed replicas with a measured rate, and the sum of their rates.
-    heard: usize,
+    measured: usize,
     rates: ExactSum,
     reports: LoadReports,
     /// Utilizations that were reported after a time, and their sum.
-    since: Millis,
-    told: BTreeMap<(OrderedTime, u64), f64>,
-    busy: ExactSum,
+    reported_after: Millis,
+    utilizations: BTreeMap<(OrderedTime, u64), f64>,
+    utilization_sum: ExactSum,
     died: ByTime,
     parked: ByTime,
     idle: ByTime,
 }
 
 /// Replaces one key of a set by another, if they differ.
-fn shift<K: Ord>(set: &mut BTreeSet<K>, before: Option<K>, after: Option<K>) {
+fn replace_key<K: Ord>(set: &mut BTreeSet<K>, before: Option<K>, after: Option<K>) {
     if before != after {
         before.map(|key| set.remove(&key));
         set.extend(after);
@@ -77,9 +77,9 @@
 
 /// Returns the replicas whose times meet a condition that holds up to some time, in the order of their
 /// numbers.
-fn until(set: &ByTime, at: impl Fn(Millis) -> bool) -> Vec<u64> {
+fn while_time(set: &ByTime, condition: impl Fn(Millis) -> bool) -> Vec<u64> {
     let mut due: Vec<u64> =
-        set.iter().take_while(|(time, _)| at(time.0)).map(|(_, number)| *number).collect();
+        set.iter().take_while(|(time, _)| condition(time.0)).map(|(_, number)| *number).collect();
     due.sort_unstable();
     due
 }
@@ -87,38 +87,44 @@
 impl ReplicaIndex {
     /// Builds the index of all replicas. Shards are laid out over `cells`, and a number of consecutive
     /// cells holds each. Utilizations count that were reported after `since`.
-    pub fn of(
-        (cells, width): (u32, u32),
+    pub fn build(
+        (cells, cells_per_shard): (u32, u32),
         warm_within: Option<Millis>,
         since: Millis,
         all: impl Iterator<Item = ReplicaFacts>,
     ) -> Self {
-        let mut pool = ReplicaIndex { cells, width, warm_within, since, ..ReplicaIndex::default() };
-        all.for_each(|facts| pool.change(None, Some(&facts)));
-        pool
+        let mut index = ReplicaIndex {
+            cells,
+            cells_per_shard,
+            warm_within,
+            reported_after: since,
+            ..ReplicaIndex::default()
+        };
+        all.for_each(|facts| index.update(None, Some(&facts)));
+        index
     }
 
     /// Updates the index for a replica that was added (no `before`), changed or removed (no `after`).
-    pub fn change(&mut self, before: Option<&ReplicaFacts>, after: Option<&ReplicaFacts>) {
+    pub fn update(&mut self, before: Option<&ReplicaFacts>, after: Option<&ReplicaFacts>) {
         let cells = self.cells;
         let holder = |facts: &ReplicaFacts| facts.is_listed().then_some((facts.cell % cells, facts.number));
-        shift(&mut self.holders, before.and_then(holder), after.and_then(holder));
+        replace_key(&mut self.holders, before.and_then(holder), after.and_then(holder));
         let gone = |facts: &ReplicaFacts| (!facts.is_listed()).then_some(facts.number);
-        shift(&mut self.gone, before.and_then(gone), after.and_then(gone));
+        replace_key(&mut self.gone, before.and_then(gone), after.and_then(gone));
         let active = |facts: Option<&ReplicaFacts>| {
             usize::from(facts.is_some_and(|facts| facts.state == ReplicaState::Active))
         };
         self.active = self.active + active(after) - active(before);
         let rate = |facts: &ReplicaFacts| facts.rate.filter(|_| facts.is_listed());
         if let Some(rate) = before.and_then(rate) {
-            self.heard -= 1;
-            self.rates.take(rate);
+            self.measured -= 1;
+            self.rates.remove(rate);
         }
         if let Some(rate) = after.and_then(rate) {
-            self.heard += 1;
+            self.measured += 1;
             self.rates.add(rate);
         }
-        self.change_reports(before, after);
+        self.update_reports(before, after);
         let by =
             |time: Option<Millis>, facts: &ReplicaFacts| time.map(|time| (OrderedTime(time), facts.number));
         for (set, time) in [
@@ -127,52 +133,53 @@
             (&mut self.idle, |facts| facts.idle_since),
         ] {
             let key = |facts: &ReplicaFacts| by(time(facts), facts);
-            shift(set, before.and_then(key), after.and_then(key));
+            replace_key(set, before.and_then(key), after.and_then(key));
         }
     }
 
-    fn change_reports(&mut self, before: Option<&ReplicaFacts>, after: Option<&ReplicaFacts>) {
-        let told = |facts: &ReplicaFacts| (facts.load, facts.loaded, facts.started, facts.state);
-        if before.map(told) == after.map(told) {
+    fn update_reports(&mut self, before: Option<&ReplicaFacts>, after: Option<&ReplicaFacts>) {
+        let reported = |facts: &ReplicaFacts| (facts.load, facts.load_at, facts.started, facts.state);
+        if before.map(reported) == after.map(reported) {
             return;
         }
         let warm_within = self.warm_within;
-        let way = |facts: &ReplicaFacts| Some((facts.loaded - facts.started?) / warm_within?);
-        let report = |facts: &&ReplicaFacts| facts.is_listed();
-        if let Some(facts) = before.filter(report) {
-            self.reports.take(facts.load, way(facts));
+        let age = |facts: &ReplicaFacts| Some((facts.load_at - facts.started?) / warm_within?);
+        let listed = |facts: &&ReplicaFacts| facts.is_listed();
+        if let Some(facts) = before.filter(listed) {
+            self.reports.remove(facts.load, age(facts));
         }
-        if let Some(facts) = after.filter(report) {
-            self.reports.add(facts.load, way(facts));
+        if let Some(facts) = after.filter(listed) {
+            self.reports.add(facts.load, age(facts));
         }
-        if let Some(busy) =
-            before.and_then(|facts| self.told.remove(&(OrderedTime(facts.loaded), facts.number)))
+        if let Some(utilization) =
+            before.and_then(|facts| self.utilizations.remove(&(OrderedTime(facts.load_at), facts.number)))
         {
-            self.busy.take(busy);
+            self.utilization_sum.remove(utilization);
         }
-        let told = |facts: &ReplicaFacts| facts.load.utilization.filter(|_| facts.loaded > self.since);
-        if let Some((busy, facts)) = after.and_then(told).zip(after) {
-            self.busy.add(busy);
-            self.told.insert((OrderedTime(facts.loaded), facts.number), busy);
+        let recent =
+            |facts: &ReplicaFacts| facts.load.utilization.filter(|_| facts.load_at > self.reported_after);
+        if let Some((utilization, facts)) = after.and_then(recent).zip(after) {
+            self.utilization_sum.add(utilization);
+            self.utilizations.insert((OrderedTime(facts.load_at), facts.number), utilization);
         }
     }
 
     /// Drops utilizations that were reported at a time or earlier.
-    pub fn forget(&mut self, since: Millis) {
-        self.since = since;
-        while let Some(oldest) = self.told.first_entry().filter(|oldest| oldest.key().0 .0 <= since) {
-            self.busy.take(oldest.remove());
+    pub fn expire_utilizations(&mut self, since: Millis) {
+        self.reported_after = since;
+        while let Some(oldest) = self.utilizations.first_entry().filter(|oldest| oldest.key().0 .0 <= since) {
+            self.utilization_sum.remove(oldest.remove());
         }
     }
 
     /// Returns whether any replica is listed.
-    pub fn is_listed(&self) -> bool {
+    pub fn any_listed(&self) -> bool {
         !self.holders.is_empty()
     }
 
     /// Returns the listed replicas that hold a shard, in the order of their numbers.
     pub fn holders(&self, shard: Shard) -> Vec<u64> {
-        let cells = (0..self.width).map(|next| (shard.0 % self.cells + next) % self.cells);
+        let cells = (0..self.cells_per_shard).map(|next| (shard.0 % self.cells + next) % self.cells);
         let of = |cell| self.holders.range((cell, 0)..=(cell, u64::MAX)).map(|(_, number)| *number);
         let mut holders: Vec<u64> = cells.flat_map(of).collect();
         holders.sort_unstable();
@@ -191,33 +198,33 @@
 
     /// Returns the mean rate of the listed replicas, if any has one.
     pub fn mean_rate(&self) -> Option<f64> {
-        (self.heard > 0).then(|| self.rates.value() / self.heard as f64)
+        (self.measured > 0).then(|| self.rates.value() / self.measured as f64)
     }
 
     /// Returns the sums of the load reports of the listed replicas.
-    pub fn reports(&self) -> &LoadReports {
+    pub fn load_reports(&self) -> &LoadReports {
         &self.reports
     }
 
     /// Returns the sum of the recently reported utilizations, and their number.
-    pub fn busy(&self) -> (f64, usize) {
-        (self.busy.value(), self.told.len())
+    pub fn utilization(&self) -> (f64, usize) {
+        (self.utilization_sum.value(), self.utilizations.len())
     }
 
     /// Returns the replicas that last looked dead after `since` and at `until` at the latest, with the
     /// time.
-    pub fn died(&self, since: Millis, until: Millis) -> impl Iterator<Item = (u64, Millis)> + '_ {
+    pub fn died_between(&self, since: Millis, until: Millis) -> impl Iterator<Item = (u64, Millis)> + '_ {
         let late = self.died.iter().rev().skip_while(move |(at, _)| at.0 > until);
         late.take_while(move |(at, _)| at.0 > since).map(|(at, number)| (*number, at.0))
     }
 
     /// Returns the parked replicas whose probe is due.
-    pub fn to_probe(&self, now: Millis) -> Vec<u64> {
-        until(&self.parked, |at| now >= at)
+    pub fn probes_due(&self, now: Millis) -> Vec<u64> {
+        while_time(&self.parked, |at| now >= at)
     }
 
     /// Returns the replicas with connections that have been idle for longer than a limit.
-    pub fn idle(&self, now: Millis, limit: Millis) -> Vec<u64> {
-        until(&self.idle, |used| now - used > limit)
+    pub fn idle_longer_than(&self, now: Millis, limit: Millis) -> Vec<u64> {
+        while_time(&self.idle, |used| now - used > limit)
     }
 }
