--- a/src/decide.rs
+++ b/src/decide.rs
@@ -265,7 +265,7 @@
         self.numbers.insert(id.clone(), number);
         let accepted = arrived.min(self.now);
         let query = Query { id, class, accepted, deadline, worth, ..Query::default() };
-        self.query_index.comes(class, self.ends(number, &query));
+        self.query_index.insert_query(class, self.ends(number, &query));
         self.queries.insert(number, query);
         self.fresh.push(number);
     }
@@ -283,7 +283,7 @@
         let NewPart { id, shard, weight, .. } = new;
         self.parts.insert(id.clone(), (new.query, query.parts.len()));
         self.waiting.insert((new.query, shard, query.parts.len()));
-        self.query_index.touch(new.query);
+        self.query_index.mark_changed(new.query);
         query.parts.push(Part { id, shard, weight, cost, key, ..Part::default() });
     }
 
@@ -295,14 +295,14 @@
         }
         self.record_end(&flight, outcome, latency, load);
         let Some(&(number, index)) = self.parts.get(&id) else { return };
-        self.query_index.answered(flight.class, flight.sent, (number, index));
-        self.query_index.unfollow(flight.replica, flight.sent, (id, attempt), (number, index));
-        self.query_index.touch(number);
+        self.query_index.remove_in_flight(flight.class, flight.sent, (number, index));
+        self.query_index.untrack_attempt(flight.replica, flight.sent, (id, attempt), (number, index));
+        self.query_index.mark_changed(number);
         let Some(query) = self.queries.get_mut(&number) else { return };
         if outcome == Outcome::Reset && query.resets.iter().all(|(replica, _)| *replica != flight.replica) {
             query.resets.push((flight.replica, flight.idle.is_none()));
             if flight.idle.is_none() {
-                self.query_index.reset(number);
+                self.query_index.mark_reset(number);
             }
         }
         let part = &mut query.parts[index];
@@ -512,7 +512,7 @@
         let Some(query) = self.queries.get_mut(&number) else { return };
         for index in parts {
             query.parts[index].left_out = true;
-            self.query_index.touch(number);
+            self.query_index.mark_changed(number);
             self.waiting.remove(&(number, query.parts[index].shard, index));
         }
     }
@@ -734,8 +734,8 @@
         self.load_out += cost;
         let timeout = (until - self.now).max(self.settings.tick);
         let (reason, part, replica_id) = (part.reason, part.id.clone(), replica.line.id.clone());
-        self.query_index.sent(class, sent, (number, index));
-        self.query_index.follow(to, sent, (part.clone(), attempt), None);
+        self.query_index.insert_in_flight(class, sent, (number, index));
+        self.query_index.track_attempt(to, sent, (part.clone(), attempt), None);
         self.in_flight.insert((part.clone(), attempt), flight);
         self.actions.push(Action::Send { part, replica: replica_id, timeout, reason, choice });
         if again {
@@ -750,7 +750,7 @@
             flight.cancelled = Some(reason);
             self.load_out = (self.load_out - flight.cost).max(0.0);
             if let Some(place) = self.parts.get(id) {
-                self.query_index.unfollow(flight.replica, flight.sent, (id.clone(), attempt), *place);
+                self.query_index.untrack_attempt(flight.replica, flight.sent, (id.clone(), attempt), *place);
             }
             self.actions.push(Action::Cancel { part: id.clone(), attempt, reason });
         }
@@ -769,7 +769,7 @@
             self.look_after_query(number, step);
             // One that is slow may be the sign by which the next ones end at their aims.
             if self.ends_at_aim(class) && !std::mem::replace(&mut cut[class], true) {
-                due.extend(self.query_index.aims(class, self.now + step).filter(|next| *next > number));
+                due.extend(self.query_index.past_aim(class, self.now + step).filter(|next| *next > number));
             }
         }
     }
@@ -838,8 +838,8 @@
             let Some(flight) = self.in_flight.get_mut(&(id.clone(), attempt)).filter(lost) else { continue };
             // It counts once, also where it stays out.
             flight.overtaken = 0;
-            self.query_index.unfollow(replica, sent, (id.clone(), attempt), (number, index));
-            self.query_index.follow(replica, sent, (id.clone(), attempt), None);
+            self.query_index.untrack_attempt(replica, sent, (id.clone(), attempt), (number, index));
+            self.query_index.track_attempt(replica, sent, (id.clone(), attempt), None);
             if let Some(replica) = self.replicas.get_mut(&replica) {
                 replica.failed[class].record(1.0, TRUST_STEP, now, forget);
                 replica.lost.record(1.0, SMOOTH, now, forgive);
@@ -864,7 +864,7 @@
         let safe = self.settings.classes[class].repeat != RepeatPolicy::Unsafe;
         for (index, id, (attempt, replica), sent, attempts) in query.out_since(since) {
             let Some(known) = self.replicas.get(&replica).filter(|s| s.answered < sent) else {
-                self.query_index.answered(class, sent, (number, index));
+                self.query_index.remove_in_flight(class, sent, (number, index));
                 continue;
             };
             let Some(flight) = self.in_flight.get(&(id.clone(), attempt)) else { continue };
@@ -911,7 +911,7 @@
             let (class, parts) = (query.class, std::mem::take(&mut query.parts));
             self.drop_parts(number, class, parts);
             self.note_enough(number);
-            self.query_index.touch(number);
+            self.query_index.mark_changed(number);
         } else {
             self.drop_query(number);
         }
@@ -940,7 +940,7 @@
     fn drop_query(&mut self, number: u64) {
         if let Some(query) = self.queries.remove(&number) {
             self.numbers.remove(&query.id);
-            self.query_index.goes(query.class, self.ends(number, &query));
+            self.query_index.remove_query(query.class, self.ends(number, &query));
             self.drop_parts(number, query.class, query.parts);
         }
     }
@@ -950,9 +950,9 @@
             self.waiting.remove(&(number, part.shard, index));
             self.parts.remove(&part.id);
             if let Some((attempt, replica)) = part.out {
-                self.query_index.answered(class, part.last_sent, (number, index));
+                self.query_index.remove_in_flight(class, part.last_sent, (number, index));
                 let key = (part.id.clone(), attempt);
-                self.query_index.unfollow(replica, part.last_sent, key, (number, index));
+                self.query_index.untrack_attempt(replica, part.last_sent, key, (number, index));
                 self.cancel(&part.id, attempt, AttemptReason::Over);
             }
         }
--- a/src/decide/indexes.rs
+++ b/src/decide/indexes.rs
@@ -1,7 +1,7 @@
 //! What keeps the indexes of [`Router`] equal to what they are made of. It decides nothing.
 
 use super::*;
-use crate::query_index::{Place, QueryTimes};
+use crate::query_index::{PartLocation, QueryTimes};
 use crate::replica_index::ReplicaFacts;
 
 impl Router {
@@ -9,7 +9,7 @@
     pub(super) fn index(&mut self) {
         self.replica_index = self.counted();
         self.query_index = self.all_due(|_| true);
-        self.queries.keys().for_each(|number| self.query_index.touch(*number));
+        self.queries.keys().for_each(|number| self.query_index.mark_changed(*number));
         self.indexed = true;
     }
 
@@ -29,20 +29,20 @@
     fn all_due(&self, wish: impl Fn(&Part) -> bool) -> QueryIndex {
         let mut due = QueryIndex::new(self.settings.classes.len());
         for (number, query) in &self.queries {
-            due.comes(query.class, self.ends(*number, query));
-            due.enough(query.class, self.ends(*number, query), self.has_enough(query));
+            due.insert_query(query.class, self.ends(*number, query));
+            due.set_answerable(query.class, self.ends(*number, query), self.has_enough(query));
             if query.resets.iter().any(|(_, open)| *open) {
-                due.reset(*number);
+                due.mark_reset(*number);
             }
             for (index, part) in query.parts.iter().enumerate().filter(|(_, part)| part.out.is_some()) {
                 if wish(part) {
-                    due.sent(query.class, part.last_sent, (*number, index));
+                    due.insert_in_flight(query.class, part.last_sent, (*number, index));
                 }
             }
         }
         for (key, flight) in &self.in_flight {
             if let Some(place) = self.parts.get(&key.0).filter(|_| flight.cancelled.is_none()) {
-                due.follow(flight.replica, flight.sent, key.clone(), flight.lost_at(*place));
+                due.track_attempt(flight.replica, flight.sent, key.clone(), flight.lost_at(*place));
             }
         }
         due
@@ -58,7 +58,7 @@
             replica.is_some_and(|replica| replica.answered < part.last_sent)
         };
         let (pool, differs) =
-            (self.counted(), self.query_index.differs(&self.all_due(|_| true), &self.all_due(silent)));
+            (self.counted(), self.query_index.difference(&self.all_due(|_| true), &self.all_due(silent)));
         match differs {
             _ if !self.indexed => Ok(()),
             _ if self.replica_index != pool => Err(format!("{:?} is not {pool:?}", self.replica_index)),
@@ -82,7 +82,7 @@
 
     pub(super) fn ends(&self, number: u64, query: &Query) -> QueryTimes {
         let aim = (query.accepted + self.settings.classes[query.class].aim).min(query.deadline);
-        QueryTimes { number, aim, deadline: query.deadline }
+        QueryTimes { number, answer_by: aim, deadline: query.deadline }
     }
 
     pub(super) fn has_enough(&self, query: &Query) -> bool {
@@ -92,19 +92,19 @@
     /// What has come in of a query, or no longer counts, has changed.
     pub(super) fn note_enough(&mut self, number: u64) {
         if let Some(query) = self.queries.get(&number) {
-            self.query_index.enough(query.class, self.ends(number, query), self.has_enough(query));
+            self.query_index.set_answerable(query.class, self.ends(number, query), self.has_enough(query));
         }
     }
 
     /// Counts the parts that one which was completed has overtaken at its replica.
     pub(super) fn overtake(&mut self, completed: &InFlight) {
         let replica = completed.replica;
-        for key in self.query_index.before(replica, completed.sent) {
+        for key in self.query_index.attempts_before(replica, completed.sent) {
             let Some(flight) = self.in_flight.get_mut(&key) else { continue };
             flight.overtaken += 1;
             if let Some(place) = self.parts.get(&key.0).filter(|place| flight.lost_at(**place).is_some()) {
-                self.query_index.unfollow(replica, flight.sent, key.clone(), *place);
-                self.query_index.follow(replica, flight.sent, key, Some(*place));
+                self.query_index.untrack_attempt(replica, flight.sent, key.clone(), *place);
+                self.query_index.track_attempt(replica, flight.sent, key, Some(*place));
             }
         }
     }
@@ -112,20 +112,20 @@
     /// The queries that anything may be due of now, for what is looked at in steps of some time: those that something has
     /// happened to, and those of which time alone makes something due. Parts that wait may no longer be sent by now.
     pub(super) fn due_now(&mut self, step: Millis) -> BTreeSet<u64> {
-        let mut due = self.query_index.take_touched();
+        let mut due = self.query_index.take_changed();
         due.extend(self.waiting.iter().map(|(number, ..)| *number));
-        due.extend(self.query_index.lost());
+        due.extend(self.query_index.with_lost_parts());
         if self.now < self.wary {
-            due.extend(self.query_index.resets());
+            due.extend(self.query_index.with_resets());
         }
         for class in 0..self.settings.classes.len() {
             let lag = self.lag.answer_margin(self.now, self.settings.classes[class].aim, self.forgive);
-            due.extend(self.query_index.answerable(class, self.now + step * 2.0 + lag));
-            due.extend(self.query_index.deadlines(class, self.now + step));
+            due.extend(self.query_index.answerable_past_aim(class, self.now + step * 2.0 + lag));
+            due.extend(self.query_index.past_deadline(class, self.now + step));
             if self.ends_at_aim(class) {
-                due.extend(self.query_index.aims(class, self.now + step));
+                due.extend(self.query_index.past_aim(class, self.now + step));
             }
-            due.extend(self.query_index.out(class, self.now - self.patience(class)));
+            due.extend(self.query_index.in_flight_since(class, self.now - self.patience(class)));
         }
         due
     }
@@ -133,7 +133,7 @@
 
 impl InFlight {
     /// Its place, if it counts as lost.
-    fn lost_at(&self, place: Place) -> Option<Place> {
+    fn lost_at(&self, place: PartLocation) -> Option<PartLocation> {
         (self.overtaken >= OVERTAKEN).then_some(place)
     }
 }
