--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -387,7 +387,7 @@
     pub fn note_clock(&mut self, now: Millis, wall_ahead: Millis) {
         self.began.get_or_insert(now);
         self.clock = Some(now);
-        self.starts.note_wall_clock(wall_ahead);
+        self.starts.record_wall_clock(wall_ahead);
     }
 
     /// How long the client of a query waits: as it states, and no longer than its class is given up for.
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -27,7 +27,7 @@
                 self.ledger.open_parts -= usize::from(part.value.is_some());
             }
         }
-        let load = end.load.filter(|_| self.starts.is_sure(&out.replica, now));
+        let load = end.load.filter(|_| self.starts.is_warmth_known(&out.replica, now));
         self.inbox.push(Event::AttemptEnded(AttemptEnded {
             part: out.part,
             attempt: out.attempt,
@@ -41,7 +41,8 @@
     /// A probe has ended, by its answer or by its time. Only the first end counts.
     pub fn probe_ended(&mut self, no: CallNo, ok: bool, load: Option<LoadReport>) {
         if let Some(replica) = self.ledger.probes.remove(&no) {
-            let load = load.filter(|_| self.clock.is_none_or(|now| self.starts.is_sure(&replica, now)));
+            let load =
+                load.filter(|_| self.clock.is_none_or(|now| self.starts.is_warmth_known(&replica, now)));
             self.inbox.push(Event::ProbeEnded { replica, ok, load });
         }
     }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -128,13 +128,13 @@
     fn place_starts(&mut self, news: &mut DirectoryUpdate) {
         let whole = matches!(news, DirectoryUpdate::Full(_));
         let (lines, told) = match news {
-            DirectoryUpdate::Cached(lines) => (lines, StartSource::AtFirst),
+            DirectoryUpdate::Cached(lines) => (lines, StartSource::InitialList),
             DirectoryUpdate::Full(lines) | DirectoryUpdate::Changes(lines) => {
                 let first = !std::mem::replace(&mut self.listed, true);
                 let told = if first && (whole || self.is_prompt()) {
-                    StartSource::AtFirst
+                    StartSource::InitialList
                 } else {
-                    StartSource::Since
+                    StartSource::Update
                 };
                 (lines, told)
             }
