--- a/src/asking.rs
+++ b/src/asking.rs
@@ -91,7 +91,7 @@
 /// When to reopen a watch on the list that broke, independent of the requests that the router makes.
 ///
 /// Lists that are pushed come from the process's own agent, which is watched at all times: what the agent
-/// holds counts as received, and asking it loads no one else. A watch on the discovery service, which all
+/// holds counts as received, and asking it loads nothing else. A watch on the discovery service, which all
 /// routers share, is reopened here only if it went silent. A failed call shows that the service is
 /// overloaded, so it is left to the backoff of [`ListRequests`]. Silence shows nothing, and a change that
 /// it hides soon counts as received.
