--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -39,14 +39,14 @@
     pub(super) fn retry_advice(&mut self, now: Millis, class: usize) -> Millis {
         let aim = self.classes.get(class).class.aim;
         let half_life = aim * ADVICE_HALF_LIFE_AIMS;
-        self.advice.note(true, now, half_life);
-        self.advice.wait(aim, self.settings.max_retry_after, (now, half_life), draw(&mut self.random_state))
+        self.advice.record(true, now, half_life);
+        self.advice.retry_after(aim, self.settings.max_retry_after, (now, half_life), draw(&mut self.random_state))
     }
 
     /// Records that a query was admitted, for the retry advice.
     pub(super) fn note_admitted(&mut self, now: Millis, class: usize) {
         let half_life = self.classes.get(class).class.aim * ADVICE_HALF_LIFE_AIMS;
-        self.advice.note(false, now, half_life);
+        self.advice.record(false, now, half_life);
     }
 
     /// Returns a failure. Retry advice is given only for classes that are safe to repeat.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -336,8 +336,8 @@
             clock: None,
             clock_started: None,
             list_received: false,
-            agent_watch: WatchSchedule::an_agent(),
-            service_watch: WatchSchedule::the_service(),
+            agent_watch: WatchSchedule::for_agent(),
+            service_watch: WatchSchedule::for_service(),
             random_state: mix(seed),
             advice: RetryAdvice::default(),
             pending_events: Vec::new(),
@@ -392,7 +392,7 @@
     pub fn note_clock(&mut self, now: Millis, wall_ahead: Millis) {
         self.clock_started.get_or_insert(now);
         self.clock = Some(now);
-        self.start_times.note_wall_clock(wall_ahead);
+        self.start_times.record_wall_clock(wall_ahead);
     }
 
     /// Returns how long the client of a query waits: the stated time, capped by the deadline of its class;
@@ -436,7 +436,7 @@
 
     /// Returns when the next step is needed if nothing happens before.
     pub fn wake_at(&self) -> Option<Millis> {
-        self.wake_time.into_iter().chain(self.active_watch().due()).reduce(f64::min)
+        self.wake_time.into_iter().chain(self.active_watch().due_at()).reduce(f64::min)
     }
 
     /// Returns the watch that is in use for this way of discovery.
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -29,7 +29,7 @@
                 self.ledger.open_parts -= usize::from(part.value.is_some());
             }
         }
-        let load = end.load.filter(|_| self.start_times.is_sure(&outstanding.run_store, now));
+        let load = end.load.filter(|_| self.start_times.is_warmth_known(&outstanding.run_store, now));
         self.pending_events.push(Event::AttemptEnded(AttemptEnded {
             part: outstanding.part,
             attempt: outstanding.attempt,
@@ -44,7 +44,7 @@
     pub fn probe_ended(&mut self, no: CallNo, ok: bool, load: Option<LoadReport>) {
         if let Some(run_store) = self.ledger.probes.remove(&no) {
             let load =
-                load.filter(|_| self.clock.is_none_or(|now| self.start_times.is_sure(&run_store, now)));
+                load.filter(|_| self.clock.is_none_or(|now| self.start_times.is_warmth_known(&run_store, now)));
             self.pending_events.push(Event::ProbeEnded { replica: run_store, ok, load });
         }
     }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -31,7 +31,7 @@
             self.run_action(now, action);
         }
         let watch = if self.lists_are_pushed() { &mut self.agent_watch } else { &mut self.service_watch };
-        if watch.begins(now) {
+        if watch.open_if_due(now) {
             self.commands.push_back(Command::Watch);
         }
     }
@@ -86,10 +86,10 @@
             // The service's watch schedules its own retry; the router's retry delays are for a service that
             // fails.
             DirectoryUpdate::Silent if !self.lists_are_pushed() => {
-                return self.service_watch.silent(draw(&mut self.random_state));
+                return self.service_watch.mark_silent(draw(&mut self.random_state));
             }
             DirectoryUpdate::Failed | DirectoryUpdate::Silent => {
-                self.agent_watch.broken();
+                self.agent_watch.mark_broken();
                 (&[][..], false)
             }
         };
@@ -133,13 +133,13 @@
     fn convert_start_times(&mut self, update: &mut DirectoryUpdate) {
         let whole = matches!(update, DirectoryUpdate::Full(_));
         let (lines, source) = match update {
-            DirectoryUpdate::Cached(lines) => (lines, StartSource::AtFirst),
+            DirectoryUpdate::Cached(lines) => (lines, StartSource::InitialList),
             DirectoryUpdate::Full(lines) | DirectoryUpdate::Changes(lines) => {
                 let first = !std::mem::replace(&mut self.list_received, true);
                 let source = if first && (whole || self.has_just_started()) {
-                    StartSource::AtFirst
+                    StartSource::InitialList
                 } else {
-                    StartSource::Since
+                    StartSource::Update
                 };
                 (lines, source)
             }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -9,7 +9,7 @@
 use crate::api::*;
 use crate::hash::{draw, hash, mix};
 use crate::{asking::ListRequests, cold, decaying_mean::DecayingMean, lag::StepLag, query_index::QueryIndex};
-use crate::{quota::Quotas, replica_index::ReplicaIndex, trim::lightest};
+use crate::{quota::Quotas, replica_index::ReplicaIndex, trim::parts_to_leave_out};
 
 mod indexes;
 mod state;
@@ -158,12 +158,12 @@
 
     /// Takes in all that happened by `now` and says what to do.
     pub fn step(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action> {
-        self.lag.note(self.wake, now, self.min_aim, self.forgive);
+        self.lag.record_step(self.wake, now, self.min_aim, self.forgive);
         self.now = now;
         if !self.indexed {
             self.index();
         }
-        self.replica_index.forget(now - self.forgive);
+        self.replica_index.expire_utilizations(now - self.forgive);
         for event in events {
             self.take(event);
         }
@@ -216,9 +216,9 @@
         let (ListUpdate::Full(lines) | ListUpdate::Cached(lines) | ListUpdate::Changes(lines)) = news else {
             let chance = draw(&mut self.rng);
             let limits = (self.settings.list_refresh_within, self.settings.routers);
-            return self.asking.failed(self.now, self.min_aim, limits, chance);
+            return self.asking.record_failure(self.now, self.min_aim, limits, chance);
         };
-        self.asking.told(by_service);
+        self.asking.record_list(by_service);
         if whole {
             self.replicas.values_mut().for_each(|replica| replica.line.state = ReplicaState::Gone);
         }
@@ -239,7 +239,7 @@
             }
             if !whole {
                 self.replica_index
-                    .change(before.as_ref(), self.replicas.get(&number).map(|s| s.facts()).as_ref());
+                    .update(before.as_ref(), self.replicas.get(&number).map(|s| s.facts()).as_ref());
             }
         }
         if whole {
@@ -247,7 +247,7 @@
         }
         for number in self.replica_index.gone() {
             if let Some(replica) = self.replicas.get(&number).filter(|s| s.in_flight == 0) {
-                self.replica_index.change(Some(&replica.facts()), None);
+                self.replica_index.update(Some(&replica.facts()), None);
                 self.replicas.remove(&number);
             }
         }
@@ -255,23 +255,23 @@
 
     fn take_query(&mut self, new: NewQuery) {
         let class = new.class.0.min(self.settings.classes.len() - 1);
-        self.measures.budget.note(self.settings.budget, self.now, false);
+        self.measures.budget.record(self.settings.budget, self.now, false);
         let mut worth = self.settings.classes[class].worth;
         let tenant = new.tenant.map_or(usize::MAX, |TenantIndex(tenant)| tenant);
-        if !self.measures.quota.take(tenant, &self.settings.tenants, self.settings.routers, self.now) {
+        if !self.measures.quota.charge(tenant, &self.settings.tenants, self.settings.routers, self.now) {
             worth *= self.settings.over_share_worth;
         }
         let NewQuery { id, number, deadline, arrived, .. } = new;
         self.numbers.insert(id.clone(), number);
         let accepted = arrived.min(self.now);
         let query = Query { id, class, accepted, deadline, worth, ..Query::default() };
-        self.query_index.comes(class, self.ends(number, &query));
+        self.query_index.insert_query(class, self.ends(number, &query));
         self.queries.insert(number, query);
         self.fresh.push(number);
     }
 
     fn take_part(&mut self, new: NewPart) {
-        self.measures.budget.note(self.settings.budget, self.now, false);
+        self.measures.budget.record(self.settings.budget, self.now, false);
         let Some(query) = self.queries.get_mut(&new.query) else { return };
         let hint = new.cost_hint.filter(|hint| *hint > 0.0);
         self.measures.hint = hint.map(|hint| blend(self.measures.hint, hint)).or(self.measures.hint);
@@ -283,7 +283,7 @@
         let NewPart { id, shard, weight, .. } = new;
         self.parts.insert(id.clone(), (new.query, query.parts.len()));
         self.waiting.insert((new.query, shard, query.parts.len()));
-        self.query_index.touch(new.query);
+        self.query_index.mark_changed(new.query);
         query.parts.push(Part { id, shard, weight, cost, key, ..Part::default() });
     }
 
@@ -295,14 +295,14 @@
         }
         self.record_end(&flight, outcome, latency, load);
         let Some(&(number, index)) = self.parts.get(&id) else { return };
-        self.query_index.answered(flight.class, flight.sent, (number, index));
-        self.query_index.unfollow(flight.replica, flight.sent, (id, attempt), (number, index));
-        self.query_index.touch(number);
+        self.query_index.remove_in_flight(flight.class, flight.sent, (number, index));
+        self.query_index.untrack_attempt(flight.replica, flight.sent, (id, attempt), (number, index));
+        self.query_index.mark_changed(number);
         let Some(query) = self.queries.get_mut(&number) else { return };
         if outcome == Outcome::Reset && query.resets.iter().all(|(replica, _)| *replica != flight.replica) {
             query.resets.push((flight.replica, flight.idle.is_none()));
             if flight.idle.is_none() {
-                self.query_index.reset(number);
+                self.query_index.mark_reset(number);
             }
         }
         let part = &mut query.parts[index];
@@ -342,11 +342,11 @@
         }
         if let (true, Some(idle)) = (dropped || outcome == Outcome::Completed, flight.idle) {
             if dropped {
-                self.measures.further.free();
+                self.measures.further.refund();
             }
-            self.measures.idle.note(idle, dropped, now, forgive);
+            self.measures.idle.record_send(idle, dropped, now, forgive);
         }
-        self.measures.traffic.worked(!outcome.never_ran());
+        self.measures.traffic.record_attempt_end(!outcome.never_ran());
         let known =
             self.replicas.get(&flight.replica).map_or(0.0, |replica| self.rate(replica, flight.class));
         let Some(replica) = self.replicas.get_mut(&flight.replica) else { return };
@@ -359,17 +359,17 @@
         (replica.load, replica.loaded) = load.map_or((replica.load, replica.loaded), |load| (load, now));
         let lost = !dropped && matches!(outcome, Outcome::Errored | Outcome::Reset | Outcome::TimedOut);
         if lost || outcome == Outcome::Completed {
-            replica.lost.note(f64::from(u8::from(lost)), SMOOTH, now, forgive);
+            replica.lost.record(f64::from(u8::from(lost)), SMOOTH, now, forgive);
         }
         if matches!(outcome, Outcome::Completed | Outcome::Cancelled) {
-            replica.pace.note(flight.ahead, latency.max(self.settings.tick), outcome == Outcome::Completed);
+            replica.pace.record(flight.ahead, latency.max(self.settings.tick), outcome == Outcome::Completed);
         }
         match outcome {
             Outcome::Completed => {
-                replica.dr = replica.dr.filter(|_| self.lag.back == now).or(Some(dr));
+                replica.dr = replica.dr.filter(|_| self.lag.stall_ended == now).or(Some(dr));
                 (replica.heard, replica.answered, replica.parked, replica.idle) = (now, now, None, None);
-                replica.failed[flight.class].note(0.0, TRUST_STEP, now, forget);
-                measures = self.lag.back < now;
+                replica.failed[flight.class].record(0.0, TRUST_STEP, now, forget);
+                measures = self.lag.stall_ended < now;
             }
             // A connection dropped while idle says nothing of its replica.
             Outcome::Reset if dropped => replica.used = None,
@@ -378,7 +378,7 @@
                 replica.answered = now;
                 // A connection that breaks ends many parts in one step, by one cause: it counts once.
                 if replica.failed[flight.class].1 < now {
-                    replica.failed[flight.class].note(1.0, TRUST_STEP, now, forget);
+                    replica.failed[flight.class].record(1.0, TRUST_STEP, now, forget);
                 }
             }
             // A replica that answered others meanwhile is slow, not gone: its rate says so.
@@ -386,15 +386,15 @@
                 replica.dr = Some(replica.dr.map_or(dr, |old| old.min(dr)));
                 replica.heard = now;
             }
-            Outcome::TimedOut if self.lag.back == now => {}
+            Outcome::TimedOut if self.lag.stall_ended == now => {}
             Outcome::TimedOut | Outcome::ConnectFailed => hung = true,
             // What was called back took at least so long: of a slow replica often the only sample.
-            Outcome::Cancelled if self.lag.back < now && dr < known => {
+            Outcome::Cancelled if self.lag.stall_ended < now && dr < known => {
                 (replica.dr, replica.heard) = (Some(dr), now);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
-        self.replica_index.change(Some(&before), Some(&replica.facts()));
+        self.replica_index.update(Some(&before), Some(&replica.facts()));
         if measures {
             self.measure(flight, latency);
         }
@@ -459,7 +459,7 @@
         let (cold, started) = (self.settings.cold?, replica.line.started?);
         let best = self.measures.best.unwrap_or(self.mean_rate(class));
         let traffic = (&self.measures.traffic, self.settings.routers);
-        cold::room(&cold, (started, self.now), replica.cold, best, traffic)
+        cold::allowance(&cold, (started, self.now), replica.cold, best, traffic)
     }
 
     /// How long a replica may be silent before a hang is the likely cause.
@@ -476,7 +476,7 @@
             let (density, parts) = (query.worth / per, query.parts.len());
             let usual = blend(self.measures.density, density);
             self.measures.density = Some(usual);
-            self.measures.traffic.asked(parts, SMOOTH_QUERIES);
+            self.measures.traffic.record_query(parts, SMOOTH_QUERIES);
             let factor = (density / usual.max(f64::MIN_POSITIVE)).sqrt().clamp(ADMIT_RANGE.0, ADMIT_RANGE.1);
             if let Some(why) = self.spare_laden(number, ADMIT_AT * factor.min(1.0)) {
                 self.end_query(number, false, why);
@@ -503,7 +503,7 @@
             } else if predicted > PRESSED_AT || many || self.busy().is_some() {
                 let weights: Vec<_> = query.parts.iter().map(|p| p.weight).collect();
                 let class = &self.settings.classes[class];
-                self.leave_out(number, lightest(&weights, class, predicted > PRESSED_AT));
+                self.leave_out(number, parts_to_leave_out(&weights, class, predicted > PRESSED_AT));
             }
         }
     }
@@ -512,14 +512,14 @@
         let Some(query) = self.queries.get_mut(&number) else { return };
         for index in parts {
             query.parts[index].left_out = true;
-            self.query_index.touch(number);
+            self.query_index.mark_changed(number);
             self.waiting.remove(&(number, query.parts[index].shard, index));
         }
     }
 
     /// Whether what this router has out at a replica takes a share of the aim, as far as it knows.
     fn laden(&self, replica: &ReplicaStats, class: usize, share: f64) -> bool {
-        replica.pace.is_laden(replica.out, self.settings.classes[class].aim * share)
+        replica.pace.is_saturated(replica.out, self.settings.classes[class].aim * share)
     }
 
     /// Leaves out parts that none could take, or only laden replicas; says why if too few remain for an
@@ -527,7 +527,7 @@
     fn spare_laden(&mut self, number: u64, share: f64) -> Option<Cause> {
         let query = self.queries.get(&number)?;
         // Before any list nothing is known to be missing.
-        self.replica_index.is_listed().then_some(())?;
+        self.replica_index.any_listed().then_some(())?;
         let (mut why, mut lost, mut out) = (Cause::PredictedLate, 0.0, Vec::new());
         for (at, part) in query.parts.iter().enumerate() {
             let mut pool = self.holders(part.shard);
@@ -573,7 +573,7 @@
 
     /// Whether the fleet has little room, by what replicas reported lately; `None` if none did: it may have.
     fn busy(&self) -> Option<bool> {
-        let (busy, told) = self.replica_index.busy();
+        let (busy, told) = self.replica_index.utilization();
         (told > 0).then_some(busy >= BUSY_AT * told as f64)
     }
 
@@ -601,12 +601,12 @@
 
     fn place(&mut self) {
         self.measures.mean = self.replica_index.mean_rate();
-        self.measures.traffic.told(self.now, self.settings.cold, self.replica_index.reports());
+        self.measures.traffic.update(self.now, self.settings.cold, self.replica_index.load_reports());
         let since = self.now - self.forgive;
         let before = self.now - self.measures.usual.unwrap_or(0.0) * DEAD_AFTER_USUAL;
         let dead =
             |(number, at): &(ReplicaNo, Millis)| self.replicas.get(number).is_some_and(|s| s.heard < *at);
-        let died = self.replica_index.died(since, before).filter(dead).count();
+        let died = self.replica_index.died_between(since, before).filter(dead).count();
         if died as f64 > SHARED_CAUSE * self.replicas.len() as f64 {
             self.wary = self.now + self.min_aim * WARY_AIMS;
         }
@@ -616,7 +616,7 @@
             // A query that may kill what takes it risks one replica until a part of it has completed.
             let risky = query.share == 0.0 && (self.now < self.wary || query.resets.len() >= POISON);
             let held = (risky && query.parts.iter().any(|p| p.out.is_some()))
-                || (part.attempts > 0 && !self.measures.budget.allows(self.settings.budget, self.now));
+                || (part.attempts > 0 && !self.measures.budget.allows_retry(self.settings.budget, self.now));
             if held || !self.may_send(part, query.class) {
                 continue;
             }
@@ -726,7 +726,7 @@
         replica.in_flight += 1;
         replica.call = (self.now, if replica.call.0 == self.now { replica.call.1 + 1 } else { 1 });
         replica.cold = (room.map_or(0.0, |(room, _)| room - part.cost), self.now);
-        self.replica_index.change(Some(&before), Some(&replica.facts()));
+        self.replica_index.update(Some(&before), Some(&replica.facts()));
         let (class, sent, cost, idle, ahead) = (query.class, self.now, part.cost, replica.idle, replica.out);
         let load_then = self.load_out;
         let flight =
@@ -734,13 +734,13 @@
         self.load_out += cost;
         let timeout = (until - self.now).max(self.settings.tick);
         let (reason, part, replica_id) = (part.reason, part.id.clone(), replica.line.id.clone());
-        self.query_index.sent(class, sent, (number, index));
-        self.query_index.follow(to, sent, (part.clone(), attempt), None);
+        self.query_index.insert_in_flight(class, sent, (number, index));
+        self.query_index.track_attempt(to, sent, (part.clone(), attempt), None);
         self.in_flight.insert((part.clone(), attempt), flight);
         self.actions.push(Action::Send { part, replica: replica_id, timeout, reason, choice });
         if again {
             self.measures.further.spend(self.settings.routers);
-            self.measures.budget.note(self.settings.budget, self.now, true);
+            self.measures.budget.record(self.settings.budget, self.now, true);
         }
     }
 
@@ -750,7 +750,7 @@
             flight.cancelled = Some(reason);
             self.load_out = (self.load_out - flight.cost).max(0.0);
             if let Some(place) = self.parts.get(id) {
-                self.query_index.unfollow(flight.replica, flight.sent, (id.clone(), attempt), *place);
+                self.query_index.untrack_attempt(flight.replica, flight.sent, (id.clone(), attempt), *place);
             }
             self.actions.push(Action::Cancel { part: id.clone(), attempt, reason });
         }
@@ -769,7 +769,7 @@
             self.look_after_query(number, step);
             // One that is slow may be the sign by which the next ones end at their aims.
             if self.ends_at_aim(class) && !std::mem::replace(&mut cut[class], true) {
-                due.extend(self.query_index.aims(class, self.now + step).filter(|next| *next > number));
+                due.extend(self.query_index.past_aim(class, self.now + step).filter(|next| *next > number));
             }
         }
     }
@@ -780,7 +780,7 @@
         let class = &self.settings.classes[query.class];
         let enough = query.share > 0.0 && query.share >= class.least_share;
         // What is given at the aim itself reaches its client late, and earns next to nothing.
-        let lag = self.lag.of_an_answer(self.now, class.aim, self.forgive);
+        let lag = self.lag.answer_margin(self.now, class.aim, self.forgive);
         let moment = (query.accepted + class.aim).min(query.deadline) - step * 2.0 - lag;
         let late = self.now + step >= self.useful_until(query);
         let all = query.share > 0.0 && query.parts.iter().all(|p| p.done);
@@ -818,7 +818,7 @@
 
     fn why_missing(&self, part: &Part) -> Cause {
         let holders = self.holders(part.shard);
-        match self.replica_index.is_listed() {
+        match self.replica_index.any_listed() {
             false => Cause::NoList,
             _ if holders.is_empty() => Cause::NoHolder(part.shard),
             _ if holders.iter().all(|s| s.line.state == ReplicaState::Draining) => Cause::Drained(part.shard),
@@ -838,15 +838,15 @@
             let Some(flight) = self.in_flight.get_mut(&(id.clone(), attempt)).filter(lost) else { continue };
             // It counts once, also where it stays out.
             flight.overtaken = 0;
-            self.query_index.unfollow(replica, sent, (id.clone(), attempt), (number, index));
-            self.query_index.follow(replica, sent, (id.clone(), attempt), None);
+            self.query_index.untrack_attempt(replica, sent, (id.clone(), attempt), (number, index));
+            self.query_index.track_attempt(replica, sent, (id.clone(), attempt), None);
             if let Some(replica) = self.replicas.get_mut(&replica) {
-                replica.failed[class].note(1.0, TRUST_STEP, now, forget);
-                replica.lost.note(1.0, SMOOTH, now, forgive);
+                replica.failed[class].record(1.0, TRUST_STEP, now, forget);
+                replica.lost.record(1.0, SMOOTH, now, forgive);
             }
             let safe = self.settings.classes[class].repeat != RepeatPolicy::Unsafe;
             if safe && attempts < self.settings.max_attempts {
-                self.measures.further.free();
+                self.measures.further.refund();
                 self.cancel(&id, attempt, AttemptReason::Overtaken);
             }
         }
@@ -864,7 +864,7 @@
         let safe = self.settings.classes[class].repeat != RepeatPolicy::Unsafe;
         for (index, id, (attempt, replica), sent, attempts) in query.out_since(since) {
             let Some(known) = self.replicas.get(&replica).filter(|s| s.answered < sent) else {
-                self.query_index.answered(class, sent, (number, index));
+                self.query_index.remove_in_flight(class, sent, (number, index));
                 continue;
             };
             let Some(flight) = self.in_flight.get(&(id.clone(), attempt)) else { continue };
@@ -873,14 +873,14 @@
                 s.number != replica && s.parked.is_none() && s.line.state == ReplicaState::Active
             };
             let alone = !self.holders(self.queries[&number].parts[index].shard).into_iter().any(other);
-            let usual = known.pace.takes(flight.ahead) * SUSPECT_OF_USUAL;
-            if self.lag.back > since || (alone && self.now - sent < usual) {
+            let usual = known.pace.time_for(flight.ahead) * SUSPECT_OF_USUAL;
+            if self.lag.stall_ended > since || (alone && self.now - sent < usual) {
                 continue;
             }
             let again = safe && attempts < self.settings.max_attempts;
             // Silence on an idle connection is not the replica's only where resets say that such are dropped.
             let idle = flight.cancelled.is_none() && flight.idle.is_some();
-            let dropped = idle && self.measures.idle.drops(self.now, self.forgive);
+            let dropped = idle && self.measures.idle.drops_detected(self.now, self.forgive);
             let parked = !dropped && self.park(replica, false);
             if again && (dropped || (parked && !none && self.measures.further.allows())) {
                 let reason = if dropped { AttemptReason::Dropped } else { AttemptReason::Silent };
@@ -902,7 +902,7 @@
 
     fn answer(&mut self, number: u64, whole: bool) {
         let Some(query) = self.queries.get_mut(&number) else { return };
-        self.measures.advice.note(false, self.now, self.forgive);
+        self.measures.advice.record(false, self.now, self.forgive);
         let two_steps = self.settings.classes[query.class].second_step_parts > 0;
         let whole = whole && query.second.unwrap_or(true);
         self.actions.push(Action::Answer { query: query.id.clone(), whole });
@@ -911,7 +911,7 @@
             let (class, parts) = (query.class, std::mem::take(&mut query.parts));
             self.drop_parts(number, class, parts);
             self.note_enough(number);
-            self.query_index.touch(number);
+            self.query_index.mark_changed(number);
         } else {
             self.drop_query(number);
         }
@@ -923,9 +923,10 @@
         let class = &self.settings.classes[query.class];
         let ran = query.parts.iter().any(|p| p.may_have_run.is_some() || p.out.is_some() || p.done);
         let id = query.id.clone();
-        self.measures.advice.note(true, self.now, self.forgive);
+        self.measures.advice.record(true, self.now, self.forgive);
         let (faded, chance) = ((self.now, self.forgive), draw(&mut self.rng));
-        let retry_after = self.measures.advice.wait(class.aim, self.settings.max_retry_after, faded, chance);
+        let retry_after =
+            self.measures.advice.retry_after(class.aim, self.settings.max_retry_after, faded, chance);
         let safe = class.repeat == RepeatPolicy::Safe;
         self.actions.push(if (ran && !safe) || query.second.is_some() || (late && ran) {
             // Only what is safe to repeat is asked back.
@@ -939,7 +940,7 @@
     fn drop_query(&mut self, number: u64) {
         if let Some(query) = self.queries.remove(&number) {
             self.numbers.remove(&query.id);
-            self.query_index.goes(query.class, self.ends(number, &query));
+            self.query_index.remove_query(query.class, self.ends(number, &query));
             self.drop_parts(number, query.class, query.parts);
         }
     }
@@ -949,9 +950,9 @@
             self.waiting.remove(&(number, part.shard, index));
             self.parts.remove(&part.id);
             if let Some((attempt, replica)) = part.out {
-                self.query_index.answered(class, part.last_sent, (number, index));
+                self.query_index.remove_in_flight(class, part.last_sent, (number, index));
                 let key = (part.id.clone(), attempt);
-                self.query_index.unfollow(replica, part.last_sent, key, (number, index));
+                self.query_index.untrack_attempt(replica, part.last_sent, key, (number, index));
                 self.cancel(&part.id, attempt, AttemptReason::Over);
             }
         }
@@ -959,12 +960,12 @@
 
     fn look_after_replicas(&mut self) {
         let now = self.now;
-        if self.measures.idle.drops(self.now, self.forgive) {
-            let idle = self.replica_index.idle(now, self.measures.idle.limit);
+        if self.measures.idle.drops_detected(self.now, self.forgive) {
+            let idle = self.replica_index.idle_longer_than(now, self.measures.idle.limit);
             idle.into_iter().for_each(|number| self.let_go(number));
         }
         let (next, probes) = (now + self.min_aim * PROBE_OF_AIM, self.settings.probes);
-        for number in self.replica_index.to_probe(now) {
+        for number in self.replica_index.probes_due(now) {
             let replica_id = self.change(number, |replica| {
                 replica.probe_at = next;
                 replica.parked = replica.parked.filter(|_| probes);
@@ -972,7 +973,7 @@
             });
             self.actions.extend(replica_id.filter(|_| probes).map(|id| Action::Probe { replica: id }));
         }
-        if self.settings.discovery == Discovery::Asked && self.asking.is_due(now, self.min_aim) {
+        if self.settings.discovery == Discovery::Asked && self.asking.start_if_due(now, self.min_aim) {
             self.actions.push(Action::Subscribe);
         }
     }
--- a/src/directory/watch.rs
+++ b/src/directory/watch.rs
@@ -11,7 +11,7 @@
 
 use super::{Reload, ReloadTarget};
 use crate::api::Millis;
-use crate::asking::{CALL, SILENT_AFTER, WAIT};
+use crate::asking::{CALL_TIMEOUT, WATCH_GRACE, WATCH_WAIT};
 use crate::config::Config;
 use crate::core::drive::{Directory, Driver};
 use crate::core::DirectoryUpdate;
@@ -112,7 +112,7 @@
         let answer = match self.index.get() {
             None => whole_list(address, open).await,
             Some(index) => {
-                let changes = within(ms(WAIT + SILENT_AFTER), changes(address, open, index)).await;
+                let changes = within(ms(WATCH_WAIT + WATCH_GRACE), changes(address, open, index)).await;
                 let timed_out = changes.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::TimedOut);
                 self.unanswered.set(timed_out);
                 changes
@@ -141,7 +141,7 @@
 async fn changes(address: SocketAddr, open: Option<Client>, index: u64) -> io::Result<ResponseAndClient> {
     let started = Instant::now();
     let open = connect_unless_open(address, open).await?;
-    let wait = ms(WAIT).saturating_sub(started.elapsed()).as_millis();
+    let wait = ms(WATCH_WAIT).saturating_sub(started.elapsed()).as_millis();
     get(address, open, &format!("/v1/servers?after={index}&wait_ms={wait}")).await
 }
 
@@ -151,14 +151,14 @@
     let call =
         |open| async move { get(address, connect_unless_open(address, open).await?, "/v1/servers").await };
     let second_call = async {
-        Timer::after(ms(CALL)).await;
+        Timer::after(ms(CALL_TIMEOUT)).await;
         match call(None).await {
             Ok(response) => Ok(response),
             // The first call may still be answered.
             Err(_) => future::pending().await,
         }
     };
-    within(ms(CALL + CALL), future::or(call(open), second_call)).await
+    within(ms(CALL_TIMEOUT + CALL_TIMEOUT), future::or(call(open), second_call)).await
 }
 
 /// Returns the open connection, or connects if there is none.
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -3,7 +3,7 @@
 pub mod opensearch;
 pub mod platform;
 
-use crate::asking::TOLD_WITHIN;
+use crate::asking::MAX_LIST_DELAY;
 use crate::core::drive::Driver;
 use crate::http::client_gate::ClientGate;
 use crate::http::parse::Headers;
@@ -38,7 +38,7 @@
 fn health(client_gate: &ClientGate, driver: &Driver) -> Response {
     if !client_gate.accepts_clients() {
         Response::text(503, "draining")
-    } else if driver.run_stores() == 0 && driver.age() < TOLD_WITHIN {
+    } else if driver.run_stores() == 0 && driver.age() < MAX_LIST_DELAY {
         Response::text(503, "no run store is listed yet")
     } else {
         Response::text(200, "ready")
