--- a/src/api.rs
+++ b/src/api.rs
@@ -1,14 +1,13 @@
-//! The interface of the router: settings at start-up, events in, actions out.
+//! The interface of the router: its settings, the events that it takes in and the actions that it returns.
 //!
-//! Plain data. All times are milliseconds of the caller's clock, which only
-//! has to run forward.
+//! All types are plain data. All times are milliseconds on the caller's clock, which must be monotonic.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds, as a point on the caller's clock or a span of it.
+/// A point in time on the caller's clock or a duration, in milliseconds.
 pub type Millis = f64;
 
 macro_rules! text_id {
@@ -26,55 +25,56 @@
 }
 
 text_id!(
-    /// A query, unique over the life of a router.
+    /// Identifies a query. It is unique over the lifetime of a router.
     QueryId
 );
 text_id!(
-    /// A part of a query, unique over the life of a router.
+    /// Identifies a part of a query. It is unique over the lifetime of a router.
     PartId
 );
 text_id!(
-    /// A replica; the same text names the same process place at all times.
+    /// Identifies a replica. It stays the same when the replica restarts.
     ReplicaId
 );
 
-/// A shard of the store.
+/// The number of a shard.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Shard(pub u32);
 
-/// A query class, by its place in [`Settings::classes`].
+/// A query class, as an index into [`Settings::classes`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClassIndex(pub usize);
 
-/// A tenant, by its place in [`Settings::tenants`].
+/// A tenant, as an index into [`Settings::tenants`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TenantIndex(pub usize);
 
-/// The number of an attempt of one part: 0, 1, 2 in the order of the sends.
+/// The number of an attempt at a part, counted from 0 in the order of the sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt(pub u32);
 
-/// May a part be sent again?
+/// Says whether a part may be sent again after an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum RepeatPolicy {
-    /// Running it twice does no harm.
+    /// The part is idempotent and may always be sent again.
     Safe,
-    /// Replicas drop repeats for this long after the first send that may have run.
+    /// Replicas drop duplicates by an idempotency key, so the part may be sent again within a window that
+    /// starts with the first send that may have run.
     Keyed {
-        /// The time in which repeats are dropped.
+        /// The time for which replicas drop duplicates.
         window: Millis,
     },
-    /// It must not run twice.
+    /// The part is not idempotent and must not run twice.
     Unsafe,
 }
 
 impl RepeatPolicy {
-    /// Whether a part may be sent now, the first send of which that may have run was at some time, if there was one.
+    /// Returns whether a part may be sent at `now`, given the time of its first send that may have run.
     pub fn allows(self, may_have_run: Option<Millis>, now: Millis) -> bool {
         now <= self.allowed_until(may_have_run)
     }
 
-    /// Until when such a part may be sent.
+    /// Returns the latest time at which a part may be sent, given its first send that may have run.
     pub fn allowed_until(self, may_have_run: Option<Millis>) -> Millis {
         match (self, may_have_run) {
             (RepeatPolicy::Safe, _) | (_, None) => Millis::INFINITY,
@@ -84,142 +84,145 @@
     }
 }
 
-/// What is known of a query class.
+/// The properties of a query class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// An answer within this time earns its full worth.
+    /// The latency target: an answer within this time earns the full worth.
     pub aim: Millis,
-    /// Whether its parts may be repeated.
+    /// Whether its parts may be sent again.
     pub repeat: RepeatPolicy,
-    /// The worth of a whole answer in time.
+    /// The worth of a whole answer within the aim.
     pub worth: f64,
-    /// The share of the worth that an answer after the aim still earns.
+    /// The share of the worth that an answer still earns after the aim.
     pub late_worth: f64,
-    /// The least share of the parts' weight that an answer may rest on.
+    /// The minimum share of the parts' total weight that an answer may be built from.
     pub least_share: f64,
-    /// The share of the first step's weight that makes an answer whole.
+    /// The share of the first step's weight from which an answer counts as whole.
     pub whole_from: f64,
-    /// What an answer that is not whole earns, times its share.
+    /// The worth of a partial answer, to be multiplied by the share of the weight that it covers.
     #[serde(rename = "partial_earns")]
     pub partial_worth: f64,
-    /// The number of parts of a second step; 0 if the class has one step.
+    /// The number of parts in a query's second step; 0 if the class has only one step.
     #[serde(rename = "second_step")]
     pub second_step_parts: u32,
 }
 
-/// A tenant and what it may ask for.
+/// The limits of a tenant.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Queries a second inside its share, over all routers together.
+    /// The tenant's quota in queries per second, summed over all routers.
     pub quota_per_s: f64,
 }
 
-/// How changes to the list of replicas reach the router.
+/// How the list of replicas reaches the router.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Discovery {
-    /// They come unasked.
+    /// Updates arrive without a request.
     #[default]
     Pushed,
-    /// They come after a subscription or a request for the list.
+    /// Updates arrive only after a request for the list or a subscription to it.
     Asked,
 }
 
-/// What a cold replica can bear.
+/// The capacity of a replica while it warms up after its start.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ColdStartRule {
-    /// It starts at this share of its capacity or more.
+    /// The minimum share of its full capacity that a replica has when it starts.
     #[serde(rename = "from")]
     pub initial_share: f64,
-    /// It has all of its capacity after this time at the latest.
+    /// The maximum time from its start until it has its full capacity.
     pub warm_within: Millis,
-    /// Sent more than this many times its present capacity ...
+    /// The load, as a multiple of its current capacity, above which it fails if the load lasts.
     #[serde(rename = "multiple")]
     pub overload_multiple: f64,
-    /// ... for this long, it fails.
+    /// How long a load above `overload_multiple` must last for the replica to fail.
     #[serde(rename = "window")]
     pub overload_window: Millis,
 }
 
-/// A stated limit on attempts past the first of each part.
+/// A configured limit on retries, which are attempts after the first of a part.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct AttemptBudget {
-    /// Attempts that are always allowed in a window.
+    /// The number of retries allowed in every window.
     #[serde(rename = "free")]
     pub base_attempts: f64,
-    /// Attempts allowed per query or part accepted in the window.
+    /// The number of further retries allowed for each query or part accepted in the window.
     pub ratio: f64,
-    /// The length of the window.
+    /// The length of the sliding window.
     pub window: Millis,
 }
 
-/// What a router is told at its start. The default is a start for filling in and does not pass [`Settings::check`].
+/// The settings of a router.
+///
+/// The default value is only a base for struct update syntax: it does not pass [`Settings::check`].
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// The classes of query; at least one.
+    /// The query classes; at least one.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// The tenants. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a query beyond its tenant's share, as a part of its worth.
+    /// The factor applied to the worth of a query that exceeds its tenant's quota.
     pub over_share_worth: f64,
-    /// The number of routers in front of the same replicas, this one included.
+    /// The number of routers that share the same replicas, including this one.
     pub routers: u32,
-    /// The number of cells that the shards are laid out over; at least one.
+    /// The number of cells that the shards are distributed over; at least one.
     pub cells: u32,
-    /// How many cells in a row hold a shard; at least one.
+    /// The number of consecutive cells that hold each shard; at least one.
     #[serde(rename = "width")]
     pub cells_per_shard: u32,
-    /// The most parts that share one call.
+    /// The maximum number of parts in one call.
     #[serde(rename = "call_parts")]
     pub max_parts_per_call: u32,
-    /// The work of a call beside that of its parts, as time on a replica.
+    /// The replica time that a call costs in addition to the work of its parts.
     pub call_overhead: Millis,
-    /// Whether replicas serve keys that they met lately with less work.
+    /// Whether a replica serves recently used keys with less work, because it caches them.
     pub warm_keys: bool,
-    /// Whether worth counts by work instead of by query.
+    /// Whether worth is given per unit of work instead of per query.
     pub worth_by_work: bool,
-    /// The most attempts for one part; at least one.
+    /// The maximum number of attempts per part; at least one.
     pub max_attempts: u32,
-    /// Whether attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// Whether a part may have two attempts out at once.
+    /// Whether a part may have two attempts in flight at once.
     #[serde(rename = "parallel_tries")]
     pub parallel_attempts: bool,
-    /// How long an idle connection is kept open by itself; `None` if the router is not to close any earlier.
+    /// How long idle connections are kept open. With `None`, the router does not detect idle connections that
+    /// are dropped on the path, and closes none early.
     pub keep_alive: Option<Millis>,
-    /// Whether replicas may be probed.
+    /// Whether parked replicas are probed.
     pub probes: bool,
-    /// The longest advice to stay away that clients heed; 0 for none.
+    /// The longest retry-after advice that clients respect; 0 if they respect none.
     pub max_retry_after: Millis,
-    /// How the list of replicas is learned.
+    /// How the list of replicas reaches the router.
     pub discovery: Discovery,
-    /// Where it must be asked for: it is asked for, or watched, at least once in so long.
+    /// With [`Discovery::Asked`], the maximum time between two requests for the list.
     #[serde(rename = "ask_within")]
     pub list_refresh_within: Millis,
-    /// What cold replicas can bear, if a rule protects them.
+    /// The capacity of replicas that warm up, if their load is to be limited.
     pub cold: Option<ColdStartRule>,
-    /// The attempt budget, if one is stated.
+    /// The limit on retries, if one is configured.
     pub budget: Option<AttemptBudget>,
-    /// Steps come at most this often.
+    /// The minimum time between two steps.
     pub tick: Millis,
-    /// The zone of this router.
+    /// The zone of this router, whose replicas it prefers.
     pub zone: Arc<str>,
 }
 
 impl Settings {
-    /// Whether the settings make sense together.
+    /// Checks that the settings are consistent.
     ///
     /// # Errors
-    /// Says which setting contradicts itself.
+    /// Returns a text that names the invalid settings.
     pub fn check(&self) -> Result<(), String> {
         let positive = |x: Millis| x.is_finite() && x > 0.0;
         let problem = if self.classes.is_empty() {
-            "there are no classes"
+            "no classes are defined"
         } else if self.cells == 0 || self.cells_per_shard == 0 || self.cells_per_shard > self.cells {
             "cells and width must be at least 1, and width at most cells"
         } else if self.routers == 0 || self.max_attempts == 0 || self.max_parts_per_call == 0 {
-            "routers, attempts and parts of a call must be at least 1"
+            "the numbers of routers, attempts and parts per call must be at least 1"
         } else if !positive(self.tick) || self.classes.iter().any(|c| !positive(c.aim)) {
-            "tick and every aim must be above 0"
+            "tick and every aim must be greater than 0"
         } else {
             return Ok(());
         };
@@ -227,205 +230,205 @@
     }
 }
 
-/// The standing of a replica in the list.
+/// The state of a replica in the list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaState {
-    /// It takes new parts.
+    /// The replica accepts new parts.
     #[default]
     Active,
-    /// It completes its work; nothing new may be sent.
+    /// The replica completes the parts that it has and must not be sent new ones.
     Draining,
-    /// It is no longer there.
+    /// The replica has been removed from the list.
     Gone,
 }
 
-/// A line of the list of replicas.
+/// An entry of the list of replicas.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Its name.
+    /// Its identifier.
     pub id: ReplicaId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: Arc<str>,
-    /// The cell that tells which shards it holds.
+    /// Its cell, which determines the shards that it holds.
     pub cell: u32,
     /// Its state.
     pub state: ReplicaState,
-    /// Its size against that of other replicas.
+    /// Its size relative to the other replicas.
     pub weight: f64,
-    /// When it last started; `None` if long ago.
+    /// When it last started; `None` if that is long ago.
     pub started: Option<Millis>,
 }
 
-/// News of the list of replicas.
+/// An update to the list of replicas.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ListUpdate {
-    /// The list as the router last had it, maybe old; comes at the start.
+    /// The last known list, possibly out of date. It is delivered when the router starts.
     Cached(Vec<Replica>),
-    /// The whole list: who is not in it is gone.
+    /// The complete list: replicas that are not in it are gone.
     Full(Vec<Replica>),
-    /// The lines that changed.
+    /// The entries that changed.
     Changes(Vec<Replica>),
-    /// A request or the subscription failed; the old list stands.
+    /// A request for the list or the subscription failed; the previous list remains valid.
     Failed,
 }
 
-/// How busy a replica said it is; each value only where the site reports it.
+/// The load that a replica reported. A value is `None` where the replicas don't report it.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Parts waiting.
+    /// The number of queued parts.
     pub queue: Option<f64>,
-    /// Parts in hand, waiting or in work.
+    /// The number of parts in flight, whether queued or running.
     pub in_flight: Option<f64>,
-    /// The busy share of its cores.
+    /// The utilization of its cores, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Parts served a second.
+    /// The throughput in parts per second.
     pub throughput: Option<f64>,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served.
+    /// The replica answered.
     Completed,
     /// The replica returned an error; the part may have run.
     Errored,
-    /// Turned away unseen.
+    /// The replica rejected the part without running it.
     Rejected,
-    /// No answer in time; it may have run or may still run.
+    /// No answer arrived within the timeout; the part may have run or may still run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established, so the part did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the part may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The router cancelled the attempt; the part may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the part never ran.
+    /// Returns whether this outcome proves that the part did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// A query that the router has taken.
+/// A query that arrived.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NewQuery {
-    /// Its id.
+    /// Its identifier.
     pub id: QueryId,
-    /// The number that its parts carry too.
+    /// Its number, which its parts carry in [`NewPart::query`].
     pub number: u64,
     /// Its class.
     pub class: ClassIndex,
     /// Its tenant, if it has one.
     pub tenant: Option<TenantIndex>,
-    /// What it is about, where queries carry keys.
+    /// The key of the data that it concerns, if queries carry keys.
     pub key: Option<Arc<str>>,
-    /// When it came in; a step may follow some time later.
+    /// When it arrived, which may be earlier than the step that takes it in.
     pub arrived: Millis,
-    /// When its client gives up.
+    /// When its client stops waiting.
     pub deadline: Millis,
-    /// The number of parts of its first step.
+    /// The number of parts in its first step.
     pub parts: u32,
-    /// Whether the client marked it as a repeat.
+    /// Whether the client marked it as a retry.
     pub client_retry: bool,
 }
 
 /// A part of a query.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NewPart {
-    /// Its id.
+    /// Its identifier.
     pub id: PartId,
     /// The number of its query.
     pub query: u64,
     /// The shard that it reads or writes.
     pub shard: Shard,
-    /// Its share of the answer; those of a step add up to 1.
+    /// Its share of the answer; the weights of a step's parts add up to 1.
     pub weight: f64,
-    /// Its expected work, where known.
+    /// Its expected work, if known.
     pub cost_hint: Option<Millis>,
-    /// What it is about, where parts carry keys.
+    /// The key of the data that it concerns, if parts carry keys.
     pub key: Option<Arc<str>>,
 }
 
-/// The end of an attempt.
+/// Reports that an attempt ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptEnded {
     /// The part.
     pub part: PartId,
     /// The attempt.
     pub attempt: Attempt,
-    /// The replica that it went to.
+    /// The replica that it was sent to.
     pub replica: ReplicaId,
     /// How it ended.
     pub outcome: Outcome,
-    /// The time since it was sent.
+    /// The time from its send to its end.
     pub latency: Millis,
-    /// The replica's load report, if one came along.
+    /// The replica's load report, if the response carried one.
     pub load: Option<LoadReport>,
 }
 
-/// Something that happened.
+/// An event that the router takes in.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The list of replicas, or that it could not be had.
+    /// The list of replicas changed, or could not be fetched.
     List(ListUpdate),
-    /// A query; its parts follow in the same step.
+    /// A query arrived. The parts of its first step follow in the same call of the router's `step`.
     Query(NewQuery),
-    /// A part of a query held.
+    /// A part of an open query arrived.
     Part(NewPart),
-    /// An attempt ended. Every [`Action::Send`] gets exactly one.
+    /// An attempt ended. Every [`Action::Send`] is followed by exactly one such event.
     AttemptEnded(AttemptEnded),
     /// A probe ended.
     ProbeEnded {
         /// The replica.
         replica: ReplicaId,
-        /// Whether it answered.
+        /// Whether the replica answered.
         ok: bool,
-        /// The replica's load report, if one came along.
+        /// The replica's load report, if the response carried one.
         load: Option<LoadReport>,
     },
-    /// The client has left; nothing is owed to it.
+    /// The client disconnected, so the query needs no answer.
     ClientGone(QueryId),
-    /// A time asked for by [`Action::WakeAt`] has come.
+    /// The time requested by [`Action::WakeAt`] has come.
     Wake,
 }
 
 /// Why a query was refused or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Cause {
-    /// No run store is listed, as none was told of yet or all are gone.
+    /// No run store is listed, because no list has arrived yet or all run stores are gone.
     NoList,
     /// No listed run store holds this shard.
     NoHolder(Shard),
-    /// All that hold this shard drain, as told or by hand.
+    /// All run stores that hold this shard are draining, by discovery or by an operator.
     Drained(Shard),
-    /// All that hold this shard are parked: they fell silent.
+    /// All run stores that hold this shard are parked because they stopped answering.
     AllParked(Shard),
-    /// The fleet is pressed and the query is beyond its tenant's share.
+    /// The run stores are overloaded and the query exceeds its tenant's quota.
     BeyondShare,
-    /// The fleet is pressed and the answer would come too late.
+    /// The run stores are overloaded and the answer is predicted to be too late.
     PredictedLate,
-    /// Too little had come in when its time was up.
+    /// Too few parts had completed when the query's time ran out.
     TimeUp,
-    /// A part of this shard failed, may have run, and must not run twice.
+    /// The part of this shard failed, may have run, and must not run twice.
     MayHaveRun(Shard),
-    /// A part of this shard failed in as many attempts as there may be.
+    /// The part of this shard failed in all its attempts.
     AttemptsSpent(Shard),
-    /// The replicas that took it died of it.
+    /// The replicas that it was sent to reset their connections, so it probably crashed them.
     Poison,
-    /// As much is held as may be.
+    /// The aggregator holds the maximum number of open queries.
     MaxOpen,
-    /// The client's time was up while it was still held.
+    /// The client's deadline passed while the query was still open.
     Overdue,
-    /// An answer was meant that the class's least share, or the client, does not allow.
+    /// The answer would cover less than the class's minimum share, or less than the client accepts.
     TooLittle,
 }
 
 impl Cause {
-    /// Its code, in logs, figures and traces.
+    /// Returns the code that stands for the cause in logs, metrics and traces.
     pub fn code(self) -> &'static str {
         match self {
             Cause::NoList => "no_list",
@@ -452,119 +455,119 @@
             Cause::NoHolder(Shard(no)) => write!(f, "no listed run store holds shard {no}"),
             Cause::Drained(Shard(no)) => write!(f, "all run stores that hold shard {no} are being drained"),
             Cause::AllParked(Shard(no)) => {
-                write!(f, "all run stores that hold shard {no} have fallen silent")
+                write!(f, "all run stores that hold shard {no} have stopped answering")
             }
             Cause::BeyondShare => write!(f, "the run stores are busy and the group is beyond its share"),
             Cause::PredictedLate => write!(f, "the run stores are busy and the answer would come too late"),
-            Cause::TimeUp => write!(f, "too few parts had come in when its time was up"),
+            Cause::TimeUp => write!(f, "too few parts had completed when its time ran out"),
             Cause::MayHaveRun(Shard(no)) => {
                 write!(f, "the part of shard {no} failed, may have run, and must not run twice")
             }
             Cause::AttemptsSpent(Shard(no)) => write!(f, "the part of shard {no} failed in all its attempts"),
-            Cause::Poison => write!(f, "the run stores that took it broke off"),
-            Cause::MaxOpen => write!(f, "the aggregator holds as many queries as it may"),
-            Cause::Overdue => write!(f, "its time was up"),
-            Cause::TooLittle => write!(f, "what had come in is too little for an answer"),
+            Cause::Poison => write!(f, "the run stores that it was sent to broke their connections"),
+            Cause::MaxOpen => write!(f, "the aggregator holds the maximum number of open queries"),
+            Cause::Overdue => write!(f, "its deadline passed"),
+            Cause::TooLittle => write!(f, "the completed parts are too few for an answer"),
         }
     }
 }
 
-/// Why an attempt is made, or was called back.
+/// Why an attempt is made, or why it was cancelled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AttemptReason {
-    /// It is the first of its part.
+    /// It is the first attempt of its part.
     #[default]
     First,
-    /// The last one ended so.
+    /// The previous attempt ended with this outcome.
     After(Outcome),
-    /// The replica of the last one was silent for too long.
+    /// The replica of the previous attempt did not answer anything for too long.
     Silent,
-    /// The replica of the last one answered several later parts first, so that this one is lost.
+    /// The replica of the previous attempt answered several later parts first, so the attempt counts as lost.
     Overtaken,
-    /// The last one went on an idle connection of those that are dropped unseen.
+    /// The previous attempt used an idle connection that was probably dropped on the path without notice.
     Dropped,
-    /// Its query is over.
+    /// Its query has ended.
     Over,
 }
 
 /// Why a part goes to a replica.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ReplicaChoice {
-    /// It would finish first there.
+    /// The part is predicted to finish there first.
     #[default]
     #[serde(rename = "Least")]
     LeastFinish,
-    /// No other that holds its shard takes parts now.
+    /// No other holder of its shard accepts parts now.
     #[serde(rename = "Only")]
     OnlyCandidate,
-    /// All that hold its shard are parked, and this one is rated best.
+    /// All holders of its shard are parked, and this one has the best rating.
     BestParked,
 }
 
-/// Something to do, in the order given.
+/// Something that the caller must do. Actions are carried out in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Start an attempt of a part.
+    /// Start an attempt at a part.
     Send {
         /// The part.
         part: PartId,
         /// The replica, which holds the part's shard.
         replica: ReplicaId,
-        /// How long to wait for it.
+        /// How long to wait for the answer.
         timeout: Millis,
-        /// Why it is made.
+        /// Why the attempt is made.
         reason: AttemptReason,
-        /// Why there.
+        /// Why this replica was chosen.
         choice: ReplicaChoice,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The part.
         part: PartId,
         /// The attempt.
         attempt: Attempt,
-        /// Why.
+        /// Why it is cancelled.
         reason: AttemptReason,
     },
-    /// Answer a query from the parts that are in.
+    /// Answer a query from the parts that have completed.
     Answer {
         /// The query.
         query: QueryId,
         /// Whether the answer is whole.
         whole: bool,
     },
-    /// Refuse a query: its client may safely try again.
+    /// Refuse a query. It had no effect, so its client may safely retry it.
     Refuse {
         /// The query.
         query: QueryId,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Millis,
-        /// Why.
+        /// Why the query ends this way.
         cause: Cause,
     },
-    /// Fail a query, with no word on its effects.
+    /// Fail a query. It may have had effects.
     Fail {
         /// The query.
         query: QueryId,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Millis,
-        /// Why.
+        /// Why the query ends this way.
         cause: Cause,
     },
-    /// Probe a replica.
+    /// Probe a parked replica.
     Probe {
         /// The replica.
         replica: ReplicaId,
     },
-    /// Close the connections to a replica that carry nothing now.
+    /// Close the connections to a replica that are idle.
     CloseIdle {
         /// The replica.
         replica: ReplicaId,
     },
-    /// Ask for the changes to the list from now on.
+    /// Request the list of replicas and subscribe to its changes.
     Subscribe,
-    /// Step again, with [`Event::Wake`], at this time or soon after.
+    /// Step again with [`Event::Wake`] at this time or soon after.
     WakeAt(Millis),
-    /// A line for the people on call.
+    /// Log a line for the operators.
     Log(String),
 }
