--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,6 +1,13 @@
-//! Every decision of the router. Its interface (settings, events, actions) is `src/api.rs`.
+//! The decisions of the router. Its interface (settings, events, actions) is in `src/api.rs`.
 //!
-//! The ordinary path is C2LD's (docs/DESIGN.md). What stands beside it says which trouble it guards against.
+//! Parts are placed by C2LD, client-centered load distribution (docs/DESIGN.md): the rate of a replica is the
+//! cost of the last completed part divided by its latency, and a part goes to the replica with the least
+//! predicted finish time. A replica that times out is parked, and probed until it answers. Each rule beyond
+//! that names the failure that it guards against.
+//!
+//! Cost units measure work: a part without a cost hint costs 1, and others cost their hint divided by the
+//! mean hint. Constants whose names end in `_AIMS` are multiples of an aim, the latency target of a query
+//! class, and those that end in `_LATENCIES` are multiples of the typical latency of a part.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -16,111 +23,157 @@
 
 use state::{FleetMeasures, InFlight, Part, Query, ReplicaNo, ReplicaStats};
 
-/// Monitoring interval S, of the shortest aim: long enough to hold several parts' latencies.
+/// Length of C2LD's monitoring interval S, in shortest aims: long enough to span the latencies of several
+/// parts.
 const INTERVAL_OF_AIM: f64 = 0.25;
-/// Intervals without a sample before a rate drifts, by half each, to the mean, and a class's spread to none.
+/// Monitoring intervals without a sample after which a learned value starts to decay by half per interval:
+/// the rate of a replica towards the mean rate, and the query time of a class towards zero.
 const DRIFT_AFTER: f64 = 6.0;
-/// Share of a sound replica's time that all routers together may take to find out whether it is slow still.
+/// Share of a healthy replica's capacity that all routers together may use to test whether a replica that was
+/// slow or failing has recovered.
 const GUESS_SHARE: f64 = 0.1;
-/// A replica never heard, with none heard, does one cost unit in this part of the aim.
+/// Assumed time that a replica takes for one cost unit, in aims, while no replica has been measured.
 const FIRST_RATE_OF_AIM: f64 = 0.1;
-/// Time between probes of a parked replica, of the shortest aim: it is missed for no longer than matters.
+/// Time between two probes of a parked replica, in shortest aims: a recovered replica is back before its
+/// absence costs much.
 const PROBE_OF_AIM: f64 = 2.0 / 3.0;
-/// Silence for this share of the aim, and for so many usual latencies (all may be slow), looks like a hang.
+/// Silence after which a replica is suspected to hang: the longer of this many aims and this many typical
+/// latencies. The second bound keeps a fleet that is slow as a whole from being suspected.
 const SUSPECT_OF_AIM: f64 = 0.4;
 const SUSPECT_OF_USUAL: f64 = 3.0;
-/// Later parts that a replica answered first, from which one is lost and not slow: queues go about in order.
+/// Number of later parts that a replica completes first from which a part counts as lost rather than slow:
+/// replicas work through their queues roughly in order.
 const OVERTAKEN: u32 = 4;
-/// Parked and suspect replicas beyond this share mean a shared cause: parking would only pile up load.
+/// Share of the replicas that fail at the same time above which a shared cause is assumed. Replicas that are
+/// only suspected are then not parked, as that would pile up load on the rest. If so many look dead, a query
+/// may have crashed them.
 const SHARED_CAUSE: f64 = 0.25;
-/// Weight of a new part in smoothed figures (some 15 count), of a query in its class's spread (a router ends
-/// few in ten seconds), and of an outcome in a replica's record (a few failures must show at once).
+/// Weight of a new sample in exponential moving averages over parts: about the last 15 parts count.
 const SMOOTH: f64 = 0.06;
+/// Weight of a new sample in exponential moving averages over queries: a router completes only a few in ten
+/// seconds.
 const SMOOTH_QUERIES: f64 = 0.2;
+/// Weight of an outcome in the failure rate of a replica: a few failures must show at once.
 const TRUST_STEP: f64 = 0.4;
-/// Time, in aims, in which half of a bad record is forgiven, so that a healed replica is tried again.
+/// Half-life of the failure records of replicas, in shortest aims: a replica that has recovered is tried
+/// again.
 const FORGIVE_AIMS: f64 = 4.0;
-/// The record's power in a rate, for repeatable parts and for unsafe ones: these can't go again.
+/// Exponents of a replica's success rate in its effective rate, for parts that may be sent again and for
+/// unsafe parts. Unsafe parts weigh failures more because they cannot be retried.
 const TRUST_POWERS: (i32, i32) = (3, 8);
-/// Share of the aim that a query may be predicted to take, and the bounds of what worth for work makes of it.
+/// Longest predicted time, in aims, at which a query of average worth per work is admitted, and the bounds of
+/// the factor by which a higher or lower worth raises or lowers it.
 const ADMIT_AT: f64 = 0.85;
 const ADMIT_RANGE: (f64, f64) = (0.7, 1.2);
-/// Share of the aim that queries take from which the fleet counts as pressed.
+/// Query time, in aims, above which the fleet counts as overloaded.
 const PRESSED_AT: f64 = 0.6;
-/// Mean reported utilization under which queries are slow for other reasons than a fleet with too much to do.
+/// Mean reported utilization from which the fleet counts as busy. Below it, slow queries have other causes
+/// than load.
 const BUSY_AT: f64 = 0.8;
-/// How fast the fleet's best rate follows samples above it, and those below: near its 97th percentile.
+/// Weights of a sample in the fleet's best rate, for samples above it and for samples below it: the best rate
+/// settles near the 97th percentile of the samples.
 const BEST_STEPS: (f64, f64) = (0.2, 0.005);
-/// Finishes within this factor are a tie, and so are those within this share of the aim on a replica called
-/// in this step: no client can tell. Ties go to the call (its overhead is paid), the own zone, then an order.
+/// Predicted finish times count as tied within this factor of the least one. On a replica that is already
+/// sent a call with room in this step, so do those within this many aims, as no client notices the
+/// difference. Ties go to such a call first, since its overhead is already paid, then to the router's own
+/// zone, then to a hash order.
 const TIE: f64 = 1.15;
 const TIE_OF_AIM: f64 = 0.3;
-/// Bounds of what the work out now, against that behind the usual latency, makes of a prediction.
+/// Bounds of the factor that corrects a predicted query time for the cost in flight now, relative to the cost
+/// that was in flight when the typical latency was measured.
 const GROWTH: (f64, f64) = (0.5, 2.0);
-/// Late worth under this share is not worth late work while the fleet is pressed.
+/// Late worth, as a share of the worth in time, below which a query ends at its aim while the fleet is
+/// overloaded.
 const LATE_WORTH: f64 = 0.5;
-/// Time between steps while nothing is held, of the time between probes.
+/// Time between steps while no query is open, as a share of the time between probes.
 const STEP_OF_PROBE: f64 = 0.25;
-/// Share of the usual latency within which what drops idle connections answers the next send.
+/// Time, in typical latencies, within which a send on an idle connection that was dropped on the path is
+/// reset.
 const DROP_OF_USUAL: f64 = 0.25;
-/// Replicas that reset parts of a query, with none completed, from which the query is the likely cause.
+/// Number of replicas that reset parts of a query, with no part completed, from which the query itself is the
+/// likely cause.
 const POISON: usize = 3;
-/// Aims after a mass death in which each query risks one replica first: the next such query may come late.
+/// Time after the failure of many replicas at once, in shortest aims, during which each query is tried on one
+/// replica first. It is long because the next query that crashes replicas may come late.
 const WARY_AIMS: f64 = 20.0;
-/// Usual latencies without a part completed after which a replica that reset parts is dead, not just cut off.
+/// Time without a completed part, in typical latencies, after which a replica that reset a connection counts
+/// as dead rather than briefly disconnected.
 const DEAD_AFTER_USUAL: f64 = 1.5;
-/// Shares of its last parts that a replica lost, from which unsafe parts go elsewhere if they can, and that
-/// it failed of a class, from which all do: what fails at once looks fast and idle, to repeats above all.
+/// Share of recent parts of all classes that a replica lost from which unsafe parts avoid it if they can.
 const LOSSY: f64 = 0.05;
+/// Share of recent parts of a class that a replica failed from which all parts of the class avoid it
+/// if they can: a replica that fails at once looks fast and idle, above all to retries.
 const FAILING: f64 = 0.5;
-/// Ticks between sweeps while queries are held.
+/// Time between steps while queries are open, in ticks. Each step sweeps over the queries that are due.
 const SWEEP_TICKS: f64 = 2.0;
 
-/// The decisions of one router. See [`Router::step`]. Written down and read again, it goes on as it was.
+/// The decision state machine of one router. See [`Router::step`].
+///
+/// A router that is serialized and deserialized again continues exactly where it was.
 #[derive(Default, Serialize, Deserialize)]
 pub struct Router {
     #[serde(rename = "s")]
     settings: Settings,
+    /// The shortest aim of all classes.
     min_aim: Millis,
-    /// Time in which half of a bad record is forgiven.
+    /// The half-life of failure records.
     forgive: Millis,
+    /// The state of the random number generator.
     rng: u64,
+    /// The seed of the order in which queries without a shared key try tied replicas. It differs between
+    /// routers.
     own: u64,
+    /// The time of the current step, or of the last one between steps.
     now: Millis,
+    /// How late the steps of this router run.
     lag: StepLag,
     #[serde(rename = "servers")]
     replicas: BTreeMap<ReplicaNo, Box<ReplicaStats>>,
+    /// The open queries by number.
     queries: BTreeMap<u64, Query>,
+    /// The numbers of the open queries.
     numbers: HashMap<QueryId, u64>,
+    /// The query number and the index of each part of an open query.
     parts: HashMap<PartId, (u64, usize)>,
+    /// The attempts that were sent and have not ended, including those whose query is over.
     #[serde(rename = "flights")]
     in_flight: HashMap<(PartId, Attempt), InFlight>,
+    /// The cost of all attempts in flight that are not cancelled.
     load_out: f64,
+    /// The queries that arrived in this step and are not yet admitted or refused.
     fresh: Vec<u64>,
-    /// Until when queries are suspect, as many replicas died at once.
+    /// The time until which each query is tried on one replica first, because many replicas died at once.
     wary: Millis,
-    /// Parts to send, oldest query first, then by shard: neighbours of one query join the same calls.
+    /// The parts to send, as query number, shard and index. The oldest query comes first, and adjacent shards
+    /// of a query follow each other so that they can share calls.
     waiting: BTreeSet<(u64, Shard, usize)>,
     #[serde(rename = "m")]
     measures: FleetMeasures,
+    /// When to request the list of replicas.
     asking: ListRequests,
+    /// The time of the next wake that was requested.
     wake: Option<Millis>,
+    /// The actions of the current step.
     #[serde(skip)]
     actions: Vec<Action>,
-    /// What can be reckoned from the rest, kept so that no step looks at all there is; none until needed.
+    /// Aggregates over all replicas. Both indexes are derived from the other fields and updated
+    /// incrementally, so that a step need not visit all replicas and queries.
     #[serde(skip)]
     replica_index: ReplicaIndex,
+    /// The queries by the time at which they must be checked.
     #[serde(skip)]
     query_index: QueryIndex,
+    /// Whether both indexes have been built.
     #[serde(skip)]
     indexed: bool,
 }
 
+/// Returns the exponential moving average over parts after a new sample.
 fn blend(old: Option<f64>, new: f64) -> f64 {
     old.map_or(new, |old| old + SMOOTH * (new - old))
 }
 
-/// Leaves those in the pool that hold to a wish, if any do.
+/// Keeps only the candidates that satisfy a condition, if any of them does.
 fn prefer(pool: &mut Vec<&ReplicaStats>, wish: impl Fn(&ReplicaStats) -> bool) {
     if pool.iter().any(|s| wish(s)) {
         pool.retain(|s| wish(s));
@@ -128,10 +181,10 @@
 }
 
 impl Router {
-    /// A router with nothing known but its settings; `seed` is its only source of chance.
+    /// Creates a router that knows only its settings. `seed` is its only source of randomness.
     ///
     /// # Errors
-    /// Says which setting contradicts itself.
+    /// Returns a text that names the invalid settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, String> {
         let rng = mix(seed ^ 0x9e37_79b9_7f4a_7c15);
         let mut router = Router { rng, own: rng, ..Router::default() };
@@ -139,10 +192,11 @@
         Ok(router)
     }
 
-    /// Takes up other settings, in which classes that are held keep their places. What was learned stays.
+    /// Applies new settings, in which the classes of open queries must keep their indexes. Learned state is
+    /// kept.
     ///
     /// # Errors
-    /// Says which setting contradicts itself.
+    /// Returns a text that names the invalid settings.
     pub fn apply_settings(&mut self, settings: Settings) -> Result<(), String> {
         settings.check()?;
         let (classes, now) = (settings.classes.len(), self.now);
@@ -156,7 +210,7 @@
         Ok(())
     }
 
-    /// Takes in all that happened by `now` and says what to do.
+    /// Processes the events up to `now` and returns the actions to carry out.
     pub fn step(&mut self, now: Millis, events: Vec<Event>) -> Vec<Action> {
         self.lag.note(self.wake, now, self.min_aim, self.forgive);
         self.now = now;
@@ -175,18 +229,19 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// The replicas that new parts avoid.
+    /// Returns the parked replicas, which new parts avoid.
     pub fn parked(&self) -> impl Iterator<Item = &ReplicaId> {
         self.replicas.values().filter(|s| s.parked.is_some()).map(|s| &s.line.id)
     }
 
-    /// What was learned, as text for the router of the process that takes over.
+    /// Serializes the learned state as JSON, for the router of the process that takes over.
     pub fn export_learned(&self) -> String {
         serde_json::to_string(&(&self.measures, self.replicas.values().collect::<Vec<_>>()))
             .unwrap_or_default()
     }
 
-    /// Takes over what another router learned, before any list; `false` and no change if it can't be read.
+    /// Replaces the learned state by that of another router. Must be called before the first list arrives.
+    /// Returns `false`, and changes nothing, if the text can't be parsed.
     pub fn import_learned(&mut self, learned: &str) -> bool {
         let read = serde_json::from_str::<(FleetMeasures, Vec<ReplicaStats>)>(learned);
         let Ok((measures, replicas)) = read else { return false };
@@ -196,6 +251,7 @@
         self.apply_settings(self.settings.clone()).is_ok()
     }
 
+    /// Processes one event.
     fn take(&mut self, event: Event) {
         match event {
             Event::List(news) => self.take_list(news),
@@ -210,6 +266,7 @@
         }
     }
 
+    /// Updates the replicas from the list, and removes those that are gone and have no parts in flight.
     fn take_list(&mut self, news: ListUpdate) {
         let (by_service, whole) =
             (!matches!(news, ListUpdate::Cached(_)), !matches!(news, ListUpdate::Changes(_)));
@@ -226,7 +283,7 @@
             let number = hash(&line.id.0);
             let before = self.replicas.get(&number).map(|replica| replica.facts()).filter(|_| !whole);
             match self.replicas.get_mut(&number) {
-                // A new start time is a new process: nothing learned of the old one holds.
+                // A changed start time means a new process, to which the learned state doesn't apply.
                 Some(replica) if replica.line.started == line.started => replica.line = line,
                 _ => {
                     let failed = vec![DecayingMean(0.0, self.now); self.settings.classes.len()];
@@ -253,6 +310,7 @@
         }
     }
 
+    /// Opens a query. It is admitted or refused after all events of the step.
     fn take_query(&mut self, new: NewQuery) {
         let class = new.class.0.min(self.settings.classes.len() - 1);
         self.measures.budget.note(self.settings.budget, self.now, false);
@@ -270,6 +328,7 @@
         self.fresh.push(number);
     }
 
+    /// Adds a part to its query and queues it to be sent.
     fn take_part(&mut self, new: NewPart) {
         self.measures.budget.note(self.settings.budget, self.now, false);
         let Some(query) = self.queries.get_mut(&new.query) else { return };
@@ -277,7 +336,8 @@
         self.measures.hint = hint.map(|hint| blend(self.measures.hint, hint)).or(self.measures.hint);
         let cost = hint.zip(self.measures.hint).map_or(1.0, |(hint, mean)| hint / mean);
         self.measures.further.earn(self.settings.routers, query.parts.len() + 1);
-        // One key has one order at all routers where that keeps caches warm; else each query has its own.
+        // If replicas cache by key, all routers prefer replicas for a key in the same order, which keeps
+        // caches warm. Otherwise each query has its own order.
         let key =
             new.key.as_deref().filter(|_| self.settings.warm_keys).map_or(mix(self.own ^ new.query), hash);
         let NewPart { id, shard, weight, .. } = new;
@@ -287,6 +347,7 @@
         query.parts.push(Part { id, shard, weight, cost, key, ..Part::default() });
     }
 
+    /// Records the end of an attempt, and queues its part again if the part did not complete.
     fn take_outcome(&mut self, end: AttemptEnded) {
         let AttemptEnded { part: id, attempt, outcome, latency, load, .. } = end;
         let Some(((id, _), flight)) = self.in_flight.remove_entry(&(id, attempt)) else { return };
@@ -322,6 +383,7 @@
         self.waiting.insert((number, part.shard, index));
     }
 
+    /// Updates the typical latency and the best rate of the fleet from a completed part.
     fn measure(&mut self, flight: &InFlight, latency: Millis) {
         let most = self.measures.usual.unwrap_or(latency) * SUSPECT_OF_USUAL;
         self.measures.usual = Some(blend(self.measures.usual, latency.min(most)));
@@ -331,9 +393,10 @@
         self.measures.best = Some(best + (dr - best) * if dr > best { BEST_STEPS.0 } else { BEST_STEPS.1 });
     }
 
+    /// Updates the statistics of the replica and of the fleet from the end of an attempt.
     fn record_end(&mut self, flight: &InFlight, outcome: Outcome, latency: Millis, load: Option<LoadReport>) {
         let (now, forgive, forget) = (self.now, self.forgive, self.in_turn(self.forgive));
-        // What drops idle connections unseen answers the next send at once.
+        // A connection that was dropped on the path while idle is reset at once on the next send.
         let quick = latency <= self.measures.usual.unwrap_or(latency) * DROP_OF_USUAL;
         let dropped = outcome == Outcome::Reset && flight.idle.is_some() && quick;
         let died = !dropped && matches!(outcome, Outcome::Reset | Outcome::ConnectFailed);
@@ -366,29 +429,32 @@
         }
         match outcome {
             Outcome::Completed => {
+                // A latency that includes a stall of this router is too long. It counts only as the first
+                // sample.
                 replica.dr = replica.dr.filter(|_| self.lag.back == now).or(Some(dr));
                 (replica.heard, replica.answered, replica.parked, replica.idle) = (now, now, None, None);
                 replica.failed[flight.class].note(0.0, TRUST_STEP, now, forget);
                 measures = self.lag.back < now;
             }
-            // A connection dropped while idle says nothing of its replica.
+            // A connection that was dropped while idle says nothing about the replica.
             Outcome::Reset if dropped => replica.used = None,
-            // Quick failures are no speed: they leave the rate and lower the record with the class.
+            // A fast failure is no evidence of speed: it leaves the rate unchanged and counts as a failure of
+            // the class.
             Outcome::Errored | Outcome::Reset | Outcome::Rejected => {
                 replica.answered = now;
-                // A connection that breaks ends many parts in one step, by one cause: it counts once.
+                // A broken connection ends many parts in one step. They have one cause and count once.
                 if replica.failed[flight.class].1 < now {
                     replica.failed[flight.class].note(1.0, TRUST_STEP, now, forget);
                 }
             }
-            // A replica that answered others meanwhile is slow, not gone: its rate says so.
+            // A replica that answered other parts meanwhile is slow, not hung: this lowers its rate.
             Outcome::TimedOut if replica.answered > flight.sent => {
                 replica.dr = Some(replica.dr.map_or(dr, |old| old.min(dr)));
                 replica.heard = now;
             }
             Outcome::TimedOut if self.lag.back == now => {}
             Outcome::TimedOut | Outcome::ConnectFailed => hung = true,
-            // What was called back took at least so long: of a slow replica often the only sample.
+            // A cancelled attempt took at least this long. For a slow replica that is often the only sample.
             Outcome::Cancelled if self.lag.back < now && dr < known => {
                 (replica.dr, replica.heard) = (Some(dr), now);
             }
@@ -403,6 +469,7 @@
         }
     }
 
+    /// Restores a parked replica if its probe succeeded.
     fn take_probe(&mut self, id: &ReplicaId, ok: bool, load: Option<LoadReport>) {
         let now = self.now;
         let restored = self.change(hash(&id.0), |replica| {
@@ -416,7 +483,8 @@
         }
     }
 
-    /// Parks a replica, unless too many are and it is not sure to be gone; says whether it is parked.
+    /// Parks a replica and returns whether it is parked. A replica whose failure is not certain is not parked
+    /// if too many others are, as that suggests a shared cause.
     fn park(&mut self, number: ReplicaNo, sure: bool) -> bool {
         let (fleet, parked) = self.replica_index.active_and_parked();
         let shared = !sure && (parked + 1) as f64 > (SHARED_CAUSE * fleet as f64).max(1.0);
@@ -430,15 +498,18 @@
         parks || self.replicas.get(&number).is_some_and(|replica| replica.parked.is_some())
     }
 
+    /// Returns the number of the current monitoring interval.
     fn interval(&self) -> i64 {
         (self.now / (self.min_aim * INTERVAL_OF_AIM)).floor() as i64
     }
 
+    /// Returns the mean rate of the fleet, or the assumed one while no replica has been measured.
     fn mean_rate(&self, class: usize) -> f64 {
         self.measures.mean.unwrap_or(1.0 / (self.settings.classes[class].aim * FIRST_RATE_OF_AIM))
     }
 
-    /// DR now, in cost units a millisecond.
+    /// Returns the current rate of a replica (DR in C2LD) in cost units per millisecond. It drifts to the
+    /// mean rate while there are no new samples.
     fn rate(&self, replica: &ReplicaStats, class: usize) -> f64 {
         let mean = self.mean_rate(class);
         let Some(dr) = replica.dr else { return mean };
@@ -447,14 +518,16 @@
         mean + (dr - mean) * 0.5f64.powf(stale.max(0.0))
     }
 
-    /// When one of many routers guesses anew at a replica, if a lone one does after so long. Each meets it
-    /// seldom: at the pace of a lone one all together would bury a slow one in guesses.
+    /// Returns after how long a router tests a suspect replica again, given that a single router would do so
+    /// after `lone`. Routers share no state: if each of many tested as often as a single one, they would
+    /// together overload a slow replica with tests.
     fn in_turn(&self, lone: Millis) -> Millis {
         let rate = self.measures.best.unwrap_or(1.0 / (self.min_aim * FIRST_RATE_OF_AIM));
         lone.max(f64::from(self.settings.routers) / (rate * GUESS_SHARE))
     }
 
-    /// Room at a cold replica, and the most there can be; `None` if it is warm.
+    /// Returns the cost that this router may send to a cold replica now, and the most that it can ever
+    /// accumulate; `None` if the replica is warm.
     fn cold_room(&self, replica: &ReplicaStats, class: usize) -> Option<(f64, f64)> {
         let (cold, started) = (self.settings.cold?, replica.line.started?);
         let best = self.measures.best.unwrap_or(self.mean_rate(class));
@@ -462,13 +535,14 @@
         cold::room(&cold, (started, self.now), replica.cold, best, traffic)
     }
 
-    /// How long a replica may be silent before a hang is the likely cause.
+    /// Returns how long a replica may be silent before it is suspected to hang.
     fn patience(&self, class: usize) -> Millis {
         (self.settings.classes[class].aim * SUSPECT_OF_AIM)
             .max(self.measures.usual.unwrap_or(0.0) * SUSPECT_OF_USUAL)
     }
 
-    /// Refuses what would only finish late, by worth for work: the dear survive overload.
+    /// Refuses new queries that are predicted to finish too late. The limit rises with the worth per work of
+    /// a query, so that the most valuable ones are served during overload.
     fn admit(&mut self) {
         for number in std::mem::take(&mut self.fresh) {
             let Some(query) = self.queries.get(&number) else { continue };
@@ -484,14 +558,16 @@
             let Some(query) = self.queries.get(&number) else { continue };
             let class = query.class;
             let cost: f64 = query.parts.iter().map(|p| p.cost).sum();
-            // Parts of a query see half of their fellows out on average.
+            // On average, half of a query's other parts are already in flight when one of its parts is sent.
             let load = self.load_out + cost * 0.5;
             let growth =
                 (load / self.measures.load_then.unwrap_or(load).max(cost * 0.5)).clamp(GROWTH.0, GROWTH.1);
             let predicted = self.pace(class) * growth;
-            // What its client will not wait for is work for nobody, however idle the fleet.
+            // A query that is not expected to finish before its client gives up is refused even if the fleet
+            // is idle.
             let spread = self.measures.spread[class].at(self.now, self.in_turn(self.forgive));
-            // One of many routers has few reports, and soon none: for it no report is a sign as well.
+            // A router in a large fleet gets few load reports, and often has no recent one. For it, having
+            // none does not rule out that the fleet is busy.
             let many = self.in_turn(self.forgive) > self.forgive;
             let vain = spread * self.measures.usual.unwrap_or(0.0) > query.deadline - self.now;
             if !vain && self.busy() == Some(false) {
@@ -508,6 +584,7 @@
         }
     }
 
+    /// Excludes parts from a query's answer: they are not sent.
     fn leave_out(&mut self, number: u64, parts: Vec<usize>) {
         let Some(query) = self.queries.get_mut(&number) else { return };
         for index in parts {
@@ -517,16 +594,18 @@
         }
     }
 
-    /// Whether what this router has out at a replica takes a share of the aim, as far as it knows.
+    /// Returns whether the replica is expected to need at least `share` of the aim for what this router has
+    /// in flight there.
     fn laden(&self, replica: &ReplicaStats, class: usize, share: f64) -> bool {
         replica.pace.is_laden(replica.out, self.settings.classes[class].aim * share)
     }
 
-    /// Leaves out parts that none could take, or only laden replicas; says why if too few remain for an
-    /// answer. The cheap may predict less time there than the dear: what it can still do goes to these.
+    /// Leaves out the parts of a query that have no holder, or only backlogged ones, and returns a cause if
+    /// the remaining parts are too few for an answer. `share` is lower for queries of low worth, so that the
+    /// remaining capacity of such replicas goes to queries of high worth.
     fn spare_laden(&mut self, number: u64, share: f64) -> Option<Cause> {
         let query = self.queries.get(&number)?;
-        // Before any list nothing is known to be missing.
+        // Before the first list, no part is known to lack holders.
         self.replica_index.is_listed().then_some(())?;
         let (mut why, mut lost, mut out) = (Cause::PredictedLate, 0.0, Vec::new());
         for (at, part) in query.parts.iter().enumerate() {
@@ -546,8 +625,10 @@
         few.then_some(why)
     }
 
+    /// Updates the query time of the class from a query that was answered (`served`) or ended too late.
     fn note_pace(&mut self, number: u64, served: bool) {
-        // One cut short would have taken longer: its aim stands for that, if its client meant to wait for it.
+        // A query that was ended early would have taken longer, so it counts with at least its aim. It is
+        // ignored if its client set a deadline before the aim.
         let meant = |q: &&Query| served || q.deadline - q.accepted >= self.settings.classes[q.class].aim;
         let Some(query) = self.queries.get(&number).filter(meant) else { return };
         let until = if served { query.enough_at.unwrap_or(self.now) } else { self.now };
@@ -558,27 +639,31 @@
         self.measures.spread[class] = DecayingMean(known + SMOOTH_QUERIES * (spread - known), self.now);
     }
 
-    /// A class of which all is refused tells nothing more: what is known of it goes stale, as a rate does, or
-    /// one bad moment would turn the class away for good.
+    /// Returns the query time of a class in typical part latencies. It decays while no query ends: a class
+    /// whose queries are all refused yields no samples, and would otherwise be refused forever after one
+    /// overload.
     fn spread(&self, class: usize) -> f64 {
         let DecayingMean(spread, at) = self.measures.spread[class];
         let stale = (self.now - at) / (self.min_aim * INTERVAL_OF_AIM) - DRIFT_AFTER;
         spread * 0.5f64.powf(stale.max(0.0))
     }
 
-    /// How long queries of a class take just now, in aims. Parts tell of a change sooner than queries do.
+    /// Returns how long queries of a class take at present, in aims. It is based on the latency of parts,
+    /// which reflects a change sooner than that of queries.
     fn pace(&self, class: usize) -> f64 {
         self.spread(class) * self.measures.usual.unwrap_or(0.0) / self.settings.classes[class].aim
     }
 
-    /// Whether the fleet has little room, by what replicas reported lately; `None` if none did: it may have.
+    /// Returns whether the fleet is busy, by the utilization that replicas reported recently; `None` if none
+    /// did.
     fn busy(&self) -> Option<bool> {
         let (busy, told) = self.replica_index.busy();
         (told > 0).then_some(busy >= BUSY_AT * told as f64)
     }
 
-    /// Until when work for a query is worth doing. Under pressure late work only makes more work late, so
-    /// what earns little after the aim ends there; unsafe parts run on, since nothing can replace them.
+    /// Returns until when work for a query is worth doing. During overload, late work only delays other work,
+    /// so a query that earns little after its aim ends there. Queries with unsafe parts run on, since these
+    /// can't be retried.
     fn useful_until(&self, query: &Query) -> Millis {
         if self.ends_at_aim(query.class) {
             query.deadline.min(query.accepted + self.settings.classes[query.class].aim)
@@ -587,18 +672,21 @@
         }
     }
 
+    /// Returns whether queries of a class end at their aim instead of their deadline.
     fn ends_at_aim(&self, class: usize) -> bool {
         let pressed = self.busy() != Some(false) && self.pace(class) > PRESSED_AT;
         let class = &self.settings.classes[class];
         pressed && class.repeat != RepeatPolicy::Unsafe && class.late_worth < LATE_WORTH
     }
 
-    /// Whether the rules of its class and the count of attempts allow the part one more.
+    /// Returns whether the repeat policy of the class and the maximum number of attempts allow another
+    /// attempt.
     fn may_send(&self, part: &Part, class: usize) -> bool {
         let spent = part.done || part.out.is_some() || part.attempts >= self.settings.max_attempts;
         !spent && self.settings.classes[class].repeat.allows(part.may_have_run, self.now)
     }
 
+    /// Sends the waiting parts for which a replica is available.
     fn place(&mut self) {
         self.measures.mean = self.replica_index.mean_rate();
         self.measures.traffic.told(self.now, self.settings.cold, self.replica_index.reports());
@@ -613,7 +701,8 @@
         for entry @ (number, _, index) in self.waiting.clone() {
             let Some(query) = self.queries.get(&number) else { continue };
             let part = &query.parts[index];
-            // A query that may kill what takes it risks one replica until a part of it has completed.
+            // A query that may crash replicas has only one part in flight at a time until one of its parts
+            // completes.
             let risky = query.share == 0.0 && (self.now < self.wary || query.resets.len() >= POISON);
             let held = (risky && query.parts.iter().any(|p| p.out.is_some()))
                 || (part.attempts > 0 && !self.measures.budget.allows(self.settings.budget, self.now));
@@ -627,13 +716,14 @@
         }
     }
 
-    /// The listed replicas that hold a shard.
+    /// Returns the listed replicas that hold a shard.
     fn holders(&self, shard: Shard) -> Vec<&ReplicaStats> {
         let holders = self.replica_index.holders(shard);
         holders.iter().filter_map(|number| self.replicas.get(number).map(|s| &**s)).collect()
     }
 
-    /// The replica of the part's shard with the least finish; `None` if none may take it now.
+    /// Returns the holder of the part's shard with the least predicted finish time; `None` if no replica may
+    /// take the part now.
     fn choose(&self, part: &Part, class: usize) -> Option<(ReplicaNo, ReplicaChoice)> {
         let left = (self.interval() + 1) as f64 * self.min_aim * INTERVAL_OF_AIM - self.now;
         let forget = self.in_turn(self.forgive);
@@ -645,7 +735,10 @@
         pool.retain(|s| s.line.state == ReplicaState::Active && bears(s));
         let choice = if pool.len() == 1 { ReplicaChoice::OnlyCandidate } else { ReplicaChoice::LeastFinish };
         let parked = pool.iter().all(|s| s.parked.is_some());
-        // Where all are parked or full, tries are not thrown at them at once, nor is the last.
+        // A retry is held back, until the time for suspecting a hang has passed since the last send, if all
+        // candidates are parked. So is a retry of a rejected part if it is the last one allowed or if all
+        // candidates are parked or were tried before. Otherwise retries would be used up at once on replicas
+        // that are hung or full.
         let full = |s: &&ReplicaStats| s.parked.is_some() || part.tried.contains(&s.number);
         let spent = part.attempts + 1 >= self.settings.max_attempts || pool.iter().all(full);
         let wait = parked || (part.reason == AttemptReason::After(Outcome::Rejected) && spent);
@@ -663,12 +756,14 @@
             |s: &ReplicaStats| s.in_flight > 0 && self.now - s.owes.max(s.answered) > self.patience(class);
         prefer(&mut pool, |s| !self.laden(s, class, ADMIT_AT) && !owes(s));
         prefer(&mut pool, |s| !part.tried.contains(&s.number));
-        // A record recovers with a few parts. What can't go again needs a longer memory.
+        // The failure rate recovers within a few parts. Unsafe parts, which can't be retried, also need the
+        // loss rate, which has a longer memory.
         if self.settings.classes[class].repeat == RepeatPolicy::Unsafe {
             prefer(&mut pool, |s| s.lost.at(self.now, self.forgive) < LOSSY);
         }
-        // DR weighed by what the replica completes. An unsafe part can't go again after an error: there
-        // its replica's worst record counts, and before speed.
+        // The effective rate: the rate, weighted by the replica's success rate. For an unsafe part, which
+        // can't be retried after an error, the lowest success rate of all classes counts, and more than the
+        // rate does.
         let speed = |s: &ReplicaStats| {
             let trust = |class: usize| 1.0 - failed(s, class);
             let trust = match self.settings.classes[class].repeat {
@@ -679,7 +774,8 @@
             };
             self.rate(s, class) * trust.max(1e-9)
         };
-        // A reported queue is worked off at DR: an old report must not keep parts away for good.
+        // A reported queue is assumed to shrink at the replica's rate: otherwise an old report would keep
+        // parts away forever.
         let cost = |s: &ReplicaStats| {
             let told = s.load.queue.or(s.load.in_flight).unwrap_or(0.0);
             let load = (told - (self.now - s.loaded) * self.rate(s, class)).max(0.0);
@@ -699,6 +795,7 @@
         pool.iter().max_by_key(order).map(|s| (s.number, choice))
     }
 
+    /// Starts an attempt at a part and updates the statistics and indexes.
     fn send(&mut self, number: u64, index: usize, to: ReplicaNo, choice: ReplicaChoice) {
         let interval = self.interval();
         let Some(query) = self.queries.get(&number) else { return };
@@ -718,7 +815,8 @@
         if replica.in_flight == 0 {
             replica.owes = self.now;
             let most = self.settings.keep_alive.unwrap_or(0.0);
-            // Nothing drops connections idle for less than an aim: what fails there has other causes.
+            // Connections that were idle for less than an aim are not dropped on the path: a failure there
+            // has other causes.
             let fatal = |idle: &Millis| *idle > self.min_aim && *idle < most;
             replica.idle = replica.used.map(|used| self.now - used).filter(fatal);
         }
@@ -744,6 +842,7 @@
         }
     }
 
+    /// Cancels an attempt in flight, if the settings allow it.
     fn cancel(&mut self, id: &PartId, attempt: Attempt, reason: AttemptReason) {
         let out = self.in_flight.get_mut(&(id.clone(), attempt)).filter(|f| f.cancelled.is_none());
         if let (Some(flight), true) = (out, self.settings.may_cancel) {
@@ -756,9 +855,9 @@
         }
     }
 
-    // ---- looking after what is out
+    // ---- Checks of open queries
 
-    /// Looks at the queries that are due, in their order.
+    /// Checks the queries that are due, in order of their numbers.
     fn sweep(&mut self) {
         let step = self.settings.tick * SWEEP_TICKS;
         let mut due = self.due_now(step);
@@ -767,19 +866,19 @@
         while let Some(number) = due.pop_first() {
             let Some(class) = self.queries.get(&number).map(|query| query.class) else { continue };
             self.look_after_query(number, step);
-            // One that is slow may be the sign by which the next ones end at their aims.
+            // A slow query may raise the query time so much that queries of its class now end at their aims.
             if self.ends_at_aim(class) && !std::mem::replace(&mut cut[class], true) {
                 due.extend(self.query_index.aims(class, self.now + step).filter(|next| *next > number));
             }
         }
     }
 
-    /// Ends a query at the right moment, and sends again what fell silent.
+    /// Ends a query if it is time to do so; otherwise retries its parts that are lost or on silent replicas.
     fn look_after_query(&mut self, number: u64, step: Millis) {
         let Some(query) = self.queries.get(&number) else { return };
         let class = &self.settings.classes[query.class];
         let enough = query.share > 0.0 && query.share >= class.least_share;
-        // What is given at the aim itself reaches its client late, and earns next to nothing.
+        // An answer that is given exactly at the aim reaches its client late, and earns next to nothing.
         let lag = self.lag.of_an_answer(self.now, class.aim, self.forgive);
         let moment = (query.accepted + class.aim).min(query.deadline) - step * 2.0 - lag;
         let late = self.now + step >= self.useful_until(query);
@@ -788,7 +887,8 @@
             all || (query.second.is_none() && query.share >= class.whole_from && class.whole_from < 1.0);
         let dead = |p: &Part| !p.done && p.out.is_none() && !p.left_out && !self.may_send(p, query.class);
         let settled = query.parts.iter().all(|p| p.done || p.left_out || dead(p));
-        // Poison: whatever begins a part of it dies, and nothing of it completes. It is not sent again.
+        // A poison query crashes each replica that starts a part of it, and none of its parts completes. It
+        // is not sent again. After a mass failure, one reset is enough to suspect it.
         let open = query.resets.iter().filter(|(_, open)| *open).count();
         let poison = query.share == 0.0 && open >= if self.now < self.wary { 1 } else { POISON };
         let lost = query.parts.iter().find(|p| class.least_share >= class.whole_from && dead(p));
@@ -810,12 +910,13 @@
         }
     }
 
-    /// What keeps the first part that is missing from coming in.
+    /// Returns the cause for which a late query fails: what prevents its first missing part from completing.
     fn why_late(&self, query: &Query) -> Cause {
         let missing = query.parts.iter().find(|p| !p.done && !p.left_out);
         missing.map_or(Cause::TimeUp, |part| self.why_missing(part))
     }
 
+    /// Returns what prevents a part from completing.
     fn why_missing(&self, part: &Part) -> Cause {
         let holders = self.holders(part.shard);
         match self.replica_index.is_listed() {
@@ -827,8 +928,9 @@
         }
     }
 
-    /// A replica that goes on answering may still lose parts. Such a part goes elsewhere at once if it may,
-    /// at no budget's cost, and counts in the replica's record, which keeps unsafe parts away from it.
+    /// Retries the parts of a query that count as lost: a replica that goes on answering may still lose
+    /// parts. Such a retry costs no retry budget. The loss counts in the replica's failure records, which
+    /// keep unsafe parts away.
     fn retry_lost(&mut self, number: u64) {
         let Some(query) = self.queries.get(&number) else { return };
         let (class, now, forgive, forget) = (query.class, self.now, self.forgive, self.in_turn(self.forgive));
@@ -836,7 +938,7 @@
         for (index, id, (attempt, replica), sent, attempts) in query.out_since(since) {
             let lost = |f: &&mut InFlight| f.cancelled.is_none() && f.overtaken >= OVERTAKEN;
             let Some(flight) = self.in_flight.get_mut(&(id.clone(), attempt)).filter(lost) else { continue };
-            // It counts once, also where it stays out.
+            // The loss counts once, even if the part stays in flight.
             flight.overtaken = 0;
             self.query_index.unfollow(replica, sent, (id.clone(), attempt), (number, index));
             self.query_index.follow(replica, sent, (id.clone(), attempt), None);
@@ -852,13 +954,14 @@
         }
     }
 
-    /// A part out for longer than patience on a replica silent since: the replica looks hung. It is
-    /// parked, and the part is called back, to go elsewhere if that is in time and within the share for such.
+    /// Handles the parts of a query whose replica has been silent since their send for so long that it is
+    /// suspected to hang. The replica is parked, and the part is cancelled and retried elsewhere if there is
+    /// time and retry budget.
     fn retry_silent(&mut self, number: u64) {
         let Some(query) = self.queries.get(&number) else { return };
         let class = query.class;
         let since = self.now - self.patience(class);
-        // Repeats are load: none when all are slow, as then they only make it worse.
+        // Retries add load, so there are none while the whole fleet is slow.
         let slow = self.busy() != Some(false) && self.pace(class) > PRESSED_AT;
         let none = slow || self.now + self.measures.usual.unwrap_or(0.0) > query.deadline;
         let safe = self.settings.classes[class].repeat != RepeatPolicy::Unsafe;
@@ -868,7 +971,8 @@
                 continue;
             };
             let Some(flight) = self.in_flight.get(&(id.clone(), attempt)) else { continue };
-            // One that no other could take the part from is waited for as long as its own rate explains.
+            // If no other replica can take the part, the silence is accepted for as long as the backlog at
+            // this replica explains it.
             let other = |s: &ReplicaStats| {
                 s.number != replica && s.parked.is_none() && s.line.state == ReplicaState::Active
             };
@@ -878,7 +982,8 @@
                 continue;
             }
             let again = safe && attempts < self.settings.max_attempts;
-            // Silence on an idle connection is not the replica's only where resets say that such are dropped.
+            // Silence on a connection that was idle is blamed on the path, not on the replica, only if resets
+            // have shown that idle connections are dropped there.
             let idle = flight.cancelled.is_none() && flight.idle.is_some();
             let dropped = idle && self.measures.idle.drops(self.now, self.forgive);
             let parked = !dropped && self.park(replica, false);
@@ -892,6 +997,7 @@
         }
     }
 
+    /// Closes the idle connections to a replica.
     fn let_go(&mut self, number: ReplicaNo) {
         let closed = self.change(number, |replica| {
             replica.used = None;
@@ -900,6 +1006,7 @@
         self.actions.extend(closed.map(|id| Action::CloseIdle { replica: id }));
     }
 
+    /// Answers the current step of a query, and closes the query unless a second step follows.
     fn answer(&mut self, number: u64, whole: bool) {
         let Some(query) = self.queries.get_mut(&number) else { return };
         self.measures.advice.note(false, self.now, self.forgive);
@@ -917,7 +1024,8 @@
         }
     }
 
-    /// Refuses a query if no part of it may have had an effect, else fails it.
+    /// Refuses a query if no part of it can have had an effect; otherwise fails it. `late` is true if the
+    /// query had been admitted.
     fn end_query(&mut self, number: u64, late: bool, cause: Cause) {
         let Some(query) = self.queries.get(&number) else { return };
         let class = &self.settings.classes[query.class];
@@ -928,7 +1036,7 @@
         let retry_after = self.measures.advice.wait(class.aim, self.settings.max_retry_after, faded, chance);
         let safe = class.repeat == RepeatPolicy::Safe;
         self.actions.push(if (ran && !safe) || query.second.is_some() || (late && ran) {
-            // Only what is safe to repeat is asked back.
+            // Clients are advised to retry a failed query only if that is safe.
             Action::Fail { query: id, retry_after: if safe { retry_after } else { 0.0 }, cause }
         } else {
             Action::Refuse { query: id, retry_after, cause }
@@ -936,6 +1044,7 @@
         self.drop_query(number);
     }
 
+    /// Closes a query and cancels its parts in flight.
     fn drop_query(&mut self, number: u64) {
         if let Some(query) = self.queries.remove(&number) {
             self.numbers.remove(&query.id);
@@ -944,6 +1053,7 @@
         }
     }
 
+    /// Removes parts of a query and cancels their attempts in flight.
     fn drop_parts(&mut self, number: u64, class: usize, parts: Vec<Part>) {
         for (index, part) in parts.into_iter().enumerate() {
             self.waiting.remove(&(number, part.shard, index));
@@ -957,6 +1067,7 @@
         }
     }
 
+    /// Closes connections that have been idle for too long, probes parked replicas and requests the list.
     fn look_after_replicas(&mut self) {
         let now = self.now;
         if self.measures.idle.drops(self.now, self.forgive) {
@@ -977,6 +1088,7 @@
         }
     }
 
+    /// Requests the next wake, unless an earlier one is pending.
     fn set_wake(&mut self) {
         let (idle, probe) = (self.queries.is_empty(), self.min_aim * PROBE_OF_AIM);
         let due = self.now + if idle { probe * STEP_OF_PROBE } else { self.settings.tick * SWEEP_TICKS };
--- a/src/decide/indexes.rs
+++ b/src/decide/indexes.rs
@@ -1,11 +1,11 @@
-//! What keeps the indexes of [`Router`] equal to what they are made of. It decides nothing.
+//! Keeps the indexes of [`Router`] consistent with the state that they are derived from. Takes no decisions.
 
 use super::*;
 use crate::query_index::{Place, QueryTimes};
 use crate::replica_index::ReplicaFacts;
 
 impl Router {
-    /// Makes all indexes anew.
+    /// Rebuilds both indexes from the rest of the state.
     pub(super) fn index(&mut self) {
         self.replica_index = self.counted();
         self.query_index = self.all_due(|_| true);
@@ -13,7 +13,7 @@
         self.indexed = true;
     }
 
-    /// All replicas, counted anew.
+    /// Builds the index of all replicas.
     pub(super) fn counted(&self) -> ReplicaIndex {
         let warm_within = self.settings.cold.map(|rule| rule.warm_within);
         let all = self.replicas.values().map(|replica| replica.facts());
@@ -25,7 +25,7 @@
         )
     }
 
-    /// What is due of all queries, with those parts out whose replicas are as wished.
+    /// Builds the index of all queries, with those parts in flight that satisfy a condition.
     fn all_due(&self, wish: impl Fn(&Part) -> bool) -> QueryIndex {
         let mut due = QueryIndex::new(self.settings.classes.len());
         for (number, query) in &self.queries {
@@ -48,10 +48,10 @@
         due
     }
 
-    /// Whether all indexes equal a recount of what they are made of, as they do between any two steps; for tests.
+    /// Checks that the indexes equal rebuilt ones, which holds between any two steps. For tests.
     ///
     /// # Errors
-    /// Says what differs.
+    /// Returns a text that shows the difference.
     pub fn verify_indexes(&self) -> Result<(), String> {
         let silent = |part: &Part| {
             let replica = part.out.and_then(|(_, replica)| self.replicas.get(&replica));
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Changes a replica.
+    /// Modifies a replica and updates the replica index; returns the result of `how`.
     pub(super) fn change<T>(
         &mut self,
         number: ReplicaNo,
@@ -80,23 +80,26 @@
         Some(done)
     }
 
+    /// Returns the times at which a query must be checked: its aim or, if that is earlier, its deadline; and
+    /// its deadline.
     pub(super) fn ends(&self, number: u64, query: &Query) -> QueryTimes {
         let aim = (query.accepted + self.settings.classes[query.class].aim).min(query.deadline);
         QueryTimes { number, aim, deadline: query.deadline }
     }
 
+    /// Returns whether enough parts of a query have completed for an answer.
     pub(super) fn has_enough(&self, query: &Query) -> bool {
         query.share > 0.0 && query.share >= self.settings.classes[query.class].least_share
     }
 
-    /// What has come in of a query, or no longer counts, has changed.
+    /// Updates the query index after the completed share of a query has changed.
     pub(super) fn note_enough(&mut self, number: u64) {
         if let Some(query) = self.queries.get(&number) {
             self.query_index.enough(query.class, self.ends(number, query), self.has_enough(query));
         }
     }
 
-    /// Counts the parts that one which was completed has overtaken at its replica.
+    /// Counts, for each attempt sent to the same replica before the completed one, that it was overtaken.
     pub(super) fn overtake(&mut self, completed: &InFlight) {
         let replica = completed.replica;
         for key in self.query_index.before(replica, completed.sent) {
@@ -109,8 +112,9 @@
         }
     }
 
-    /// The queries that anything may be due of now, for what is looked at in steps of some time: those that something has
-    /// happened to, and those of which time alone makes something due. Parts that wait may no longer be sent by now.
+    /// Returns the queries that must be checked now, given the time between two checks: those that have
+    /// changed and those for which a time has come. Queries with waiting parts are included, because such a
+    /// part may no longer be allowed to be sent.
     pub(super) fn due_now(&mut self, step: Millis) -> BTreeSet<u64> {
         let mut due = self.query_index.take_touched();
         due.extend(self.waiting.iter().map(|(number, ..)| *number));
@@ -132,13 +136,14 @@
 }
 
 impl InFlight {
-    /// Its place, if it counts as lost.
+    /// Returns the given place of its part if the attempt counts as lost.
     fn lost_at(&self, place: Place) -> Option<Place> {
         (self.overtaken >= OVERTAKEN).then_some(place)
     }
 }
 
 impl ReplicaStats {
+    /// Returns the facts that the replica index is built from.
     pub(super) fn facts(&self) -> ReplicaFacts {
         ReplicaFacts {
             number: self.number,
