--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,9 +1,9 @@
-//! The trace format of ironpaddle: what an aggregator saw and decided, for the day after.
+//! The trace format of ironpaddle: a recording of an aggregator's inputs and decisions, for later analysis and replay.
 //!
-//! A trace is a set of segments. A segment is a file of blocks ([`block`]), each readable by itself, with an index by
-//! time and query at its end ([`mod@file`], [`index`]); one that a crash cut short is read up to its last sound block.
-//! [`record`] is the model. Nothing here opens a socket or a thread; the format works on `Read`, `Write` and `Seek`.
-//! The format is described in `docs/TRACE.md`.
+//! A trace is a set of segments. A segment is a file of blocks ([`block`]) that can be decoded independently, followed
+//! by an index by time and query ([`mod@file`], [`index`]). A segment that a crash truncated is read up to its last
+//! intact block. [`record`] defines the data model. This crate opens no sockets and starts no threads; the format works
+//! on `Read`, `Write` and `Seek`. It is specified in `docs/TRACE.md`.
 #![warn(missing_docs)]
 
 pub mod block;
@@ -25,20 +25,20 @@
 
 pub use version::VERSION;
 
-/// Why a trace could not be read or written.
+/// An error in reading or writing a trace.
 #[derive(Debug)]
 pub enum Error {
-    /// Input or output failed.
+    /// An I/O operation failed.
     Io(std::io::Error),
-    /// The bytes are not those that were written.
+    /// The data is corrupt.
     Damaged,
-    /// It is of a version or codec that is not known here.
+    /// The format version or the codec is not supported.
     Version(u8),
-    /// It is no trace.
+    /// The file is not a trace.
     NoTrace,
-    /// A block would be too long.
+    /// A block would exceed the maximum size.
     TooLong,
-    /// Something else is at fault; the text says what.
+    /// Any other error, described by the text.
     Other(String),
 }
 
@@ -46,11 +46,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Io(error) => write!(f, "{error}"),
-            Error::Damaged => write!(f, "a damaged block"),
-            Error::Version(version) => write!(f, "a block of version {version}, which is not known here"),
-            Error::NoTrace => write!(f, "this is no trace"),
-            Error::TooLong => write!(f, "a block that would be too long"),
-            Error::Other(why) => write!(f, "{why}"),
+            Error::Damaged => write!(f, "damaged block"),
+            Error::Version(version) => {
+                write!(f, "unsupported version or codec in a block of version {version}")
+            }
+            Error::NoTrace => write!(f, "not a trace file"),
+            Error::TooLong => write!(f, "block exceeds the maximum size"),
+            Error::Other(message) => write!(f, "{message}"),
         }
     }
 }
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,8 +1,8 @@
-//! What a trace is made of: entries, each with its time.
+//! The data model of a trace: timestamped records.
 //!
-//! Queries go by their numbers, parts by query and shard, all names by their place in the table of their block.
-//! Times and spans are milliseconds; an entry's own time is that of the recording process's clock, which counts
-//! from the Unix epoch and only runs forward.
+//! Queries are identified by number, parts by query and shard, and names by their index in the name table of the
+//! block. Times and durations are in milliseconds. The timestamp of an entry comes from the clock of the recording
+//! process, which counts from the Unix epoch and never runs backwards.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -11,36 +11,36 @@
 
 use crate::num::Num;
 
-/// What a name names. Names of different kinds never meet, however alike they read.
+/// The kind of thing that a name identifies. Names of different kinds are distinct even if their texts are equal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// A query, as its client calls it.
+    /// A query, by the id that its client gave it.
     Query,
     /// A query class.
     Class,
-    /// A group, which shares the service with others.
+    /// A group of clients that is entitled to a share of the service.
     Group,
     /// A run store.
     RunStore,
-    /// What a query is about, where they carry keys and routing goes by them.
+    /// The key of a query or part, where routing uses keys.
     Key,
 }
 
-/// A name, by its place in the table of its block.
+/// A name, as an index into the name table of its block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 pub struct Name(pub u32);
 
 thread_local! {
-    /// The table by which names are written for people; see [`with_names`].
+    /// The name table used by human-readable serializers; see [`with_names`].
     static TABLE: RefCell<Vec<(Kind, Arc<str>)>> = const { RefCell::new(Vec::new()) };
 }
 
-/// Has names written by their texts, in forms that are for people, while something runs.
+/// Runs a closure during which human-readable serializers write names as their texts from `table`, not as indexes.
 pub fn with_names<T>(table: &[(Kind, Arc<str>)], run: impl FnOnce() -> T) -> T {
     TABLE.set(table.to_vec());
-    let made = run();
+    let result = run();
     TABLE.take();
-    made
+    result
 }
 
 impl Serialize for Name {
@@ -55,69 +55,71 @@
     }
 }
 
-/// A record and its time.
+/// A record with its timestamp.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// When it was made.
+    /// The time of the record, in Unix milliseconds.
     pub at: f64,
-    /// The record.
+    /// The recorded event.
     pub record: Record,
 }
 
-/// One thing seen or decided.
+/// A single recorded event or decision.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// All that replay needs to begin here.
+    /// The full state that replay needs to start at this point.
     Checkpoint(Box<Checkpoint>),
-    /// Other settings from here on.
+    /// A change of settings, effective from this point.
     Settings(Box<Told>),
-    /// A step of the decision module.
+    /// One step of the decision module.
     Step(Step),
-    /// A query was taken.
+    /// A query was accepted.
     Taken(Taken),
-    /// A query had its end.
+    /// A query ended.
     Verdict(Verdict),
-    /// A request was answered with an error before it became a query.
+    /// A request was answered with an error before it was accepted as a query; with its class, if known.
     NotTaken(Option<Name>),
-    /// An attempt on its way.
+    /// Progress in writing an attempt to its connection.
     Wire(Wire),
     /// A connection ended.
     Closed(Closed),
-    /// An operator called.
+    /// A request to the operator interface.
     Call(String),
-    /// What was counted since the start of the process.
+    /// The counters since the start of the process.
     Counts(Counts),
-    /// What was recorded and could not be kept.
+    /// Records that could not be stored.
     Loss(Loss),
-    /// The recording ended here in good order.
+    /// The recording was closed regularly.
     End,
 }
 
 /// The state from which replay begins.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// The decision module's text, hashed: another one may decide otherwise, or not read the state.
+    /// The hash of the decision module's source code. A different module may decide differently, or be unable to read
+    /// the state.
     pub module: u64,
-    /// The module's state, as itself writes it.
+    /// The module's state, in its own serialization.
     pub state: Vec<u8>,
     /// The settings in force.
     pub told: Told,
 }
 
-/// Settings as they were told.
+/// The settings that were given to the decision module.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Told {
-    /// For the module, as itself reads them.
+    /// The settings in the module's own serialization.
     pub module: Vec<u8>,
-    /// For people: the settings object, as JSON.
+    /// The settings object as JSON, for readers and tools.
     pub text: String,
-    /// The classes, by the places that the module knows them by.
+    /// The class names, in the order of the module's class indexes.
     pub classes: Vec<Name>,
-    /// The groups, by their places.
+    /// The group names, in the order of the module's group indexes.
     pub groups: Vec<Name>,
 }
 
-/// What the decision module was told, and what it said. Its stored form is `packed`.
+/// The input events and the resulting actions of one step of the decision module. The `packed` module defines its
+/// stored form.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
     /// The events, in order.
@@ -126,82 +128,82 @@
     pub actions: Vec<Action>,
 }
 
-/// How a list of run stores came.
+/// The kind of an update to the list of run stores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListKind {
-    /// As it was last known.
+    /// The last known list, from a cache.
     Cached,
-    /// Whole.
+    /// The complete list.
     Full,
-    /// What changed.
+    /// The changes since the previous update.
     Changes,
-    /// Not at all.
+    /// The watch failed and gave no list.
     Broken,
 }
 
-/// The standing of a run store.
+/// The state of a run store in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Standing {
-    /// It takes parts.
+    /// It accepts parts.
     Active,
-    /// It takes nothing new.
+    /// It accepts no new parts.
     Draining,
-    /// It is not there any more.
+    /// It is no longer listed.
     Gone,
 }
 
-/// A run store in a list.
+/// An entry of the list of run stores.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
     /// Its name.
     pub run_store: Name,
-    /// Where it stands.
+    /// The zone that it runs in.
     pub zone: String,
-    /// The cell that says which shards it holds.
+    /// Its cell, which determines the shards that it holds.
     pub cell: u32,
-    /// Its standing.
+    /// Its state.
     pub standing: Standing,
-    /// Its size.
+    /// Its capacity weight.
     pub weight: Num,
-    /// When it started, if not long ago.
+    /// Its start time, if it started recently.
     pub started: Option<Num>,
 }
 
-/// Why a query was refused or failed. What a version before this one did not know is [`Cause::Unknown`].
+/// The reason why a query was refused or failed. It is [`Cause::Unknown`] in traces of versions without causes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Cause {
-    /// It was not recorded.
+    /// The cause was not recorded.
     Unknown,
     /// No run store was listed.
     NoList,
     /// No listed run store held this shard.
     NoHolder(u32),
-    /// All that held this shard were draining.
+    /// All run stores that held this shard were draining.
     Drained(u32),
-    /// All that held this shard had fallen silent.
+    /// All run stores that held this shard were parked.
     AllParked(u32),
-    /// The run stores were busy and the group beyond its share.
+    /// The run stores were busy and the group was beyond its share.
     BeyondShare,
-    /// The run stores were busy and the answer would have come too late.
+    /// The run stores were busy and the answer was predicted to be late.
     PredictedLate,
-    /// Too few parts had come in when its time was up.
+    /// Too few parts had completed when the query's time was up.
     TimeUp,
     /// The part of this shard failed, may have run, and must not run twice.
     MayHaveRun(u32),
-    /// The part of this shard failed in all its attempts.
+    /// The part of this shard failed in all permitted attempts.
     AttemptsSpent(u32),
-    /// The run stores that took it broke off.
+    /// The run stores that received the query reset their connections, and none of its parts completed.
     Poison,
-    /// As much was held as may be.
+    /// The limit on held queries and parts was reached.
     MaxOpen,
-    /// Its client's time was up.
+    /// The client's deadline passed while the query was still held.
     Overdue,
-    /// What had come in was too little for the answer that was meant.
+    /// The completed parts were too few for the answer that the module decided on.
     TooLittle,
 }
 
 impl Cause {
-    /// Its code, as logs and figures have it.
+    /// Returns its code, as used in logs and metrics.
     pub fn code(self) -> &'static str {
         match self {
             Cause::Unknown => "unknown",
@@ -221,111 +223,111 @@
         }
     }
 
-    /// In words.
+    /// Returns a description for operators.
     pub fn words(self) -> String {
         match self {
             Cause::Unknown => "the cause was not recorded".into(),
             Cause::NoList => "no run store was listed".into(),
             Cause::NoHolder(no) => format!("no listed run store held shard {no}"),
             Cause::Drained(no) => format!("all run stores that held shard {no} were being drained"),
-            Cause::AllParked(no) => format!("all run stores that held shard {no} had fallen silent"),
+            Cause::AllParked(no) => format!("all run stores that held shard {no} were parked"),
             Cause::BeyondShare => "the run stores were busy and the group was beyond its share".into(),
             Cause::PredictedLate => "the run stores were busy and the answer would have come too late".into(),
-            Cause::TimeUp => "too few parts had come in when its time was up".into(),
+            Cause::TimeUp => "too few parts had completed when its time was up".into(),
             Cause::MayHaveRun(no) => {
                 format!("the part of shard {no} failed, may have run, and must not run twice")
             }
             Cause::AttemptsSpent(no) => format!("the part of shard {no} failed in all its attempts"),
-            Cause::Poison => "the run stores that took it broke off".into(),
-            Cause::MaxOpen => "as much was held as may be (max_open)".into(),
-            Cause::Overdue => "its client's time was up".into(),
-            Cause::TooLittle => "what had come in was too little for the answer that was meant".into(),
+            Cause::Poison => "the run stores that received it reset their connections".into(),
+            Cause::MaxOpen => "the limit on held queries and parts was reached (max_open)".into(),
+            Cause::Overdue => "its client's deadline had passed".into(),
+            Cause::TooLittle => "too few parts had completed for the answer that was decided on".into(),
         }
     }
 }
 
-/// Why an attempt was made, or called back.
+/// The reason why an attempt was made or cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Why {
-    /// It was not recorded.
+    /// The reason was not recorded.
     Unknown,
-    /// It was the first of its part.
+    /// It was the first attempt of its part.
     First,
-    /// The last one had ended so.
+    /// The previous attempt ended with this outcome.
     After(Outcome),
-    /// The last one's run store had been silent for too long.
+    /// The run store of the previous attempt was silent for too long.
     Silent,
-    /// The last one's run store had answered several later parts first.
+    /// The run store of the previous attempt answered several later parts first.
     Overtaken,
-    /// The last one went on an idle connection of those that are dropped unseen.
+    /// The previous attempt used an idle connection, and idle connections were being dropped without notice.
     Dropped,
-    /// Its query was over.
+    /// The query had ended.
     Over,
 }
 
 impl Why {
-    /// In words.
+    /// Returns a description for operators.
     pub fn words(self) -> String {
         match self {
-            Why::Unknown => "why was not recorded".into(),
+            Why::Unknown => "reason not recorded".into(),
             Why::First => "the first".into(),
-            Why::After(outcome) => format!("as the last one ended {}", outcome.code()),
-            Why::Silent => "as its run store was silent for too long".into(),
-            Why::Overtaken => "as its run store answered several later parts first".into(),
-            Why::Dropped => "as idle connections are being dropped unseen".into(),
-            Why::Over => "as the query is over".into(),
+            Why::After(outcome) => format!("because the previous one ended {}", outcome.code()),
+            Why::Silent => "because its run store was silent for too long".into(),
+            Why::Overtaken => "because its run store answered several later parts first".into(),
+            Why::Dropped => "because idle connections are being dropped without notice".into(),
+            Why::Over => "because the query is over".into(),
         }
     }
 }
 
-/// Why a part went to a run store.
+/// The reason why a run store was chosen for a part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Choice {
-    /// It was not recorded.
+    /// The reason was not recorded.
     Unknown,
-    /// It would finish first there.
+    /// It had the earliest predicted finish.
     Least,
-    /// No other that held its shard took parts.
+    /// No other run store that held the shard accepted parts.
     Only,
-    /// All that held its shard had fallen silent, and this one was rated best.
+    /// All run stores that held the shard were parked, and this one was rated best.
     BestParked,
 }
 
 impl Choice {
-    /// In words.
+    /// Returns a description for operators.
     pub fn words(self) -> &'static str {
         match self {
-            Choice::Unknown => "why there was not recorded",
-            Choice::Least => "least finish there",
-            Choice::Only => "no other takes parts of this shard",
+            Choice::Unknown => "reason for the choice not recorded",
+            Choice::Least => "earliest predicted finish",
+            Choice::Only => "no other accepts parts of this shard",
             Choice::BestParked => "all of this shard are parked, this one is rated best",
         }
     }
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served.
+    /// The part was served.
     Completed,
     /// The run store returned an error.
     Errored,
-    /// Turned away unseen.
+    /// The run store rejected the part without running it.
     Rejected,
-    /// No answer in time.
+    /// No answer arrived within the timeout.
     TimedOut,
-    /// No connection.
+    /// No connection could be established.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// Called back.
+    /// The attempt was cancelled.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Its code.
+    /// Returns its code, as used in logs.
     pub fn code(self) -> &'static str {
         match self {
             Outcome::Completed => "completed",
@@ -340,54 +342,54 @@
     }
 }
 
-/// A run store's word on its load.
+/// A load report of a run store.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Parts waiting.
+    /// The number of queued parts.
     pub queue: Option<Num>,
-    /// Parts in hand.
+    /// The number of parts being processed.
     pub in_flight: Option<Num>,
-    /// The busy share of its cores.
+    /// The fraction of its cores that is busy.
     pub utilization: Option<Num>,
-    /// Parts served a second.
+    /// The number of parts served per second.
     pub throughput: Option<Num>,
 }
 
-/// Something that the module was told.
+/// An input event of the decision module.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// The list of run stores.
+    /// An update of the list of run stores.
     List(ListKind, Vec<Line>),
-    /// A query.
+    /// A new query.
     Query {
         /// Its number.
         query: u64,
-        /// The place of its class.
+        /// The index of its class.
         class: u32,
-        /// The place of its group.
+        /// The index of its group.
         group: Option<u32>,
-        /// What it is about.
+        /// Its key.
         key: Option<Name>,
-        /// When it came, against the step's time.
+        /// Its arrival time, relative to the step's time.
         arrived: Num,
-        /// When its client gives up, against the step's time.
+        /// Its deadline, relative to the step's time.
         deadline: Num,
         /// Its number of parts.
         parts: u32,
-        /// Whether its client said that it is a repeat.
+        /// Whether its client marked it as a retry.
         retry: bool,
     },
     /// A part of a query.
     Part {
-        /// Its query.
+        /// The query.
         query: u64,
-        /// Its shard.
+        /// The shard.
         shard: u32,
         /// Its share of the answer.
         weight: Num,
-        /// Its work, where that is guessed.
+        /// Its estimated work, if there is an estimate.
         hint: Option<Num>,
-        /// What it is about.
+        /// Its key.
         key: Option<Name>,
     },
     /// The end of an attempt.
@@ -398,102 +400,102 @@
         shard: u32,
         /// The attempt's number, from 0.
         attempt: u32,
-        /// Where it went.
+        /// The run store that it was sent to.
         run_store: Name,
-        /// How it ended.
+        /// Its outcome.
         outcome: Outcome,
-        /// How long it was out.
+        /// The time that the attempt took.
         latency: Num,
-        /// What the run store said of its load.
+        /// The load report that came with the answer.
         load: Option<Load>,
     },
     /// The end of a probe.
     Probe {
-        /// Where it went.
+        /// The run store that was probed.
         run_store: Name,
-        /// Whether there was an answer.
+        /// Whether it answered.
         ok: bool,
-        /// What the run store said of its load.
+        /// The load report that came with the answer.
         load: Option<Load>,
     },
-    /// A query's client has left, or its time is up.
+    /// The client of a query left, or the query's deadline passed.
     Gone(u64),
-    /// The time that the module asked for.
+    /// The timer that the module requested expired.
     Wake,
 }
 
-/// Something that the module said.
+/// An action of the decision module.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Action {
     /// Send a part.
     Send {
-        /// Its query.
+        /// The query.
         query: u64,
-        /// Its shard.
+        /// The shard.
         shard: u32,
-        /// Where to.
+        /// The run store to send it to.
         run_store: Name,
-        /// How long to wait.
+        /// The timeout of the attempt.
         timeout: Num,
-        /// Why.
+        /// The reason for the attempt.
         why: Why,
-        /// Why there.
+        /// The reason for the choice of run store.
         choice: Choice,
     },
-    /// Call an attempt back.
+    /// Cancel an attempt.
     Cancel {
-        /// Its query.
+        /// The query.
         query: u64,
-        /// Its shard.
+        /// The shard.
         shard: u32,
-        /// Its number.
+        /// The attempt's number, from 0.
         attempt: u32,
-        /// Why.
+        /// The reason for the cancellation.
         why: Why,
     },
     /// Answer a query.
     Answer {
         /// The query.
         query: u64,
-        /// Whether that is whole.
+        /// Whether the answer is whole.
         whole: bool,
     },
     /// Refuse a query.
     Refuse {
         /// The query.
         query: u64,
-        /// How long its client should stay away.
+        /// How long the client should wait before it tries again.
         retry_after: Num,
-        /// Why.
+        /// The reason.
         cause: Cause,
     },
     /// Fail a query.
     Fail {
         /// The query.
         query: u64,
-        /// How long its client should stay away.
+        /// How long the client should wait before it tries again.
         retry_after: Num,
-        /// Why.
+        /// The reason.
         cause: Cause,
     },
     /// Probe a run store.
     Probe(Name),
     /// Close a run store's idle connections.
     CloseIdle(Name),
-    /// Watch the directory.
+    /// Subscribe to the directory.
     Subscribe,
-    /// Step again then, against the step's time.
+    /// Run the next step at this time, relative to the step's time.
     WakeAt(Num),
-    /// A line for people.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// A query, as it was taken.
+/// A query that was accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Taken {
     /// Its number.
     pub query: u64,
-    /// What its client calls it.
+    /// The id that its client gave it.
     pub name: Name,
     /// Its class.
     pub class: Name,
@@ -501,28 +503,28 @@
     pub group: Option<Name>,
     /// Its number of parts.
     pub parts: u32,
-    /// How long its client waits.
+    /// How long its client waits for the answer.
     pub timeout: Num,
-    /// Whether its client said that it is a repeat.
+    /// Whether its client marked it as a retry.
     pub retry: bool,
 }
 
-/// How a query ended.
+/// The way in which a query ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum How {
-    /// Answered whole.
+    /// The client got a whole answer.
     Whole,
-    /// Answered from some parts.
+    /// The client got a partial answer.
     Partial,
-    /// Refused: trying again is harmless.
+    /// The query was refused; a retry is safe.
     Refused,
-    /// Failed.
+    /// The query failed.
     Failed,
-    /// Its client left first.
+    /// The client disconnected before there was an answer.
     Left,
 }
 
-/// The one end of a query.
+/// The end of a query. Each query has exactly one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Verdict {
     /// Its number.
@@ -531,29 +533,29 @@
     pub class: Name,
     /// Its group.
     pub group: Option<Name>,
-    /// The time since it was taken.
+    /// The time since it was accepted.
     pub took: Num,
-    /// How it ended.
+    /// The way in which it ended.
     pub how: How,
-    /// Why it was refused or failed, if it was.
+    /// The reason, if it was refused or failed.
     pub cause: Option<Cause>,
-    /// Parts that were in.
+    /// The number of completed parts.
     pub parts_in: u32,
-    /// Parts that were asked for.
+    /// The number of requested parts.
     pub parts: u32,
 }
 
-/// How far an attempt got on its connection.
+/// How much of an attempt was written to its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Progress {
-    /// Its first byte was written, or may have been; its last one was not, as the connection ended.
+    /// Its first byte was written, or may have been, but the connection ended before its last byte was written.
     Begun,
-    /// Its last byte is written: from here on it may run. The first one was so much earlier, in milliseconds, if that
-    /// is known.
+    /// Its last byte was written, so it may run from now on. Holds the time between the first and the last byte, in
+    /// milliseconds, if known.
     Written(Option<Num>),
 }
 
-/// An attempt on its way: one record for its bytes.
+/// The progress of an attempt on its connection. There is one such record per attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Wire {
     /// The query.
@@ -562,57 +564,57 @@
     pub shard: u32,
     /// The attempt's number.
     pub attempt: u32,
-    /// How far it got.
+    /// How much of it was written.
     pub progress: Progress,
 }
 
 /// The end of a connection.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Closed {
-    /// What it connected to.
+    /// The kind of the peer.
     pub kind: String,
-    /// The other side's address.
+    /// The address of the peer.
     pub peer: String,
-    /// The reason's code.
+    /// The code of the reason.
     pub code: String,
-    /// What else the log says of it.
+    /// Further detail from the log.
     pub note: String,
 }
 
-/// Counts of a class.
+/// The counters of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassCounts {
     /// The class.
     pub class: Name,
-    /// Answered.
+    /// The number of queries answered.
     pub ok: u64,
-    /// Refused.
+    /// The number of queries refused.
     pub shed: u64,
-    /// Failed, or not taken.
+    /// The number of queries that failed or were not accepted.
     pub errors: u64,
 }
 
-/// Counts since the start of the process.
+/// The counters since the start of the process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Queries taken.
+    /// The number of queries accepted.
     pub taken: u64,
-    /// Queries whose clients left first.
+    /// The number of queries whose client disconnected before there was an answer.
     pub left: u64,
-    /// Attempts written whole.
+    /// The number of attempts that were written completely.
     pub tries: u64,
-    /// Queries that are held.
+    /// The number of queries that are currently held.
     pub active: u64,
-    /// Ends by class.
+    /// The ends of queries by class.
     pub classes: Vec<ClassCounts>,
 }
 
-/// What could not be kept.
+/// Records that could not be stored.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Loss {
-    /// Records lost.
+    /// The number of lost records.
     pub records: u64,
-    /// The time of the first of them.
+    /// The time of the first lost record.
     pub from: Num,
 }
 
@@ -626,7 +628,7 @@
 }
 
 impl Record {
-    /// Visits all names of the record.
+    /// Calls `visit` with each name in the record.
     pub fn names(&mut self, visit: Visit) {
         match self {
             Record::Checkpoint(checkpoint) => checkpoint.told.names(visit),
@@ -652,7 +654,7 @@
         }
     }
 
-    /// Visits the numbers of the queries that the record is about.
+    /// Calls `visit` with the number of each query that the record refers to.
     pub fn queries(&self, visit: &mut dyn FnMut(u64)) {
         match self {
             Record::Step(step) => {
@@ -666,7 +668,7 @@
         }
     }
 
-    /// The free text of the record, in which names may stand too.
+    /// Calls `visit` with each free-form text in the record. Such texts may contain names.
     pub fn texts(&mut self, visit: &mut dyn FnMut(&mut String)) {
         match self {
             Record::Step(step) => {
@@ -684,7 +686,7 @@
 }
 
 impl Event {
-    /// The query that it is about.
+    /// Returns the number of the query that it refers to.
     pub fn query(&self) -> Option<u64> {
         match self {
             Event::Query { query, .. } | Event::Part { query, .. } | Event::Ended { query, .. } => {
@@ -712,7 +714,7 @@
 }
 
 impl Action {
-    /// The query that it is about.
+    /// Returns the number of the query that it refers to.
     pub fn query(&self) -> Option<u64> {
         match self {
             Action::Send { query, .. }
