--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -1,4 +1,5 @@
-//! Blocks: some entries with the names they use, compressed and guarded by a checksum, readable by themselves.
+//! Blocks: batches of entries with the names that they use, compressed and protected by a checksum. Each block can be
+//! decoded independently.
 
 use std::sync::Arc;
 
@@ -10,41 +11,44 @@
 use crate::record::{Entry, Kind, Name, Record};
 use crate::{Error, VERSION};
 
-/// The first bytes of each block; by them blocks are found where others are damaged.
+/// The first bytes of each block. A scan of a damaged file finds blocks by them.
 pub const MAGIC: [u8; 8] = *b"\x89IPBLK\r\n";
-/// The length of the part before the payload, in bytes.
+/// The length of a block's header, in bytes.
 pub const HEAD: usize = 52;
-/// The longest payload that is believed, in bytes, so that a wrong length costs no memory.
+/// The maximum length of a payload, in bytes. It limits the memory that a corrupt length can allocate.
 pub const MOST_PAYLOAD: u32 = 64 << 20;
-/// The codec of a block that is stored as it is, of one compressed by LZ4's block format, and of one by zstd.
+/// The codec of an uncompressed payload.
 const PLAIN: u8 = 0;
+/// The codec of a payload in LZ4's block format.
 const LZ4: u8 = 1;
+/// The codec of a payload compressed by zstd.
 const ZSTD: u8 = 2;
-/// The level of zstd; higher ones gain nothing on these blocks, see `docs/measurements/trace.md`.
+/// The zstd compression level. Higher levels gain nothing on these blocks, see `docs/measurements/trace.md`.
 const LEVEL: i32 = 1;
 
-/// Kinds of names.
+/// The number of variants of [`Kind`].
 const KINDS: usize = 5;
 
-/// What stands before a payload.
+/// The header of a block.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Head {
-    /// The version of its records.
+    /// The format version of the records.
     pub version: u8,
-    /// How it is compressed.
+    /// The codec of the payload.
     codec: u8,
-    /// Whose entries they are, by the place in the file's list of sources.
+    /// The process that the entries belong to, as an index into the file's list of sources.
     pub source: u16,
-    /// How many entries there are.
+    /// The number of entries.
     pub records: u32,
-    /// The payload's length as it is, and as it is stored, in bytes.
+    /// The length of the payload before compression, in bytes.
     pub raw: u32,
-    /// See `raw`.
+    /// The length of the payload as stored, in bytes.
     pub stored: u32,
-    /// The time of the first entry, and the latest time of any, in Unix milliseconds.
+    /// The time of the first entry, in Unix milliseconds.
     pub first: f64,
-    /// See `first`.
+    /// The latest time of any entry, in Unix milliseconds.
     pub last: f64,
+    /// The checksum of the payload as stored.
     crc: u32,
 }
 
@@ -65,7 +69,7 @@
         bytes
     }
 
-    /// Reads what stands before a payload; `None` if that is not sound.
+    /// Parses a block header. Returns `None` if it is not intact.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let bytes = bytes.get(..HEAD)?;
         let word = |at: usize| bytes[at..at + 4].try_into().map(u32::from_le_bytes).unwrap_or(0);
@@ -87,22 +91,23 @@
     }
 }
 
-/// Entries being collected for a block.
+/// Entries that are collected for a block.
 #[derive(Debug, Default)]
 pub struct Batch {
     names: Vec<(Kind, Arc<str>)>,
-    /// The places of names, by kind.
+    /// The index of each name in `names`, by kind.
     places: [FxHashMap<Arc<str>, Name>; KINDS],
     bytes: Vec<u8>,
     records: u32,
     first: f64,
     last: f64,
     queries: Vec<u64>,
+    /// Hashes of client ids, each with the number of its query.
     called: Vec<(u64, u64)>,
 }
 
 impl Batch {
-    /// The place of a name in this block's table.
+    /// Returns the index of a name in this block's name table, adding it if it is new.
     pub fn name(&mut self, kind: Kind, text: &Arc<str>) -> Name {
         let places = &mut self.places[kind as usize];
         if let Some(name) = places.get(&**text) {
@@ -114,10 +119,10 @@
         name
     }
 
-    /// Adds an entry, whose names are of this block's table.
+    /// Adds an entry. Its names must be from this block's table.
     ///
     /// # Errors
-    /// If the entry cannot be written down, which only a lack of memory can cause.
+    /// If the entry cannot be serialized, which only a lack of memory can cause.
     pub fn push(&mut self, at: f64, record: &Record) -> Result<(), Error> {
         if self.records == 0 {
             (self.first, self.last) = (at, at);
@@ -140,27 +145,28 @@
         Ok(())
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn records(&self) -> u32 {
         self.records
     }
 
-    /// The bytes of the entries, before compression.
+    /// Returns the size of the entries before compression, in bytes.
     pub fn size(&self) -> usize {
         self.bytes.len()
     }
 
-    /// The time of the first entry.
+    /// Returns the time of the first entry.
     pub fn first(&self) -> f64 {
         self.first
     }
 
-    /// The latest time of any entry.
+    /// Returns the latest time of any entry.
     pub fn last(&self) -> f64 {
         self.last
     }
 
-    /// The queries that the entries are about, in order, and what they are called, by hash.
+    /// Takes what the index needs: the sorted numbers of the queries in the entries, and the hashes of their client
+    /// ids, each with the query's number.
     pub(crate) fn about(&mut self) -> (Vec<u64>, Vec<(u64, u64)>) {
         let mut queries = std::mem::take(&mut self.queries);
         queries.sort_unstable();
@@ -168,11 +174,11 @@
         (queries, std::mem::take(&mut self.called))
     }
 
-    /// The block as it is stored, as one of some source, compressed by a compressor of [`compressor`]: making one for
-    /// each block costs more than compressing it.
+    /// Serializes the block as one of `source`. The caller keeps one [`compressor`] for all blocks, as creating it
+    /// costs more than compressing a block.
     ///
     /// # Errors
-    /// If it cannot be written down, which only a lack of memory or an absurd size can cause.
+    /// If the payload exceeds [`MOST_PAYLOAD`] or there is not enough memory.
     pub fn seal(&self, source: u16, zstd: &mut Compressor<'static>) -> Result<(Head, Vec<u8>), Error> {
         let names: Vec<(Kind, &str)> = self.names.iter().map(|(kind, text)| (*kind, &**text)).collect();
         let mut raw = postcard::to_extend(&names, Vec::with_capacity(self.bytes.len() + 1024))?;
@@ -198,24 +204,24 @@
     }
 }
 
-/// What compresses blocks.
+/// Creates a compressor for blocks.
 ///
 /// # Errors
-/// If there is no memory for it.
+/// If there is not enough memory.
 pub fn compressor() -> std::io::Result<Compressor<'static>> {
     Compressor::new(LEVEL)
 }
 
-/// A block that was read.
+/// A decoded block.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Block {
-    /// The version it was written in.
+    /// The format version that it was written in.
     pub version: u8,
-    /// Whose entries they are, by the place in the file's list of sources.
+    /// The process that the entries belong to, as an index into the file's list of sources.
     pub source: u16,
-    /// Its table of names.
+    /// Its name table.
     pub names: Vec<(Kind, Arc<str>)>,
-    /// Its entries, in the order of their making.
+    /// Its entries, in the order in which they were recorded.
     pub entries: Vec<Entry>,
 }
 
@@ -223,20 +229,20 @@
 struct Row(Kind, String);
 
 impl Block {
-    /// The text of a name; a mark where the table lacks it.
+    /// Returns the text of a name, or `?` if it is not in the table.
     pub fn text(&self, name: Name) -> &str {
         self.names.get(name.0 as usize).map_or("?", |(_, text)| text)
     }
 
-    /// Whether a payload is the one that was written.
+    /// Returns whether a stored payload matches the length and checksum in its header.
     pub fn is_sound(head: &Head, stored: &[u8]) -> bool {
         stored.len() == head.stored as usize && crc32fast::hash(stored) == head.crc
     }
 
-    /// Reads a block.
+    /// Decodes a block from its header and stored payload.
     ///
     /// # Errors
-    /// If it is damaged, or of a version or codec that is not known.
+    /// If it is damaged, or its version or codec is not supported.
     pub fn open(head: &Head, stored: &[u8]) -> Result<Self, Error> {
         if !Block::is_sound(head, stored) {
             return Err(Error::Damaged);
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -1,4 +1,4 @@
-//! Segments: files of blocks with a header before them and an index behind them.
+//! Segment files: a header, a sequence of blocks, and an index.
 
 use std::io::{Read, Seek, SeekFrom, Write};
 
@@ -11,45 +11,45 @@
 
 /// The first bytes of a segment.
 pub const MAGIC: [u8; 8] = *b"\x89IPTRC\r\n";
-/// What stands before the header's body: magic, version, the body's length and checksum.
+/// The length of the fixed part before the header's body, in bytes: magic, version, length and checksum of the body.
 const HEAD: usize = 20;
-/// The longest header that is believed, in bytes.
+/// The maximum accepted length of a header's body, in bytes. A greater length is treated as damage.
 const MOST_HEADER: u32 = 16 << 20;
 
-/// A process whose entries a segment holds.
+/// A process whose entries are in a segment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Source {
     /// The aggregator's name.
     pub aggregator: String,
-    /// When the process started, in Unix milliseconds: it tells processes of one name apart.
+    /// The start time of the process, in Unix milliseconds. It distinguishes processes of the same aggregator.
     pub started: u64,
-    /// The process's number on its machine, which does the same where two start at once.
+    /// The process id. It distinguishes processes that started at the same time.
     pub process: u32,
-    /// The source of chance it was given.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// The program's version.
+    /// The program version.
     pub program: String,
-    /// The settings object in force when the segment was begun, as JSON.
+    /// The settings object in force when the segment was created, as JSON.
     pub settings: String,
 }
 
 impl Source {
-    /// Whether both are one process.
+    /// Returns whether both are the same process.
     pub fn is(&self, other: &Source) -> bool {
         (&self.aggregator, self.started, self.process) == (&other.aggregator, other.started, other.process)
     }
 }
 
-/// What a segment says of itself.
+/// The header of a segment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// Its processes: one as recorded, more after a merge.
+    /// The processes whose entries it holds: one in a recording, several after a merge.
     pub sources: Vec<Source>,
-    /// Its number among those of its process.
+    /// The sequence number of the segment within its process.
     pub segment: u64,
 }
 
-/// Writes a segment.
+/// A writer of a segment.
 pub struct Writer<W> {
     out: W,
     at: u64,
@@ -58,10 +58,10 @@
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins a segment.
+    /// Creates a segment and writes its header.
     ///
     /// # Errors
-    /// If the writer fails.
+    /// If the underlying writer fails.
     pub fn new(mut out: W, header: &Header) -> Result<Self, Error> {
         let body = postcard::to_stdvec(header)?;
         let mut bytes = MAGIC.to_vec();
@@ -74,10 +74,10 @@
         Ok(Writer { out, at, index, zstd: block::compressor()? })
     }
 
-    /// Adds a block of a source, if there is anything in it.
+    /// Appends a block of entries of `source`. An empty batch is ignored.
     ///
     /// # Errors
-    /// If the writer fails. What is in the file by then may end in half a block, which readers pass over.
+    /// If the underlying writer fails. The file may then end in an incomplete block, which readers skip.
     pub fn add(&mut self, source: u16, mut batch: Batch) -> Result<(), Error> {
         if batch.records() == 0 {
             return Ok(());
@@ -90,15 +90,15 @@
         Ok(())
     }
 
-    /// The file's length so far, in bytes.
+    /// Returns the length of the file so far, in bytes.
     pub fn size(&self) -> u64 {
         self.at
     }
 
-    /// Ends the segment by its index; gives the writer back.
+    /// Writes the index and returns the underlying writer.
     ///
     /// # Errors
-    /// If the writer fails.
+    /// If the underlying writer fails.
     pub fn finish(mut self) -> Result<W, Error> {
         self.at += self.index.write(self.at, &mut self.out)?;
         self.out.flush()?;
@@ -106,16 +106,16 @@
     }
 }
 
-/// A stretch of a file that holds no sound block.
+/// A byte range of a file that contains no intact block.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Damage {
-    /// Where it begins, in bytes.
+    /// Its offset, in bytes.
     pub at: u64,
-    /// How long it is, in bytes.
+    /// Its length, in bytes.
     pub length: u64,
 }
 
-/// Reads a segment.
+/// A reader of a segment.
 pub struct Reader<R> {
     file: R,
     header: Option<Header>,
@@ -125,10 +125,10 @@
 }
 
 impl<R: Read + Seek> Reader<R> {
-    /// Opens a segment. By its index if it has one; else by looking through all of it, as after a crash.
+    /// Opens a segment. Uses the index if there is one; otherwise, as after a crash, scans the whole file for blocks.
     ///
     /// # Errors
-    /// If the reader fails, or the file is no trace or of a version that is not known.
+    /// If the underlying reader fails, the file is not a trace, or its version is not supported.
     pub fn open(mut file: R) -> Result<Self, Error> {
         let (header, body) = read_header(&mut file)?;
         let index = if header.is_some() { Index::read(&mut file)? } else { None };
@@ -143,12 +143,12 @@
         Ok(reader)
     }
 
-    /// Finds the sound blocks behind some place.
+    /// Scans the file from an offset for intact blocks.
     fn scan(&mut self, from: u64) -> Result<(), Error> {
         let mut bytes = Vec::new();
         self.file.seek(SeekFrom::Start(from))?;
         self.file.read_to_end(&mut bytes)?;
-        // All before `at` is told of.
+        // Everything before `at` is already reported, as a block or as damage.
         let (mut at, mut look) = (0, 0);
         while let Some(found) = find(&bytes, look) {
             let head = Head::read(&bytes[found..]);
@@ -175,38 +175,38 @@
         }
     }
 
-    /// What the segment says of itself, if that can be read.
+    /// Returns the header, if it is intact.
     pub fn header(&self) -> Option<&Header> {
         self.header.as_ref()
     }
 
-    /// Its sound blocks, as far as their heads tell.
+    /// Returns the locations of the blocks. With an index, their payloads have not been checked yet.
     pub fn blocks(&self) -> &[BlockAt] {
         &self.blocks
     }
 
-    /// Whether it was ended in order and its index is there.
+    /// Returns whether the segment was finished, that is, whether it has an index.
     pub fn is_complete(&self) -> bool {
         self.index.is_some()
     }
 
-    /// What could not be read. Where there is an index, damage shows only as blocks are read.
+    /// Returns the damaged ranges found by the scan. With an index, damage is found only when blocks are read.
     pub fn damage(&self) -> &[Damage] {
         &self.damage
     }
 
-    /// Whether the index is the one that was written; `None` if there is none.
+    /// Verifies the checksums of the index. Returns `None` if there is no index.
     ///
     /// # Errors
-    /// If the reader fails.
+    /// If the underlying reader fails.
     pub fn index_is_sound(&mut self) -> Result<Option<bool>, Error> {
         self.index.as_ref().map(|index| index.is_sound(&mut self.file)).transpose()
     }
 
-    /// Reads a block by its place among [`Reader::blocks`].
+    /// Reads a block by its index in [`Reader::blocks`].
     ///
     /// # Errors
-    /// If the reader fails or the block is damaged.
+    /// If the underlying reader fails or the block is damaged.
     pub fn block(&mut self, no: usize) -> Result<Block, Error> {
         let at = *self.blocks.get(no).ok_or(Error::Damaged)?;
         let mut bytes = vec![0; at.length as usize];
@@ -216,11 +216,11 @@
         Block::open(&head, bytes.get(block::HEAD..).unwrap_or_default())
     }
 
-    /// The blocks among which all entries about a query are, by its source and number; all blocks where there is
-    /// no index.
+    /// Returns the range of blocks that contains all entries of a query, given by source and number. Without an
+    /// index, returns all blocks.
     ///
     /// # Errors
-    /// If the reader fails.
+    /// If the underlying reader fails.
     pub fn about(&mut self, source: u16, query: u64) -> Result<std::ops::Range<usize>, Error> {
         match &self.index {
             Some(index) => {
@@ -231,17 +231,17 @@
         }
     }
 
-    /// The queries, by source and number, that are called so by their clients.
+    /// Returns the queries with the given client id, as source and number.
     ///
     /// # Errors
-    /// If the reader fails.
+    /// If the underlying reader fails.
     pub fn called(&mut self, name: &str) -> Result<Vec<(u16, u64)>, Error> {
         let Some(index) = &self.index else { return self.look_for(name) };
         let found = index.called(&mut self.file, name)?;
         Ok(found.into_iter().map(|key| ((key >> 48) as u16, key & ((1 << 48) - 1))).collect())
     }
 
-    /// The same without an index: through all blocks.
+    /// Implements [`Reader::called`] without an index, by reading all blocks.
     fn look_for(&mut self, name: &str) -> Result<Vec<(u16, u64)>, Error> {
         let mut found = Vec::new();
         for no in 0..self.blocks.len() {
@@ -263,7 +263,7 @@
     rest.windows(block::MAGIC.len()).position(|window| window == block::MAGIC).map(|at| from + at)
 }
 
-/// The header, if it is sound, and where what follows it begins.
+/// Reads the header. Returns it if it is intact, and the offset from which to scan for blocks.
 fn read_header(file: &mut (impl Read + Seek)) -> Result<(Option<Header>, u64), Error> {
     let length = file.seek(SeekFrom::End(0))?;
     file.seek(SeekFrom::Start(0))?;
@@ -275,7 +275,7 @@
     let word = |at: usize| head[at..at + 4].try_into().map(u32::from_le_bytes).unwrap_or(0);
     let (version, size, crc) = (word(8), word(12), word(16));
     if head[..8] != MAGIC || size > MOST_HEADER || u64::from(size) + HEAD as u64 > length {
-        // Damaged, or cut short within the header; blocks speak for themselves.
+        // The header is damaged or truncated; intact blocks can still be found by their own headers.
         return Ok((None, 0));
     }
     let mut body = vec![0; size as usize];
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -1,5 +1,5 @@
-//! The index at the end of a segment: where each block and each query is. It is looked through on the disk, a few
-//! reads for a query, whatever the size of the segment.
+//! The index at the end of a segment, which locates blocks and queries. The query and name tables are sorted and
+//! searched on disk, so that a lookup takes a few reads even in a large segment.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Seek, SeekFrom, Write};
@@ -7,46 +7,50 @@
 use crate::block::Head;
 use crate::Error;
 
-/// The last bytes of a segment that ended in order.
+/// The last bytes of a finished segment.
 pub const MAGIC: [u8; 8] = *b"\x89IPEND\r\n";
-/// The length of the part that says where the tables are, in bytes.
+/// The length of the trailer, which locates the tables, in bytes.
 const TRAILER: usize = 56;
+/// The length of a row of the block table, in bytes.
 const BLOCK_ROW: usize = 38;
+/// The length of a row of the query table, in bytes.
 const QUERY_ROW: usize = 16;
+/// The length of a row of the name table, in bytes.
 const NAME_ROW: usize = 16;
 
-/// The hash under which a query's name is found.
+/// Returns the hash under which the index stores a query's client id.
 pub fn hash(name: &str) -> u64 {
     let bytes = *blake3::hash(name.as_bytes()).as_bytes();
     u64::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3], bytes[4], bytes[5], bytes[6], bytes[7]])
 }
 
-/// Where a block is, and what it spans.
+/// The location and extent of a block.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BlockAt {
-    /// Its place in the file, in bytes.
+    /// Its offset in the file, in bytes.
     pub offset: u64,
-    /// Its length, with what stands before its payload, in bytes.
+    /// Its length including the block header, in bytes.
     pub length: u32,
-    /// How many entries there are.
+    /// The number of entries.
     pub records: u32,
-    /// Its length before compression, in bytes.
+    /// The length of its payload before compression, in bytes.
     pub raw: u32,
-    /// The time of its first entry, and the latest of any.
+    /// The time of its first entry, in Unix milliseconds.
     pub first: f64,
-    /// See `first`.
+    /// The latest time of any entry, in Unix milliseconds.
     pub last: f64,
-    /// Whose entries they are, by the place in the file's list of sources.
+    /// The process that the entries belong to, as an index into the file's list of sources.
     pub source: u16,
 }
 
-/// A query under its source: numbers are each process's own.
+/// Returns the index key of a query: the source in the upper 16 bits, as query numbers are unique only within a
+/// process, and the number in the lower 48.
 pub fn key(source: u16, query: u64) -> u64 {
     u64::from(source) << 48 | query & ((1 << 48) - 1)
 }
 
 impl BlockAt {
-    /// A block that begins at a place.
+    /// Creates the location of a block at an offset from its header.
     pub fn new(offset: u64, head: &Head) -> Self {
         BlockAt {
             offset,
@@ -60,16 +64,18 @@
     }
 }
 
-/// The index while its segment is written.
+/// The builder of the index of a segment that is being written.
 #[derive(Debug, Default)]
 pub struct Building {
     blocks: Vec<BlockAt>,
+    /// The first and the last block of each query, by [`key`].
     queries: BTreeMap<u64, (u32, u32)>,
+    /// Hashes of client ids, each with the [`key`] of its query.
     names: Vec<(u64, u64)>,
 }
 
 impl Building {
-    /// A block was written: which queries it is about, and what some of them are called.
+    /// Adds a block, with the numbers of its queries, and hashes of client ids with the numbers of their queries.
     pub fn add(&mut self, at: BlockAt, queries: &[u64], called: &[(u64, u64)]) {
         let no = self.blocks.len() as u32;
         self.blocks.push(at);
@@ -79,7 +85,7 @@
         self.names.extend(called.iter().map(|(hash, query)| (*hash, key(at.source, *query))));
     }
 
-    /// Writes the index of a segment whose blocks end at a place.
+    /// Writes the index of a segment whose blocks end at offset `at`. Returns its length in bytes.
     ///
     /// # Errors
     /// If the writer fails.
@@ -121,13 +127,14 @@
     }
 }
 
-/// The index of a segment that ended in order.
+/// The index of a finished segment.
 #[derive(Debug, Clone)]
 pub struct Index {
-    /// Its blocks.
+    /// The blocks of the segment.
     pub blocks: Vec<BlockAt>,
-    /// Where the tables begin, and how long they are, each with its checksum.
+    /// The offset of the first table, in bytes.
     at: u64,
+    /// The length in bytes and the checksum of each table.
     tables: [(u64, u32); 3],
 }
 
@@ -140,7 +147,7 @@
 }
 
 impl Index {
-    /// Reads the index at the end of a file; `None` if there is none that is sound.
+    /// Reads the index at the end of a file. Returns `None` if there is none, or its trailer or block table is damaged.
     ///
     /// # Errors
     /// If the reader fails.
@@ -176,7 +183,7 @@
         Ok(blocks.iter().all(inside).then_some(Index { blocks, ..index }))
     }
 
-    /// Whether all tables are those that were written.
+    /// Verifies the checksums of all tables.
     ///
     /// # Errors
     /// If the reader fails.
@@ -201,7 +208,7 @@
         self.at + self.tables[..which].iter().map(|(length, _)| length).sum::<u64>()
     }
 
-    /// The first row of a table, sorted by its first eight bytes, whose key is not below one.
+    /// Returns the first row with a key of at least `key` in a table that is sorted by its first eight bytes.
     fn seek(&self, file: &mut (impl Read + Seek), which: usize, key: u64) -> Result<u64, Error> {
         let (mut low, mut high) = (0, self.tables[which].0 / 16);
         while low < high {
@@ -222,7 +229,7 @@
         Ok(row)
     }
 
-    /// The blocks among which all entries about a query, by its [`key`], are, by the first and the last of them.
+    /// Returns the first and the last block that contain entries of a query, given by its [`key`].
     ///
     /// # Errors
     /// If the reader fails.
@@ -235,7 +242,7 @@
         Ok((u64_at(&row, 0) == query).then(|| (u32_at(&row, 8), u32_at(&row, 12))))
     }
 
-    /// The keys of the queries that may be called so; other names may have the same hash.
+    /// Returns the keys of the queries whose client id has the same hash as `name`.
     ///
     /// # Errors
     /// If the reader fails.
--- a/crates/trace/src/set.rs
+++ b/crates/trace/src/set.rs
@@ -1,4 +1,5 @@
-//! Several segments read as one trace: of one process, of several of an aggregator, of many aggregators.
+//! Sets of segments that are read as one trace. The segments may come from one process, from several processes of an
+//! aggregator, or from several aggregators.
 
 use std::fs::File;
 use std::io::BufReader;
@@ -12,30 +13,30 @@
 
 /// A segment of a set.
 pub struct Segment {
-    /// Its file.
+    /// The path of its file.
     pub path: PathBuf,
-    /// Its reader.
+    /// The reader of its file.
     pub reader: Reader<BufReader<File>>,
-    /// The place of each of its sources among those of the set.
+    /// For each of its sources, the index in [`Set::sources`].
     sources: Vec<usize>,
 }
 
-/// Segments read as one.
+/// A set of segments that is read as one trace.
 pub struct Set {
-    /// The segments, by the time of their first blocks.
+    /// The segments, sorted by the time of their first block.
     pub segments: Vec<Segment>,
-    /// The processes whose entries they hold, each once.
+    /// The processes whose entries they hold, without duplicates.
     pub sources: Vec<Source>,
-    /// What could not be read, by file.
+    /// Problems met in opening and reading, each with the path of the file.
     pub troubles: Vec<(PathBuf, String)>,
-    /// Who hears how far a walk has come: blocks read, and all of it.
+    /// The progress callback, if any.
     pub progress: Option<Progress>,
 }
 
-/// Hears how far a walk has come: blocks read, and all.
+/// A progress callback. Its arguments are the number of blocks read so far and the total number of blocks.
 pub type Progress = Box<dyn FnMut(usize, usize)>;
 
-/// A block of a set.
+/// The location of a block in a set.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct At {
     segment: usize,
@@ -43,19 +44,20 @@
     first: f64,
 }
 
-/// What [`Set::each`] meets.
+/// An item that [`Set::each`] and [`Set::blockwise`] pass to their callback.
 pub enum Met<'a> {
-    /// An entry of a source.
+    /// An entry, with the index of its source and its block.
     Entry(usize, &'a Block, &'a Entry),
-    /// Entries of a source are missing here, if it is known of which: a block could not be read.
+    /// A block of a source that could not be read, so that entries of this source are missing here.
     Gap(usize),
 }
 
 impl Set {
-    /// Opens files, and the segments in folders.
+    /// Opens the given files, and all segments in the given directories.
     ///
     /// # Errors
-    /// If nothing of them is a trace; files that are none, beside others that are, count as troubles.
+    /// If a given file cannot be opened as a segment, or no segment is found. A file in a directory that cannot be
+    /// opened is only added to [`Set::troubles`].
     pub fn open(paths: &[PathBuf]) -> Result<Self, Error> {
         let mut set = Set { segments: Vec::new(), sources: Vec::new(), troubles: Vec::new(), progress: None };
         for path in paths {
@@ -78,7 +80,7 @@
                 .troubles
                 .first()
                 .map_or(String::new(), |(path, why)| format!(" ({}: {why})", path.display()));
-            return Err(Error::Other(format!("no segment of a trace was found{why}")));
+            return Err(Error::Other(format!("no trace segment was found{why}")));
         }
         let first = |segment: &Segment| segment.reader.blocks().first().map_or(0.0, |block| block.first);
         set.segments.sort_by(|a, b| first(a).total_cmp(&first(b)));
@@ -88,14 +90,13 @@
     fn add(&mut self, path: &Path) -> Result<(), Error> {
         let reader = Reader::open(BufReader::new(File::open(path)?))?;
         for damage in reader.damage() {
-            let why = format!("{} bytes at {} hold no sound block", damage.length, damage.at);
+            let why = format!("{} bytes at offset {} contain no intact block", damage.length, damage.at);
             self.troubles.push((path.into(), why));
         }
         if !reader.is_complete() {
-            self.troubles
-                .push((path.into(), "it has no index: the recording did not end in good order".into()));
+            self.troubles.push((path.into(), "it has no index: the recording was not closed".into()));
         }
-        // A file whose header is lost is a process of its own, as far as can be told.
+        // The sources of a file without a readable header are unknown; it is treated as a process of its own.
         let unknown =
             || vec![Source { aggregator: format!("unknown: {}", path.display()), ..Source::default() }];
         let told = reader.header().map_or_else(unknown, |header| header.sources.clone());
@@ -112,12 +113,12 @@
         self.sources.len() - 1
     }
 
-    /// The place of a source of a segment among those of the set.
+    /// Returns the index in [`Set::sources`] of a source of a segment.
     fn place(&self, segment: usize, source: u16) -> usize {
         self.segments[segment].sources.get(usize::from(source)).copied().unwrap_or(0)
     }
 
-    /// The time of the first entry and the latest time of any; `None` if there is no entry.
+    /// Returns the earliest and the latest time of any entry, or `None` if there are no entries.
     pub fn span(&self) -> Option<(f64, f64)> {
         let blocks = || self.segments.iter().flat_map(|segment| segment.reader.blocks());
         let first = blocks().map(|block| block.first).reduce(f64::min)?;
@@ -152,8 +153,8 @@
         all
     }
 
-    /// Goes through the entries of all blocks that reach into a span, block by block: each source's in their order,
-    /// those of different sources in no order.
+    /// Visits the entries of all blocks that overlap a time span, block by block. Entries of one source are visited
+    /// in order; those of different sources are not ordered relative to each other.
     pub fn blockwise(&mut self, span: (f64, f64), mut visit: impl FnMut(Met)) {
         let all = self.blocks(|block| block.last >= span.0 && block.first <= span.1);
         for (no, at) in all.iter().copied().enumerate() {
@@ -168,16 +169,16 @@
         }
     }
 
-    /// Goes through the entries of all blocks that reach into a span in the order of their times, each source's in
-    /// the order of their making.
+    /// Visits the entries of all blocks that overlap a time span in the order of their times, and those of one source
+    /// in the order in which they were recorded.
     pub fn each(&mut self, span: (f64, f64), mut visit: impl FnMut(Met)) {
         let all = self.blocks(|block| block.last >= span.0 && block.first <= span.1);
         let (count, mut read) = (all.len(), 0);
         let mut coming = all.into_iter().peekable();
-        // The blocks that are open, oldest first: with the place of its source and of its next entry.
+        // The open blocks, oldest first, each with the index of its source and of its next entry.
         let mut open: Vec<(Block, usize, usize)> = Vec::new();
         loop {
-            // Of one source only the oldest block that is open has a say.
+            // Only the oldest open block of each source is considered.
             let next = |open: &[(Block, usize, usize)]| {
                 let mut best: Option<(usize, f64)> = None;
                 for (place, (block, source, entry)) in open.iter().enumerate() {
@@ -212,7 +213,10 @@
         }
     }
 
-    /// Goes through the entries of the blocks in which a query of a source may be met, in the order of their making.
+    /// Visits all entries of the blocks that may contain entries of a query, in the order in which they were recorded.
+    ///
+    /// # Errors
+    /// If a reader fails.
     pub fn about(
         &mut self,
         source: usize,
@@ -236,7 +240,7 @@
         Ok(())
     }
 
-    /// The queries, by source and number, that clients called so, or whose number this is, written `qN` or `N`.
+    /// Finds queries by client id, or else by number, written `qN` or `N`. Returns them as source index and number.
     ///
     /// # Errors
     /// If a reader fails.
