--- a/crates/trace/src/keep.rs
+++ b/crates/trace/src/keep.rs
@@ -1,7 +1,7 @@
-//! Keeping a recording: segments begun and ended, old ones removed, failures of the disk borne.
+//! Storage of a recording: creates and finishes segments, removes old ones, and continues after I/O errors.
 //!
-//! A [`Keeper`] is told jobs and does them on some [`Storage`]; it never gives up for good. What it could not keep it
-//! says, so that a later segment can tell of the loss.
+//! A [`Keeper`] executes jobs on a [`Storage`]. After an error it can always start a new segment. It reports the number
+//! of lost records, so that a later segment can record the loss.
 
 use std::io::{self, Write};
 
@@ -9,61 +9,61 @@
 use crate::file::{Header, Writer};
 use crate::Error;
 
-/// The ending of segments' names.
+/// The file name extension of segments.
 pub const ENDING: &str = ".iptrace";
 
-/// A place for files.
+/// The directory of segment files.
 pub trait Storage {
-    /// A file that is being written.
+    /// A file that is open for writing.
     type File: Write;
 
-    /// Makes a file of a name.
+    /// Creates a file.
     ///
     /// # Errors
-    /// If it cannot be made.
+    /// If the file cannot be created.
     fn create(&mut self, name: &str) -> io::Result<Self::File>;
 
-    /// The files that are there: name, length in bytes, and whether one was written to lately.
+    /// Lists the files: name, length in bytes, and whether the file was written to recently.
     ///
     /// # Errors
-    /// If they cannot be listed.
+    /// If the files cannot be listed.
     fn list(&mut self) -> io::Result<Vec<(String, u64, bool)>>;
 
     /// Removes a file.
     ///
     /// # Errors
-    /// If it cannot be removed.
+    /// If the file cannot be removed.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// Something to do.
+/// A job for a [`Keeper`].
 pub enum Job {
-    /// Begin a segment, which starts with this.
+    /// Finish the current segment, if any, and create a new one with this header and first batch.
     Open(Box<Header>, Batch),
-    /// Add this to the segment.
+    /// Append a batch to the current segment.
     Add(Batch),
-    /// End the segment.
+    /// Finish the current segment.
     Close,
 }
 
-/// What became of a job.
+/// The result of a job.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Done {
-    /// It is done; files were removed to make room.
+    /// The job succeeded.
     Kept {
-        /// Their names.
+        /// The names of the files that were removed to stay within the size limit.
         removed: Vec<String>,
     },
-    /// It is not, and a segment has to be begun anew before anything more is kept.
+    /// The job failed. A new segment must be opened before anything else can be stored.
     Lost {
-        /// Records that were not kept.
+        /// The number of records that were lost.
         records: u64,
-        /// Why.
+        /// The error message.
         why: String,
     },
 }
 
-/// Keeps segments.
+/// Writes the segments of an aggregator and limits their total size.
 pub struct Keeper<S: Storage> {
     storage: S,
     most: u64,
@@ -72,22 +72,22 @@
 }
 
 impl<S: Storage> Keeper<S> {
-    /// A keeper that lets the segments of one aggregator take up so many bytes.
+    /// Creates a keeper that limits the segments of one aggregator to `most` bytes in total.
     pub fn new(storage: S, most: u64) -> Self {
         Keeper { storage, most, writer: None, open: String::new() }
     }
 
-    /// The length of the segment that is being written, in bytes, if one is.
+    /// Returns the length of the open segment, in bytes, if there is one.
     pub fn size(&self) -> Option<u64> {
         self.writer.as_ref().map(Writer::size)
     }
 
-    /// The name of the segment that is being written, or was last.
+    /// Returns the file name of the open segment, or else of the last one.
     pub fn name(&self) -> &str {
         &self.open
     }
 
-    /// Does something.
+    /// Executes a job.
     pub fn take(&mut self, job: Job) -> Done {
         let records = match &job {
             Job::Open(_, batch) | Job::Add(batch) => u64::from(batch.records()),
@@ -101,7 +101,7 @@
         match done {
             Ok(removed) => Done::Kept { removed },
             Err(why) => {
-                // Half a block may stand at its end by now: nothing more goes behind it.
+                // The segment may now end in an incomplete block, so nothing may be appended to it.
                 self.writer = None;
                 Done::Lost { records, why: why.to_string() }
             }
@@ -109,7 +109,7 @@
     }
 
     fn begin(&mut self, header: &Header, batch: Batch) -> Result<Vec<String>, Error> {
-        // That the last one cannot be ended is no reason to begin no other: readers do without its index.
+        // A failure to finish the previous segment is ignored: readers can read it without its index.
         let _ = self.end();
         let source = header.sources.first().ok_or(Error::Damaged)?;
         self.open = name(&source.aggregator, batch.first(), source.process, header.segment);
@@ -131,8 +131,8 @@
         self.writer.take().map_or(Ok(()), |writer| writer.finish().map(|_| ()))
     }
 
-    /// Removes the oldest segments of the aggregator while all together are too long. One that is written to, by
-    /// this or another process, stays.
+    /// Removes the oldest segments of the aggregator until their total size is within the limit. A segment that is
+    /// still written to, by this or another process, is not removed.
     fn make_room(&mut self, aggregator: &str) -> Result<Vec<String>, Error> {
         let mut files: Vec<_> = self.storage.list()?;
         files.retain(|(name, _, _)| parts(name).is_some_and(|(of, _)| of == plain(aggregator)));
@@ -153,7 +153,7 @@
     }
 }
 
-/// The name of a segment's file: aggregator, time of its beginning, process, number.
+/// Returns the file name of a segment: aggregator, start time, process id and segment number.
 pub fn name(aggregator: &str, began: f64, process: u32, segment: u64) -> String {
     format!("{}~{:013}~{process}~{segment:06}{ENDING}", plain(aggregator), began.max(0.0) as u64)
 }
@@ -163,7 +163,7 @@
     aggregator.chars().map(plain).collect()
 }
 
-/// The aggregator and the order of a segment's file, by its name.
+/// Parses the file name of a segment into the aggregator and the sort key (start time, process id, number).
 fn parts(name: &str) -> Option<(&str, (u64, u64, u64))> {
     let mut words = name.strip_suffix(ENDING)?.rsplit('~');
     let mut number = || words.next()?.parse().ok();
--- a/crates/trace/src/num.rs
+++ b/crates/trace/src/num.rs
@@ -1,26 +1,26 @@
-//! Numbers, exact to the bit and short where they can be.
+//! Floating-point numbers with a lossless, compact encoding.
 //!
-//! Replay compares floating-point results bit by bit, so nothing may be rounded. Times of the clock are Unix
-//! milliseconds of about 2^41, which an `f64` holds in steps of 2^-12; what is added to or taken from them is a
-//! multiple of that step too, and fits a short integer. Weights and reports come as decimals of a few digits.
+//! Replay compares floating-point results bit by bit, so the encoding must not round. Timestamps are Unix milliseconds
+//! of about 2^41, where the spacing of `f64` values is 2^-12; differences of timestamps are multiples of that step too,
+//! and fit in a short integer. Weights and load reports are decimals with few digits.
 
 use serde::{Deserialize, Serialize, Serializer};
 
-/// Steps in a millisecond.
+/// Steps per millisecond.
 const STEPS: f64 = 4096.0;
-/// Integers up to here are exact in an `f64`.
+/// The integers below 2^53 are exactly representable as `f64`.
 const EXACT: f64 = 9_007_199_254_740_992.0;
-/// Decimals of up to six digits.
+/// The scale of decimals with up to six fractional digits.
 const DECIMAL: f64 = 1e6;
 
-/// A number of 64 bits in the shortest of three forms. For people it is written as the number.
+/// An `f64` in one of three encodings. Human-readable serializers write it as a plain number.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 pub enum Num {
-    /// So many 4096ths.
+    /// A multiple of 1/4096.
     Step(i64),
-    /// So many millionths.
+    /// A multiple of one millionth.
     Decimal(i64),
-    /// Any other.
+    /// Any other value.
     Raw(f64),
 }
 
@@ -35,16 +35,17 @@
     }
 }
 
+/// Returns the integer `value * scale` if it converts back to `value` bit by bit.
 fn scaled(value: f64, scale: f64) -> Option<i64> {
     let all = (value * scale).round();
     let count = all as i64;
-    // An integer has no negative zero, so that one is left to the raw form.
+    // Integers have no negative zero; the bit comparison leaves -0.0 to the raw encoding.
     let exact = all.abs() < EXACT && (count as f64 / scale).to_bits() == value.to_bits();
     exact.then_some(count)
 }
 
 impl Num {
-    /// A number as it is.
+    /// Encodes a number.
     pub fn of(value: f64) -> Self {
         match (scaled(value, STEPS), scaled(value, DECIMAL)) {
             (Some(steps), _) => Num::Step(steps),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// The number.
+    /// Returns the number.
     pub fn value(self) -> f64 {
         match self {
             Num::Step(steps) => steps as f64 / STEPS,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// A point of a clock, as its distance from another one where that is exact.
+    /// Encodes a timestamp as its distance from `base` if that is exact, and otherwise as it is.
     pub fn since(base: f64, value: f64) -> Self {
         match scaled(base, STEPS).zip(scaled(value, STEPS)) {
             Some((base, value)) => Num::Step(value - base),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The point of a clock that [`Num::since`] was made of, by the same base.
+    /// Decodes a timestamp that was encoded by [`Num::since`] with the same base.
     pub fn after(self, base: f64) -> f64 {
         match (self, scaled(base, STEPS)) {
             (Num::Step(steps), Some(base)) => base.saturating_add(steps) as f64 / STEPS,
--- a/crates/trace/src/packed.rs
+++ b/crates/trace/src/packed.rs
@@ -1,16 +1,16 @@
-//! Steps as they are stored: a query with its parts in one piece, the sends of one query in one step too.
+//! The stored form of steps, which groups a query with its parts, and consecutive sends of the same query.
 //!
-//! Most bytes of a trace are steps, and most of these say again which query a part is of and how long it is waited for.
-//! What is packed comes back as the same events and actions in the same order.
+//! Steps make up most bytes of a trace. Without grouping, most of these would repeat the query number and timeout of
+//! each part. Unpacking gives the same events and actions in the same order.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 use crate::num::Num;
 use crate::record::{Action, Choice, Event, Name, Step, Why};
 
-/// A part behind its query: shard, weight, hint, key.
+/// A part in the group of its query: shard, weight, hint, key.
 type PartOf = (u32, Num, Option<Num>, Option<Name>);
-/// A send beside others: shard, run store, why there.
+/// A send in a group: shard, run store, reason for the choice of run store.
 type SendOf = (u32, Name, Choice);
 
 #[derive(Serialize)]
