--- a/crates/trace/src/edit.rs
+++ b/crates/trace/src/edit.rs
@@ -1,4 +1,4 @@
-//! Traces made of traces: cut, merged, and with names replaced.
+//! Tools that write new traces from existing ones: cut, merge and anonymise.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::io::Write;
@@ -14,11 +14,12 @@
 use crate::summary::Only;
 use crate::Error;
 
-/// A block is closed at this size, in bytes, or at this age, in milliseconds.
+/// The size at which a block is closed, in bytes.
 const BLOCK_BYTES: usize = 64 * 1024;
+/// The time span at which a block is closed, in milliseconds.
 const BLOCK_MS: f64 = 2000.0;
 
-/// Copies entries into a new trace, whose blocks have tables of their own.
+/// Copies entries into a new trace and rebuilds the name tables of the blocks.
 struct Copy<W: Write> {
     writer: Writer<W>,
     batches: Vec<Batch>,
@@ -30,7 +31,7 @@
         Ok(Copy { writer: Writer::new(out, &Header { sources, segment: 0 })?, batches })
     }
 
-    /// Adds an entry of a source, its names as something makes them.
+    /// Adds an entry of a source, with each name replaced by the result of `rename`.
     fn add(
         &mut self,
         source: usize,
@@ -60,7 +61,7 @@
     text.into()
 }
 
-/// Goes through a span in order; the first error ends the copying and is given back.
+/// Visits the entries of a time span in order. Stops copying at the first error and returns it.
 fn copy<W: Write>(
     set: &mut Set,
     span: (f64, f64),
@@ -76,7 +77,7 @@
     failed.map_or(Ok(()), Err)
 }
 
-/// Writes all entries of a set as one trace in the newest version, in order of time, its processes kept apart.
+/// Writes all entries of a set as one trace in the current version, ordered by time. Processes remain separate sources.
 ///
 /// # Errors
 /// If reading or writing fails.
@@ -88,19 +89,19 @@
     copied.finish()
 }
 
-/// Which queries a cut keeps, beside those of a class and group.
+/// A selection of queries. A query must satisfy all conditions that are set.
 #[derive(Debug, Clone, Default)]
 pub struct Pick {
-    /// Of a class, of a group.
+    /// The class and group of the query.
     pub only: Only,
-    /// Called so, or of this number.
+    /// The client id or number of the query.
     pub query: Option<String>,
-    /// Of which an attempt went to this run store.
+    /// A run store to which at least one attempt of the query was sent.
     pub run_store: Option<String>,
 }
 
 impl Pick {
-    /// Whether all are kept.
+    /// Returns whether it selects all queries.
     pub fn is_all(&self) -> bool {
         self.only.class.is_none()
             && self.only.group.is_none()
@@ -109,9 +110,9 @@
     }
 }
 
-/// Writes the entries of a span. Where all queries are kept, each process's entries begin with its last checkpoint
-/// before the span, so that they can be replayed; where some are picked, steps hold only what concerns these, and
-/// there is no checkpoint.
+/// Writes the entries of a time span. If all queries are selected, the entries of each process start with its last
+/// checkpoint before the span, so that they can be replayed. Otherwise steps are reduced to the selected queries and
+/// no checkpoint is written, so that the result cannot be replayed.
 ///
 /// # Errors
 /// If reading or writing fails.
@@ -138,7 +139,7 @@
     copied.finish()
 }
 
-/// For each source the time of its last checkpoint up to some time.
+/// Returns the time of the last checkpoint of each source at or before a time.
 fn checkpoints(set: &mut Set, until: f64) -> BTreeMap<usize, f64> {
     let mut found = BTreeMap::new();
     set.blockwise((f64::NEG_INFINITY, until), |met| {
@@ -151,7 +152,10 @@
     found
 }
 
-/// The queries that a cut keeps, by source and number.
+/// Returns the selected queries, as source index and number.
+///
+/// # Errors
+/// If a reader fails.
 pub fn picked(set: &mut Set, span: (f64, f64), pick: &Pick) -> Result<BTreeSet<(usize, u64)>, Error> {
     let named = pick.query.as_deref().map(|name| set.find(name)).transpose()?;
     let named: Option<BTreeSet<_>> = named.map(|found| found.into_iter().collect());
@@ -185,7 +189,7 @@
     Ok(fitting.into_iter().filter(keep).collect())
 }
 
-/// What of a record is about some queries.
+/// Reduces a record to the queries for which `has` is true. Returns `None` if nothing is left.
 pub fn only_of(record: &Record, has: &dyn Fn(u64) -> bool) -> Option<Record> {
     match record {
         Record::Step(step) => {
@@ -201,18 +205,18 @@
     }
 }
 
-/// Replaces the names of groups and queries by pseudonyms, the same wherever the key is the same.
+/// Replaces the names of groups and queries by pseudonyms. The same key always gives the same pseudonyms.
 pub struct Pseudonyms {
     key: [u8; 32],
 }
 
 impl Pseudonyms {
-    /// By a key of any length.
+    /// Derives pseudonyms from a key of any length.
     pub fn new(key: &[u8]) -> Self {
         Pseudonyms { key: blake3::derive_key("ironpaddle 2026 names of groups and queries in traces", key) }
     }
 
-    /// A name's pseudonym; names of other kinds stay.
+    /// Returns the pseudonym of a group or query; names of other kinds are returned unchanged.
     pub fn of(&self, kind: Kind, text: &str) -> Arc<str> {
         let (mark, number) = match kind {
             Kind::Group => ("g", 1),
@@ -226,7 +230,7 @@
         format!("{mark}-{}", &hex[..16]).into()
     }
 
-    /// A settings object in which groups are named by their pseudonyms. One that cannot be read is left out whole.
+    /// Replaces the group names in a settings object. Returns an empty string if the object cannot be parsed.
     fn settings(&self, text: &str, groups: &HashSet<u64>) -> String {
         match serde_json::from_str::<Value>(text) {
             Ok(mut value) => {
@@ -259,7 +263,7 @@
         }
     }
 
-    /// Free text in which whole words that are names, or names with a shard behind a dot, are replaced.
+    /// Replaces names in free text: whole words that are a name, or a name followed by a dot and a shard.
     fn words(&self, text: &str, groups: &HashSet<u64>, queries: &HashSet<u64>) -> String {
         let inside = |c: char| c.is_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
         let mut out = String::with_capacity(text.len());
@@ -292,13 +296,13 @@
     }
 }
 
-/// Writes all entries of a set with the names of groups and queries replaced, settings and free text included.
+/// Writes all entries of a set with the names of groups and queries replaced, also in settings and free text.
 ///
 /// # Errors
 /// If reading or writing fails.
 pub fn anonymise<W: Write>(set: &mut Set, pseudonyms: &Pseudonyms, out: W) -> Result<W, Error> {
     let all = (f64::NEG_INFINITY, f64::INFINITY);
-    // Names are known before any text is gone through, as a text may stand before the name's first use.
+    // All names are collected first, as a text may mention a name before the first record that uses it.
     let (mut groups, mut queries) = (HashSet::new(), HashSet::new());
     set.blockwise(all, |met| {
         if let Met::Entry(_, block, entry) = met {
@@ -310,7 +314,7 @@
                     Kind::Class | Kind::RunStore | Kind::Key => false,
                 };
             };
-            // Only a copy can be visited so; records that carry much have no names of theirs.
+            // `Record::names` needs a mutable copy. Large records are skipped, as they hold no group or query names.
             match &entry.record {
                 Record::Step(_) | Record::Wire(_) | Record::Closed(_) => {}
                 record => record.clone().names(&mut note),
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -1,4 +1,4 @@
-//! The story of one query: what came of it, part by part, in the order in which it happened.
+//! The history of a single query: its events in chronological order, with the decisions on each part and their reasons.
 
 use std::collections::BTreeMap;
 
@@ -9,52 +9,52 @@
 use crate::set::Set;
 use crate::Error;
 
-/// A moment of a story.
+/// An event in the history of a query.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Moment {
-    /// When, in Unix milliseconds.
+    /// The time of the event, in Unix milliseconds.
     pub at: f64,
-    /// The time since the first moment, in milliseconds.
+    /// The time since the first event, in milliseconds.
     pub since_ms: f64,
-    /// The part's shard, if it is about a part.
+    /// The shard, if the event concerns a part.
     pub shard: Option<u32>,
-    /// What happened.
+    /// A description of the event.
     pub what: String,
 }
 
-/// A story.
+/// The history of a query.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Story {
-    /// The aggregator.
+    /// The name of the aggregator.
     pub aggregator: String,
-    /// When its process started, in Unix milliseconds.
+    /// The start time of the aggregator's process, in Unix milliseconds.
     pub process: u64,
-    /// The query's number there.
+    /// The number of the query within its process.
     pub query: u64,
-    /// What its client calls it.
+    /// The id that its client gave it.
     pub name: Option<String>,
     /// Its class.
     pub class: Option<String>,
     /// Its group.
     pub group: Option<String>,
-    /// How it ended.
+    /// The way in which it ended.
     pub end: Option<String>,
-    /// What happened.
+    /// Its events, in chronological order.
     pub moments: Vec<Moment>,
 }
 
-/// The word for an end.
+/// Returns a description of the way in which a query ended.
 pub fn end(how: How) -> &'static str {
     match how {
         How::Whole => "answered whole",
-        How::Partial => "answered from some parts",
+        How::Partial => "answered partially",
         How::Refused => "refused",
         How::Failed => "failed",
         How::Left => "left by its client",
     }
 }
 
-/// Tells of a query of a source.
+/// Collects the history of a query, given by source index and number.
 ///
 /// # Errors
 /// If a reader fails.
@@ -70,7 +70,7 @@
         end: None,
         moments: Vec::new(),
     };
-    // Attempts of each part so far: where each went and when.
+    // The attempts of each part so far: the run store and the time of each.
     let mut sent: BTreeMap<u32, Vec<(String, f64)>> = BTreeMap::new();
     set.about(source, query, |block, entry| story.take(&mut sent, block, entry))?;
     let first = story.moments.first().map_or(0.0, |moment| moment.at);
@@ -90,7 +90,7 @@
                 self.name = Some(block.text(taken.name).into());
                 self.class = Some(block.text(taken.class).into());
                 self.group = taken.group.map(|group| block.text(group).into());
-                let again = if taken.retry { ", a client's repeat" } else { "" };
+                let again = if taken.retry { ", a retry by its client" } else { "" };
                 let wait = taken.timeout.value();
                 self.say(
                     at,
@@ -107,12 +107,12 @@
                 self.say(
                     at,
                     None,
-                    format!("{end} after {took:.1} ms, {parts_in} of {parts} parts in{cause}"),
+                    format!("{end} after {took:.1} ms, {parts_in} of {parts} parts completed{cause}"),
                 );
             }
             Record::Wire(wire) if wire.query == query => {
                 let what = match wire.progress {
-                    Progress::Begun => "not written to its last byte: it never ran".to_string(),
+                    Progress::Begun => "its last byte was not written: it never ran".to_string(),
                     Progress::Written(None) => {
                         "its last byte is written: it may run from here on".to_string()
                     }
@@ -153,7 +153,11 @@
                     format!("attempt {attempt} {} at {name} after {latency:.1} ms{load}{from}", how.code());
                 self.say(at, Some(*shard), what);
             }
-            Event::Gone(_) => self.say(at, None, "the module hears that it is over".into()),
+            Event::Gone(_) => self.say(
+                at,
+                None,
+                "the module is notified that its client left or its deadline passed".into(),
+            ),
             _ => {}
         }
     }
@@ -170,7 +174,7 @@
                 let attempts = sent.entry(*shard).or_default();
                 let (no, name) = (attempts.len(), block.text(*run_store).to_string());
                 let what = format!(
-                    "attempt {no} ({}) goes to {name} ({}), waited for {:.0} ms",
+                    "attempt {no} ({}) goes to {name} ({}), timeout {:.0} ms",
                     why.words(),
                     choice.words(),
                     timeout.value()
@@ -179,18 +183,14 @@
                 self.say(at, Some(*shard), what);
             }
             Action::Cancel { shard, attempt, why, .. } => {
-                self.say(at, Some(*shard), format!("attempt {attempt} is called back {}", why.words()));
+                self.say(at, Some(*shard), format!("attempt {attempt} is cancelled {}", why.words()));
             }
             Action::Answer { whole, .. } => {
-                self.say(
-                    at,
-                    None,
-                    format!("decided: answer, {}", if *whole { "whole" } else { "from what is in" }),
-                );
+                self.say(at, None, format!("decided: answer, {}", if *whole { "whole" } else { "partial" }));
             }
             Action::Refuse { retry_after, cause, .. } => {
                 let wait = retry_after.value();
-                let what = format!("decided: refuse, come again after {wait:.0} ms: {}", cause.words());
+                let what = format!("decided: refuse, retry after {wait:.0} ms: {}", cause.words());
                 self.say(at, None, what);
             }
             Action::Fail { cause, .. } => self.say(at, None, format!("decided: fail: {}", cause.words())),
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a trace says of the service, by class and group.
+//! Summary statistics of a trace, by class, group, run store and process.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,29 +9,29 @@
 use crate::record::{Entry, Event, How, Progress, Record};
 use crate::set::{Met, Set};
 
-/// Latencies are kept in microseconds, to three digits, up to ten minutes.
+/// The maximum latency of the histograms, in microseconds (ten minutes). They keep three significant digits.
 const MOST_US: u64 = 600_000_000;
 
-/// How the queries of a class or group ended.
+/// The ends and latencies of the queries of a class or group.
 #[derive(Debug, Clone, Serialize)]
 pub struct Service {
-    /// Queries taken whose taking is in the trace.
+    /// The number of queries whose acceptance is in the trace.
     pub taken: u64,
-    /// Answered, whole or from some parts.
+    /// The number of answered queries, whole or partial.
     pub answered: u64,
-    /// Of these, whole.
+    /// The number of whole answers.
     pub whole: u64,
-    /// Of these, from some parts.
+    /// The number of partial answers.
     pub partial: u64,
-    /// Refused.
+    /// The number of refused queries.
     pub refused: u64,
-    /// Failed.
+    /// The number of failed queries.
     pub failed: u64,
-    /// Left by their clients.
+    /// The number of queries whose client disconnected before there was an answer.
     pub left: u64,
-    /// Answered with an error before they became queries.
+    /// The number of requests that were answered with an error before they were accepted as queries.
     pub not_taken: u64,
-    /// The time from taking to the answer, of those answered: percentiles in milliseconds.
+    /// Percentiles of the time from acceptance to answer, of the answered queries, in milliseconds.
     pub latency_ms: BTreeMap<&'static str, f64>,
     #[serde(skip)]
     latencies: Histogram<u32>,
@@ -39,8 +39,8 @@
 
 impl Default for Service {
     fn default() -> Self {
-        // These bounds are sound ones, so that there is always a histogram.
-        let latencies = Histogram::new_with_max(MOST_US, 3).unwrap_or_else(|_| unreachable!("sound bounds"));
+        // Creating a histogram fails only if its bounds are invalid, and these are valid.
+        let latencies = Histogram::new_with_max(MOST_US, 3).unwrap_or_else(|_| unreachable!("valid bounds"));
         Service {
             taken: 0,
             answered: 0,
@@ -79,95 +79,99 @@
         }
     }
 
-    /// The queries that ended.
+    /// Returns the number of queries that ended.
     pub fn ended(&self) -> u64 {
         self.answered + self.refused + self.failed + self.left
     }
 }
 
-/// What a run store did.
+/// The attempts and probes of a run store.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RunStore {
-    /// Attempts that ended, by outcome.
+    /// The number of ended attempts, by outcome.
     pub ends: BTreeMap<String, u64>,
-    /// Probes answered, and not.
+    /// The number of answered probes.
     pub probes_ok: u64,
-    /// See `probes_ok`.
+    /// The number of unanswered probes.
     pub probes_failed: u64,
 }
 
-/// The last counts of a process, and what the trace holds less than they say.
+/// The recording of a process, and the ends that its counters include but the trace lacks.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Process {
-    /// The aggregator.
+    /// The name of the aggregator.
     pub aggregator: String,
-    /// When it started, in Unix milliseconds.
+    /// The start time of the process, in Unix milliseconds.
     pub started: u64,
-    /// The first and the last time in the trace.
+    /// The time of the first entry, in Unix milliseconds.
     pub from: f64,
-    /// See `from`.
+    /// The time of the last entry, in Unix milliseconds.
     pub to: f64,
-    /// Whether its recording ended in good order.
+    /// Whether the recording was closed regularly.
     pub ended: bool,
-    /// Records that it says were lost.
+    /// The number of records that the process reported as lost.
     pub lost: u64,
-    /// Gaps by blocks that could not be read.
+    /// The number of blocks that could not be read.
     pub gaps: u64,
-    /// Attempts written whole.
+    /// The number of attempts that were written completely.
     pub tries: u64,
-    /// Ends that the last counts before the end of the trace tell and the trace lacks: what was before the recording
-    /// began, or was lost. By class: answered, refused, failed or not taken.
+    /// The ends of queries that the last recorded counters include but the trace lacks, because they happened before
+    /// the recording began or their records were lost. By class: answered, refused, and failed or not accepted.
     pub missing: BTreeMap<String, [i64; 3]>,
 }
 
-/// The summary.
+/// The summary of a trace.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Summary {
-    /// By class.
+    /// The queries of each class.
     pub classes: BTreeMap<String, Service>,
-    /// By group.
+    /// The queries of each group.
     pub groups: BTreeMap<String, Service>,
-    /// By class and cause: why queries were refused or failed.
+    /// The number of refused and failed queries, by class and cause.
     pub causes: BTreeMap<String, BTreeMap<String, u64>>,
-    /// By run store.
+    /// The attempts and probes of each run store.
     pub run_stores: BTreeMap<String, RunStore>,
-    /// By process.
+    /// The recording of each process.
     pub processes: Vec<Process>,
-    /// Of the queries taken, those without an end in the trace.
+    /// The number of accepted queries without an end in the trace.
     pub open: u64,
-    /// Entries read.
+    /// The number of entries read.
     pub entries: u64,
-    /// What could not be read.
+    /// Problems met in reading the trace.
     pub troubles: Vec<String>,
 }
 
-/// Which entries count.
+/// A filter by class and group. A condition that is not set accepts every query.
 #[derive(Debug, Clone, Default)]
 pub struct Only {
-    /// Of a class.
+    /// The required class.
     pub class: Option<String>,
-    /// Of a group.
+    /// The required group.
     pub group: Option<String>,
 }
 
 impl Only {
-    /// Whether a query of a class and group counts.
+    /// Returns whether a query of this class and group passes the filter.
     pub fn has(&self, class: &str, group: Option<&str>) -> bool {
         let class_fits = self.class.as_deref().is_none_or(|only| only == class);
         class_fits && self.group.as_deref().is_none_or(|only| Some(only) == group)
     }
 }
 
+/// Intermediate counts, by process and class: answered, refused, and failed or not accepted.
 #[derive(Default)]
 struct Tally {
-    /// By process: its last counts by class, and the same ends as counted here, before those counts.
+    /// The last counters that the process recorded.
     told: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
+    /// The ends counted in the trace so far.
     counted: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
+    /// The value of `counted` at the last recorded counters.
     at_counts: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
+    /// The queries that were accepted and have not ended, by process and number.
     open: BTreeSet<(usize, u64)>,
 }
 
-/// Summarises the entries of a span.
+/// Summarises the entries of a time span.
 pub fn summarise(set: &mut Set, span: (f64, f64), only: &Only) -> Summary {
     let mut summary = Summary::default();
     let process = |source: &crate::file::Source| Process {
