--- a/crates/trace/src/v1.rs
+++ b/crates/trace/src/v1.rs
@@ -1,6 +1,6 @@
-//! Version 1, which knew no causes: its records as they were, and what they are now.
+//! Format version 1, which had no causes: its record types and their conversion to the current ones.
 //!
-//! Nothing here changes any more. What version 1 did not know is unknown, and never said to be none.
+//! These types are frozen. Information that version 1 did not record is converted to `Unknown`, not to "none".
 
 use serde::Deserialize;
 
--- a/crates/trace/src/v2.rs
+++ b/crates/trace/src/v2.rs
@@ -1,5 +1,7 @@
-//! Version 2, which stored steps event by event and the bytes of attempts in two records each. Nothing here changes
-//! any more.
+//! Format version 2, which stored steps without grouping and the progress of each attempt in two records: its record
+//! types and their conversion to the current ones.
+//!
+//! These types are frozen.
 
 use serde::Deserialize;
 
--- a/crates/trace/src/version.rs
+++ b/crates/trace/src/version.rs
@@ -1,19 +1,20 @@
-//! The versions of the records, and how older ones are read.
+//! The format versions of the records, and the decoding of older versions.
 //!
-//! 1 came first. 2 knows why queries were refused or failed, why attempts were made or called back, and why there. 3 says
-//! the same in fewer bytes.
+//! Version 1 is the original format. Version 2 adds the reasons for refusals and failures of queries, for attempts and
+//! cancellations, and for the choice of run store. Version 3 holds the same information in fewer bytes.
 
 use crate::num::Num;
 use crate::record::Record;
 use crate::{v1, v2, Error};
 
-/// The version that is written.
+/// The version in which traces are written.
 pub const VERSION: u8 = 3;
 
-/// Reads an entry of some version off some bytes: its distance from the block's first entry and its record.
+/// Decodes an entry of a given version. Returns its time relative to the block's first entry, its record, and the
+/// remaining bytes.
 ///
 /// # Errors
-/// If the bytes are none, or the version is not known.
+/// If the bytes are not a valid entry, or the version is not supported.
 pub(crate) fn take(version: u8, bytes: &[u8]) -> Result<((Num, Record), &[u8]), Error> {
     match version {
         1 => {
