--- a/crates/trace/examples/codecs.rs
+++ b/crates/trace/examples/codecs.rs
@@ -1,4 +1,5 @@
-//! What a trace's bytes are made of, and what LZ4 and zstd make of its blocks: `codecs SEGMENT...`.
+//! Reports the sizes of a trace's records by kind, and the ratio and speed of several codecs on its blocks. Usage:
+//! `codecs SEGMENT...`.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/crates/trace/examples/lookup.rs
+++ b/crates/trace/examples/lookup.rs
@@ -1,5 +1,5 @@
-//! How long one query is looked for in a large trace: `lookup FOLDER MB` makes segments of noise there, if there are none,
-//! and then looks for queries by name.
+//! Measures the lookup of single queries in a large trace. `lookup FOLDER MB` writes segments of random queries into
+//! the folder and then looks up queries by name.
 
 use std::fs::{self, File};
 use std::io::BufWriter;
@@ -16,11 +16,12 @@
 use ironpaddle_trace::set::Set;
 use ironpaddle_trace::story;
 
-/// A segment's length, in bytes.
+/// The length of a segment, in bytes.
 const SEGMENT: u64 = 64 << 20;
+/// The number of parts of a query.
 const PARTS: u32 = 7;
 
-/// One query's records.
+/// Adds the records of one query to a batch.
 fn query(batch: &mut Batch, random: &mut fastrand::Rng, at: f64, query: u64) {
     let text = |prefix: &str, n: u64| Arc::<str>::from(format!("{prefix}{n:x}").as_str());
     let (class, store) = (batch.name(Kind::Class, &"run-lookup".into()), random.u32(..12));
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A small trace, the same every time.
-#![allow(dead_code)] // Each test file takes what it needs.
+//! Deterministic sample traces.
+#![allow(dead_code)] // Each test file uses only some of these functions.
 
 use std::io::Cursor;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use ironpaddle_trace::num::Num;
 use ironpaddle_trace::record::*;
 
-/// Unix milliseconds at which these traces begin.
+/// The time at which these traces begin, in Unix milliseconds.
 pub const BEGIN: f64 = 1_764_608_400_000.25;
 
 pub fn source(aggregator: &str) -> Source {
@@ -27,7 +27,7 @@
     batch.name(kind, &Arc::from(text))
 }
 
-/// The records of one query, from its taking to its end, over `blocks` blocks.
+/// Adds the records of one query, from acceptance to end. The first ones go to the first batch, the rest to the last.
 pub fn query(batches: &mut [Batch], at: f64, no: u64, called: &str, group: &str, how: How) {
     let last = batches.len() - 1;
     let batch = &mut batches[0];
@@ -87,7 +87,7 @@
     batch.push(at + 33.0, &Record::Verdict(verdict)).unwrap();
 }
 
-/// A checkpoint whose state is none of any module.
+/// Adds a checkpoint with arbitrary bytes as the module's state.
 pub fn checkpoint(batch: &mut Batch, at: f64) {
     let told = Told {
         module: vec![1, 2, 3],
@@ -99,7 +99,8 @@
     batch.push(at, &Record::Checkpoint(Box::new(Checkpoint { module: 5, state, told }))).unwrap();
 }
 
-/// A trace of three blocks: a checkpoint and two queries, the second over two blocks.
+/// Returns a trace of three blocks: a checkpoint and two queries, the second of which spans two blocks. Without
+/// `finish` it lacks the index.
 pub fn trace(aggregator: &str, finish: bool) -> Vec<u8> {
     let mut batches = [Batch::default(), Batch::default(), Batch::default()];
     checkpoint(&mut batches[0], BEGIN);
--- a/crates/trace/tests/format.rs
+++ b/crates/trace/tests/format.rs
@@ -1,4 +1,5 @@
-//! The format under damage: never a panic, never a wrong entry, every sound block read.
+//! The trace format: reading back, damaged files and older versions. Reading a damaged file must not panic or return
+//! wrong entries, and must return every intact block.
 
 mod common;
 
@@ -14,7 +15,7 @@
     Reader::open(Cursor::new(bytes))
 }
 
-/// The blocks that can be read, by the times of their first entries.
+/// Returns the blocks that can be read, in the order of the file.
 fn blocks(bytes: &[u8]) -> Vec<Block> {
     let Ok(mut reader) = open(bytes) else { return Vec::new() };
     (0..reader.blocks().len()).filter_map(|no| reader.block(no).ok()).collect()
@@ -29,12 +30,12 @@
     assert_eq!(reader.header().unwrap().sources[0].aggregator, "n0");
     assert_eq!(reader.blocks().len(), 3);
     assert_eq!(reader.blocks()[1].first, BEGIN + 250.0);
-    // A name that is part of another one is another name.
+    // A lookup matches the whole client id, not a prefix.
     assert_eq!(reader.called("9b1f03aa").unwrap(), [(0, 1)]);
     assert_eq!(reader.called("9b1f03aa5c7e2d41").unwrap(), [(0, 2)]);
     assert_eq!(reader.called("9b1f").unwrap(), []);
     assert_eq!(reader.about(0, 1).unwrap(), 0..1);
-    assert_eq!(reader.about(0, 2).unwrap(), 1..3, "a query over two blocks");
+    assert_eq!(reader.about(0, 2).unwrap(), 1..3, "the query spans two blocks");
     assert!(reader.about(0, 3).unwrap().is_empty() && reader.about(1, 1).unwrap().is_empty());
     let last = reader.block(2).unwrap();
     assert_eq!(last.entries.last().unwrap().at, BEGIN + 283.0);
@@ -50,7 +51,7 @@
     let mut reader = open(&bytes).unwrap();
     assert!(!reader.is_complete());
     assert_eq!(reader.called("9b1f03aa").unwrap(), [(0, 1)]);
-    assert_eq!(reader.about(0, 2).unwrap(), 0..3, "no index says less");
+    assert_eq!(reader.about(0, 2).unwrap(), 0..3, "without an index all blocks are candidates");
 }
 
 #[test]
@@ -66,7 +67,7 @@
     for length in 0..bytes.len() {
         let read = blocks(&bytes[..length]);
         let sound = ends.iter().filter(|end| **end <= length).count();
-        assert_eq!(read, whole[..sound], "cut at {length}");
+        assert_eq!(read, whole[..sound], "truncated at {length}");
     }
 }
 
@@ -93,9 +94,9 @@
             .filter(|(no, _)| Some(*no) != hit)
             .map(|(_, block)| block.clone())
             .collect();
-        // A version that is not known cannot be told from one that is to come: such a file is turned down whole.
+        // A corrupt version number looks like a future version, so such a file is rejected as a whole.
         if !matches!(open(&spoilt), Err(Error::Version(_))) {
-            assert_eq!(read, expected, "a flip at {at}");
+            assert_eq!(read, expected, "bit flipped at {at}");
         }
     }
 }
@@ -119,7 +120,7 @@
     }
 }
 
-/// What a version before the second one knows of these records.
+/// Returns the entries of a block as version 1 records them, without reasons and causes.
 fn without_causes(block: &Block) -> Vec<Entry> {
     let mut entries = block.entries.clone();
     for entry in &mut entries {
@@ -150,12 +151,12 @@
     assert!(first.iter().all(|block| block.version == 1));
     let expected: Vec<_> = now.iter().map(without_causes).collect();
     assert_eq!(entries(&first), expected);
-    // What it did not know is unknown, not absent.
+    // A cause that version 1 did not record is `Unknown`, not `None`.
     let Record::Verdict(refused) = &first[2].entries.last().unwrap().record else { panic!("{first:?}") };
     assert_eq!(refused.cause, Some(Cause::Unknown));
 }
 
-/// Writes the golden file of a version that is new; it is never written again.
+/// Writes the golden file of a new version. Existing golden files must never be rewritten.
 #[test]
 #[ignore = "writes a file"]
 fn write_golden() {
--- a/crates/trace/tests/keeping.rs
+++ b/crates/trace/tests/keeping.rs
@@ -1,4 +1,4 @@
-//! Segments are kept on a disk that fails, fills up and has too little room.
+//! Segment storage on a disk that fails, fills up, or exceeds the size limit.
 
 mod common;
 
@@ -13,16 +13,18 @@
 use ironpaddle_trace::keep::{name, Done, Job, Keeper, Storage};
 use ironpaddle_trace::record::How;
 
-/// A disk of some bytes, on which files are written and read.
+/// An in-memory disk of limited capacity.
 #[derive(Clone, Default)]
 struct Disk(Rc<RefCell<State>>);
 
 #[derive(Default)]
 struct State {
     files: BTreeMap<String, Vec<u8>>,
-    /// Files that were written to lately.
+    /// The names of the files that count as recently written.
     fresh: Vec<String>,
+    /// The free space, in bytes.
     room: usize,
+    /// Whether creating a file fails.
     broken: bool,
 }
 
@@ -31,10 +33,10 @@
 impl Write for Open {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut disk = self.0 .0.borrow_mut();
-        // What fits is written: a full disk leaves half a block.
+        // As much as fits is written, so a full disk leaves an incomplete block.
         let count = bytes.len().min(disk.room);
         disk.room -= count;
-        disk.files.get_mut(&self.1).expect("it is open").extend_from_slice(&bytes[..count]);
+        disk.files.get_mut(&self.1).expect("the file exists").extend_from_slice(&bytes[..count]);
         if count == 0 && !bytes.is_empty() {
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -54,7 +56,7 @@
         if disk.broken {
             return Err(io::ErrorKind::PermissionDenied.into());
         }
-        assert!(disk.files.insert(name.into(), Vec::new()).is_none(), "{name} is there already");
+        assert!(disk.files.insert(name.into(), Vec::new()).is_none(), "{name} already exists");
         Ok(Open(self.clone(), name.into()))
     }
 
@@ -68,7 +70,7 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
-        let bytes = disk.files.remove(name).expect("it is there");
+        let bytes = disk.files.remove(name).expect("the file exists");
         disk.room += bytes.len();
         Ok(())
     }
@@ -97,7 +99,7 @@
     Done::Kept { removed: Vec::new() }
 }
 
-/// The sound entries of each file, by its name.
+/// Returns the number of readable entries in each file, in the order of the file names.
 fn entries(disk: &Disk) -> Vec<usize> {
     let count = |bytes: &Vec<u8>| {
         let Ok(mut reader) = Reader::open(Cursor::new(bytes.as_slice())) else { return 0 };
@@ -127,7 +129,7 @@
             (11, kept_records),
             "{room}"
         );
-        // Once there is room again the next segment is whole, whatever the last one has become.
+        // Once there is free space again, the next segment is complete, whatever the state of the previous one.
         disk.0.borrow_mut().room = 1 << 20;
         assert_eq!(keeper.take(open(1)), kept());
         assert_eq!((keeper.take(add(1010.0, 3)), keeper.take(Job::Close)), (kept(), kept()));
@@ -145,7 +147,7 @@
     disk.0.borrow_mut().room = 1 << 20;
     assert!(
         matches!(keeper.take(add(20.0, 2)), Done::Lost { records: 5, .. }),
-        "a segment has to be begun anew"
+        "a new segment must be opened first"
     );
     disk.0.borrow_mut().broken = true;
     assert!(matches!(keeper.take(open(1)), Done::Lost { records: 1, .. }));
@@ -157,7 +159,8 @@
 #[test]
 fn the_oldest_segments_go_and_none_of_others_or_that_is_written_to() {
     let disk = disk(1 << 20);
-    // Of another aggregator whose name begins alike; and one that another process of this one writes.
+    // One file of another aggregator whose name has the same prefix, and one that another process of this aggregator
+    // is writing.
     let other = name("n0.b", 1.0, 1, 0);
     let fresh = name("n0", 2.0, 9, 0);
     for name in [&other, &fresh, &"notes.txt".to_string()] {
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -1,4 +1,4 @@
-//! Traces made of traces: merged over versions and aggregators, cut, and with names replaced.
+//! The trace tools: merging over versions and aggregators, cutting, anonymising, summaries and query histories.
 
 mod common;
 
@@ -19,7 +19,7 @@
 
 const ALL: (f64, f64) = (f64::NEG_INFINITY, f64::INFINITY);
 
-/// A folder for segments.
+/// A temporary directory of segments, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -45,7 +45,7 @@
     }
 }
 
-/// All bytes of a trace with nothing compressed: its header and the names and records of its blocks.
+/// Returns the uncompressed content of a trace: its header, and the names and entries of its blocks.
 fn plain(bytes: &[u8]) -> Vec<u8> {
     let mut reader = Reader::open(Cursor::new(bytes)).unwrap();
     let mut plain = format!("{:?}", reader.header().unwrap()).into_bytes();
@@ -57,7 +57,7 @@
     plain
 }
 
-/// A trace of one query whose records are in blocks of two segments.
+/// Returns two segments that share the records of one query.
 fn straddling() -> [Vec<u8>; 2] {
     let mut batches = [Batch::default(), Batch::default()];
     common::checkpoint(&mut batches[0], BEGIN);
@@ -69,7 +69,7 @@
         writer.add(0, batch).unwrap();
         writer.finish().unwrap().into_inner()
     };
-    // The second segment begins with a checkpoint of its own, as each does.
+    // The second segment has a checkpoint of its own, as every segment does.
     common::checkpoint(&mut last, BEGIN + 40.0);
     [segment(0, first), segment(1, last)]
 }
@@ -83,7 +83,7 @@
     let mut set = folder.set();
     let names: Vec<_> = set.sources.iter().map(|source| source.aggregator.as_str()).collect();
     assert_eq!(names, ["n0", "n1"]);
-    // Both clocks tell the same times: each source keeps its order, and times never go back.
+    // Both sources have equal timestamps: each keeps its order, and times never decrease.
     let (mut times, mut causes) = (Vec::new(), Vec::new());
     set.each(ALL, |met| {
         let Met::Entry(source, _, entry) = met else { panic!("a gap") };
@@ -94,9 +94,9 @@
     });
     assert!(times.windows(2).all(|pair| pair[0] <= pair[1]) && times.len() == 22, "{times:?}");
     causes.sort_unstable();
-    // What the first version did not know is unknown, beside what the second one does.
+    // Causes that version 1 did not record are unknown; the other source keeps its causes.
     assert_eq!(causes, [(0, 1, None), (0, 2, Some("unknown")), (1, 1, None), (1, 2, Some("beyond_share"))]);
-    // Queries of the same number and name are two.
+    // Queries with the same number and client id in different sources are distinct.
     assert_eq!(set.find("9b1f03aa").unwrap(), [(0, 1), (1, 1)]);
     let told = story::tell(&mut set, 1, 2).unwrap();
     assert_eq!((told.aggregator.as_str(), told.end.as_deref()), ("n1", Some("refused")));
@@ -121,7 +121,7 @@
         "{words:?}"
     );
     assert_eq!(story.moments.last().unwrap().since_ms, 33.0);
-    assert_eq!(set.find("q1").unwrap(), [(0, 1)], "by its number too");
+    assert_eq!(set.find("q1").unwrap(), [(0, 1)], "found by number too");
     assert_eq!(set.find("q9").unwrap(), []);
 }
 
@@ -153,7 +153,10 @@
         if let Ok(mut set) = Set::open(std::slice::from_ref(&folder.0)) {
             set.each(ALL, |met| {
                 if let Met::Entry(_, _, entry) = met {
-                    assert!(!matches!(entry.record, Record::Checkpoint(_)), "it cannot be replayed");
+                    assert!(
+                        !matches!(entry.record, Record::Checkpoint(_)),
+                        "a cut of selected queries has no checkpoint"
+                    );
                     entry.record.queries(&mut |query| {
                         queries.insert(query);
                     });
@@ -163,7 +166,7 @@
         queries.into_iter().collect::<Vec<_>>()
     };
     let group = |name: &str| Only { group: Some(name.into()), class: None };
-    assert_eq!(of(&Pick { only: group("vaal"), ..Pick::default() }), [2], "vaal is not vaal-muon");
+    assert_eq!(of(&Pick { only: group("vaal"), ..Pick::default() }), [2], "vaal must not match vaal-muon");
     assert_eq!(of(&Pick { query: Some("9b1f03aa".into()), ..Pick::default() }), [1]);
     assert_eq!(of(&Pick { run_store: Some("s-1".into()), ..Pick::default() }), [1, 2]);
     assert_eq!(of(&Pick { run_store: Some("s-2".into()), ..Pick::default() }), [0; 0]);
@@ -180,8 +183,8 @@
     for name in ["vaal", "9b1f"] {
         assert!(!text.contains(name), "{name} is left: {text}");
     }
-    assert!(text.contains("s-1") && text.contains("run-lookup"), "other names stay");
-    // One name that is part of another has another pseudonym, also in settings and free text.
+    assert!(text.contains("s-1") && text.contains("run-lookup"), "names of other kinds are unchanged");
+    // A name that is a prefix of another gets a different pseudonym, also in settings and free text.
     let pseudonyms = Pseudonyms::new(b"secret");
     for (kind, name) in [
         (Kind::Group, "vaal"),
@@ -197,7 +200,7 @@
         pseudonyms.of(Kind::Query, "9b1f03aa"),
         pseudonyms.of(Kind::Group, "vaal-muon")
     )));
-    // The same key gives the same names over files, another key others; the counts stay.
+    // The same key gives the same pseudonyms in every run, another key different ones; the counts do not change.
     assert_eq!(plain(&hide(b"secret")), plain(&bytes));
     assert_ne!(plain(&hide(b"other")), plain(&bytes));
     let hidden = Folder::new(&[bytes]);
