--- a/crates/trace/examples/codecs.rs
+++ b/crates/trace/examples/codecs.rs
@@ -59,19 +59,19 @@
     for (kind, (count, size)) in &sizes {
         println!("{kind:<24}{count:>9} records {size:>11} bytes before compression");
     }
-    let report = |name: &str, squeeze: &dyn Fn(&[u8]) -> Vec<u8>, loosen: &dyn Fn(&[u8])| {
+    let report = |name: &str, compress: &dyn Fn(&[u8]) -> Vec<u8>, decompress: &dyn Fn(&[u8])| {
         let began = Instant::now();
-        let made: Vec<Vec<u8>> = blocks.values().map(|block| squeeze(block)).collect();
-        let squeezed = began.elapsed().as_secs_f64();
+        let compressed: Vec<Vec<u8>> = blocks.values().map(|block| compress(block)).collect();
+        let compress_s = began.elapsed().as_secs_f64();
         let began = Instant::now();
-        made.iter().for_each(|block| loosen(block));
-        let loosened = began.elapsed().as_secs_f64();
-        let size: usize = made.iter().map(Vec::len).sum();
+        compressed.iter().for_each(|block| decompress(block));
+        let decompress_s = began.elapsed().as_secs_f64();
+        let size: usize = compressed.iter().map(Vec::len).sum();
         println!(
             "{name:<10} {size:>10} of {raw} bytes, {:.0} bytes a query, {:.0} MB/s in, {:.0} MB/s out",
             size as f64 / queries.max(1) as f64,
-            raw as f64 / squeezed / 1e6,
-            raw as f64 / loosened / 1e6
+            raw as f64 / compress_s / 1e6,
+            raw as f64 / decompress_s / 1e6
         );
     };
     report("LZ4", &lz4_flex::block::compress_prepend_size, &|block| {
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -18,16 +18,16 @@
 /// The maximum length of a payload, in bytes. It limits the memory that a corrupt length can allocate.
 pub const MOST_PAYLOAD: u32 = 64 << 20;
 /// The codec of an uncompressed payload.
-const PLAIN: u8 = 0;
+const UNCOMPRESSED: u8 = 0;
 /// The codec of a payload in LZ4's block format.
 const LZ4: u8 = 1;
 /// The codec of a payload compressed by zstd.
 const ZSTD: u8 = 2;
 /// The zstd compression level. Higher levels gain nothing on these blocks, see `docs/measurements/trace.md`.
-const LEVEL: i32 = 1;
+const ZSTD_LEVEL: i32 = 1;
 
 /// The number of variants of [`Kind`].
-const KINDS: usize = 5;
+const KIND_COUNT: usize = 5;
 
 /// The header of a block.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -72,22 +72,22 @@
     /// Parses a block header. Returns `None` if it is not intact.
     pub fn read(bytes: &[u8]) -> Option<Self> {
         let bytes = bytes.get(..HEAD)?;
-        let word = |at: usize| bytes[at..at + 4].try_into().map(u32::from_le_bytes).unwrap_or(0);
-        let time = |at: usize| bytes[at..at + 8].try_into().map(f64::from_le_bytes).unwrap_or(0.0);
+        let u32_at = |at: usize| bytes[at..at + 4].try_into().map(u32::from_le_bytes).unwrap_or(0);
+        let f64_at = |at: usize| bytes[at..at + 8].try_into().map(f64::from_le_bytes).unwrap_or(0.0);
         let head = Head {
             version: bytes[8],
             codec: bytes[9],
             source: u16::from_le_bytes([bytes[10], bytes[11]]),
-            records: word(12),
-            raw: word(16),
-            stored: word(20),
-            first: time(24),
-            last: time(32),
-            crc: word(40),
+            records: u32_at(12),
+            raw: u32_at(16),
+            stored: u32_at(20),
+            first: f64_at(24),
+            last: f64_at(32),
+            crc: u32_at(40),
         };
-        let sound = bytes[..8] == MAGIC && crc32fast::hash(&bytes[..48]) == word(48);
+        let intact = bytes[..8] == MAGIC && crc32fast::hash(&bytes[..48]) == u32_at(48);
         let fits = head.raw <= MOST_PAYLOAD && head.stored <= MOST_PAYLOAD;
-        (sound && fits).then_some(head)
+        (intact && fits).then_some(head)
     }
 }
 
@@ -96,25 +96,25 @@
 pub struct Batch {
     names: Vec<(Kind, Arc<str>)>,
     /// The index of each name in `names`, by kind.
-    places: [FxHashMap<Arc<str>, Name>; KINDS],
+    indexes: [FxHashMap<Arc<str>, Name>; KIND_COUNT],
     bytes: Vec<u8>,
     records: u32,
     first: f64,
     last: f64,
     queries: Vec<u64>,
     /// Hashes of client ids, each with the number of its query.
-    called: Vec<(u64, u64)>,
+    client_ids: Vec<(u64, u64)>,
 }
 
 impl Batch {
     /// Returns the index of a name in this block's name table, adding it if it is new.
     pub fn name(&mut self, kind: Kind, text: &Arc<str>) -> Name {
-        let places = &mut self.places[kind as usize];
-        if let Some(name) = places.get(&**text) {
+        let indexes = &mut self.indexes[kind as usize];
+        if let Some(name) = indexes.get(&**text) {
             return *name;
         }
         let name = Name(self.names.len() as u32);
-        places.insert(text.clone(), name);
+        indexes.insert(text.clone(), name);
         self.names.push((kind, text.clone()));
         name
     }
@@ -139,7 +139,7 @@
         });
         if let Record::Taken(taken) = record {
             if let Some((_, text)) = self.names.get(taken.name.0 as usize) {
-                self.called.push((crate::index::hash(text), taken.query));
+                self.client_ids.push((crate::index::hash(text), taken.query));
             }
         }
         Ok(())
@@ -167,11 +167,11 @@
 
     /// Takes what the index needs: the sorted numbers of the queries in the entries, and the hashes of their client
     /// ids, each with the query's number.
-    pub(crate) fn about(&mut self) -> (Vec<u64>, Vec<(u64, u64)>) {
+    pub(crate) fn take_index_entries(&mut self) -> (Vec<u64>, Vec<(u64, u64)>) {
         let mut queries = std::mem::take(&mut self.queries);
         queries.sort_unstable();
         queries.dedup();
-        (queries, std::mem::take(&mut self.called))
+        (queries, std::mem::take(&mut self.client_ids))
     }
 
     /// Serializes the block as one of `source`. The caller keeps one [`compressor`] for all blocks, as creating it
@@ -185,8 +185,9 @@
         raw.extend_from_slice(&self.bytes);
         let raw_len =
             u32::try_from(raw.len()).ok().filter(|len| *len <= MOST_PAYLOAD).ok_or(Error::TooLong)?;
-        let squeezed = zstd.compress(&raw)?;
-        let (codec, stored) = if squeezed.len() < raw.len() { (ZSTD, squeezed) } else { (PLAIN, raw) };
+        let compressed = zstd.compress(&raw)?;
+        let (codec, stored) =
+            if compressed.len() < raw.len() { (ZSTD, compressed) } else { (UNCOMPRESSED, raw) };
         let head = Head {
             version: VERSION,
             codec,
@@ -209,7 +210,7 @@
 /// # Errors
 /// If there is not enough memory.
 pub fn compressor() -> std::io::Result<Compressor<'static>> {
-    Compressor::new(LEVEL)
+    Compressor::new(ZSTD_LEVEL)
 }
 
 /// A decoded block.
@@ -226,7 +227,7 @@
 }
 
 #[derive(Deserialize, Serialize)]
-struct Row(Kind, String);
+struct NameRow(Kind, String);
 
 impl Block {
     /// Returns the text of a name, or `?` if it is not in the table.
@@ -248,18 +249,18 @@
             return Err(Error::Damaged);
         }
         let raw = match head.codec {
-            PLAIN => stored.to_vec(),
+            UNCOMPRESSED => stored.to_vec(),
             LZ4 => lz4_flex::block::decompress(stored, head.raw as usize).map_err(|_| Error::Damaged)?,
             ZSTD => zstd::bulk::decompress(stored, head.raw as usize).map_err(|_| Error::Damaged)?,
             _ => return Err(Error::Version(head.version)),
         };
-        let (rows, mut rest) = postcard::take_from_bytes::<Vec<Row>>(&raw)?;
-        let names = rows.into_iter().map(|Row(kind, text)| (kind, text.into())).collect();
+        let (rows, mut rest) = postcard::take_from_bytes::<Vec<NameRow>>(&raw)?;
+        let names = rows.into_iter().map(|NameRow(kind, text)| (kind, text.into())).collect();
         let mut entries = Vec::with_capacity(head.records.min(1 << 20) as usize);
         for _ in 0..head.records {
-            let ((since, record), left) = crate::version::take(head.version, rest)?;
+            let ((since, record), remaining) = crate::version::decode_entry(head.version, rest)?;
             entries.push(Entry { at: since.after(head.first), record });
-            rest = left;
+            rest = remaining;
         }
         if rest.is_empty() {
             Ok(Block { version: head.version, source: head.source, names, entries })
--- a/crates/trace/src/edit.rs
+++ b/crates/trace/src/edit.rs
@@ -20,15 +20,15 @@
 const BLOCK_MS: f64 = 2000.0;
 
 /// Copies entries into a new trace and rebuilds the name tables of the blocks.
-struct Copy<W: Write> {
+struct Copier<W: Write> {
     writer: Writer<W>,
     batches: Vec<Batch>,
 }
 
-impl<W: Write> Copy<W> {
+impl<W: Write> Copier<W> {
     fn new(out: W, sources: Vec<Source>) -> Result<Self, Error> {
         let batches = sources.iter().map(|_| Batch::default()).collect();
-        Ok(Copy { writer: Writer::new(out, &Header { sources, segment: 0 })?, batches })
+        Ok(Copier { writer: Writer::new(out, &Header { sources, segment: 0 })?, batches })
     }
 
     /// Adds an entry of a source, with each name replaced by the result of `rename`.
@@ -57,21 +57,21 @@
     }
 }
 
-fn as_is(_: Kind, text: &str) -> Arc<str> {
+fn keep_name(_: Kind, text: &str) -> Arc<str> {
     text.into()
 }
 
 /// Visits the entries of a time span in order. Stops copying at the first error and returns it.
-fn copy<W: Write>(
+fn copy_entries<W: Write>(
     set: &mut Set,
     span: (f64, f64),
-    copy: &mut Copy<W>,
-    mut change: impl FnMut(&mut Copy<W>, usize, &Block, &Entry) -> Result<(), Error>,
+    copier: &mut Copier<W>,
+    mut change: impl FnMut(&mut Copier<W>, usize, &Block, &Entry) -> Result<(), Error>,
 ) -> Result<(), Error> {
     let mut failed = None;
     set.each(span, |met| {
         if let (Met::Entry(source, block, entry), None) = (met, &failed) {
-            failed = change(copy, source, block, entry).err();
+            failed = change(copier, source, block, entry).err();
         }
     });
     failed.map_or(Ok(()), Err)
@@ -82,11 +82,11 @@
 /// # Errors
 /// If reading or writing fails.
 pub fn merge<W: Write>(set: &mut Set, out: W) -> Result<W, Error> {
-    let mut copied = Copy::new(out, set.sources.clone())?;
-    copy(set, (f64::NEG_INFINITY, f64::INFINITY), &mut copied, |out, source, block, entry| {
-        out.add(source, block, entry, &as_is)
+    let mut copier = Copier::new(out, set.sources.clone())?;
+    copy_entries(set, (f64::NEG_INFINITY, f64::INFINITY), &mut copier, |out, source, block, entry| {
+        out.add(source, block, entry, &keep_name)
     })?;
-    copied.finish()
+    copier.finish()
 }
 
 /// A selection of queries. A query must satisfy all conditions that are set.
@@ -117,26 +117,26 @@
 /// # Errors
 /// If reading or writing fails.
 pub fn cut<W: Write>(set: &mut Set, span: (f64, f64), pick: &Pick, out: W) -> Result<W, Error> {
-    let mut copied = Copy::new(out, set.sources.clone())?;
+    let mut copier = Copier::new(out, set.sources.clone())?;
     if pick.is_all() {
         let from = checkpoints(set, span.0);
-        let least = from.values().copied().fold(span.0, f64::min);
-        copy(set, (least, span.1), &mut copied, |out, source, block, entry| {
+        let earliest = from.values().copied().fold(span.0, f64::min);
+        copy_entries(set, (earliest, span.1), &mut copier, |out, source, block, entry| {
             let begin = from.get(&source).copied().unwrap_or(span.0);
             if (begin..=span.1).contains(&entry.at) {
-                out.add(source, block, entry, &as_is)?;
+                out.add(source, block, entry, &keep_name)?;
             }
             Ok(())
         })?;
     } else {
         let picked = picked(set, span, pick)?;
-        copy(set, span, &mut copied, |out, source, block, entry| {
+        copy_entries(set, span, &mut copier, |out, source, block, entry| {
             let has = |query: u64| picked.contains(&(source, query));
             let kept = (span.0..=span.1).contains(&entry.at).then(|| only_of(&entry.record, &has)).flatten();
-            kept.map_or(Ok(()), |record| out.add(source, block, &Entry { at: entry.at, record }, &as_is))
+            kept.map_or(Ok(()), |record| out.add(source, block, &Entry { at: entry.at, record }, &keep_name))
         })?;
     }
-    copied.finish()
+    copier.finish()
 }
 
 /// Returns the time of the last checkpoint of each source at or before a time.
@@ -159,17 +159,17 @@
 pub fn picked(set: &mut Set, span: (f64, f64), pick: &Pick) -> Result<BTreeSet<(usize, u64)>, Error> {
     let named = pick.query.as_deref().map(|name| set.find(name)).transpose()?;
     let named: Option<BTreeSet<_>> = named.map(|found| found.into_iter().collect());
-    let (mut fitting, mut at_store) = (BTreeSet::new(), BTreeSet::new());
+    let (mut matching, mut at_store) = (BTreeSet::new(), BTreeSet::new());
     set.blockwise(span, |met| {
         let Met::Entry(source, block, entry) = met else { return };
-        let told = match &entry.record {
+        let attributes = match &entry.record {
             Record::Taken(taken) => Some((taken.query, taken.class, taken.group)),
             Record::Verdict(verdict) => Some((verdict.query, verdict.class, verdict.group)),
             _ => None,
         };
-        if let Some((query, class, group)) = told {
+        if let Some((query, class, group)) = attributes {
             if pick.only.has(block.text(class), group.map(|group| block.text(group))) {
-                fitting.insert((source, query));
+                matching.insert((source, query));
             }
         }
         if let (Record::Step(step), Some(only)) = (&entry.record, &pick.run_store) {
@@ -186,7 +186,7 @@
         named.as_ref().is_none_or(|named| named.contains(key))
             && (pick.run_store.is_none() || at_store.contains(key))
     };
-    Ok(fitting.into_iter().filter(keep).collect())
+    Ok(matching.into_iter().filter(keep).collect())
 }
 
 /// Reduces a record to the queries for which `has` is true. Returns `None` if nothing is left.
@@ -231,26 +231,26 @@
     }
 
     /// Replaces the group names in a settings object. Returns an empty string if the object cannot be parsed.
-    fn settings(&self, text: &str, groups: &HashSet<u64>) -> String {
+    fn replace_in_settings(&self, text: &str, groups: &HashSet<u64>) -> String {
         match serde_json::from_str::<Value>(text) {
             Ok(mut value) => {
-                self.value(&mut value, groups);
+                self.replace_in_value(&mut value, groups);
                 value.to_string()
             }
             Err(_) => String::new(),
         }
     }
 
-    fn value(&self, value: &mut Value, groups: &HashSet<u64>) {
+    fn replace_in_value(&self, value: &mut Value, groups: &HashSet<u64>) {
         match value {
             Value::String(text) if groups.contains(&hash(text)) => {
                 *text = self.of(Kind::Group, text).to_string()
             }
-            Value::Array(values) => values.iter_mut().for_each(|value| self.value(value, groups)),
+            Value::Array(values) => values.iter_mut().for_each(|value| self.replace_in_value(value, groups)),
             Value::Object(fields) => {
                 let old = std::mem::take(fields);
                 for (key, mut value) in old {
-                    self.value(&mut value, groups);
+                    self.replace_in_value(&mut value, groups);
                     let key = if groups.contains(&hash(&key)) {
                         self.of(Kind::Group, &key).to_string()
                     } else {
@@ -264,13 +264,13 @@
     }
 
     /// Replaces names in free text: whole words that are a name, or a name followed by a dot and a shard.
-    fn words(&self, text: &str, groups: &HashSet<u64>, queries: &HashSet<u64>) -> String {
+    fn replace_in_text(&self, text: &str, groups: &HashSet<u64>, queries: &HashSet<u64>) -> String {
         let inside = |c: char| c.is_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
         let mut out = String::with_capacity(text.len());
         let mut rest = text;
         while !rest.is_empty() {
             let end = rest.find(|c| !inside(c)).unwrap_or(rest.len());
-            out.push_str(&self.word(&rest[..end], groups, queries));
+            out.push_str(&self.replace_word(&rest[..end], groups, queries));
             let next = rest[end..].find(inside).map_or(rest.len(), |at| end + at);
             out.push_str(&rest[end..next]);
             rest = &rest[next..];
@@ -278,7 +278,7 @@
         out
     }
 
-    fn word(&self, word: &str, groups: &HashSet<u64>, queries: &HashSet<u64>) -> String {
+    fn replace_word(&self, word: &str, groups: &HashSet<u64>, queries: &HashSet<u64>) -> String {
         let replaced = |word: &str| {
             if groups.contains(&hash(word)) {
                 Some(self.of(Kind::Group, word))
@@ -306,7 +306,7 @@
     let (mut groups, mut queries) = (HashSet::new(), HashSet::new());
     set.blockwise(all, |met| {
         if let Met::Entry(_, block, entry) = met {
-            let mut note = |kind, name: &mut Name| {
+            let mut collect = |kind, name: &mut Name| {
                 let hash = hash(block.text(*name));
                 let _new = match kind {
                     Kind::Group => groups.insert(hash),
@@ -317,7 +317,7 @@
             // `Record::names` needs a mutable copy. Large records are skipped, as they hold no group or query names.
             match &entry.record {
                 Record::Step(_) | Record::Wire(_) | Record::Closed(_) => {}
-                record => record.clone().names(&mut note),
+                record => record.clone().names(&mut collect),
             }
         }
     });
@@ -329,21 +329,21 @@
     }
     let mut sources = set.sources.clone();
     for source in &mut sources {
-        source.settings = pseudonyms.settings(&source.settings, &groups);
+        source.settings = pseudonyms.replace_in_settings(&source.settings, &groups);
     }
-    let mut copied = Copy::new(out, sources)?;
+    let mut copier = Copier::new(out, sources)?;
     let rename = |kind, text: &str| pseudonyms.of(kind, text);
-    copy(set, all, &mut copied, |out, source, block, entry| {
+    copy_entries(set, all, &mut copier, |out, source, block, entry| {
         let mut entry = entry.clone();
         match &mut entry.record {
             Record::Checkpoint(checkpoint) => {
-                checkpoint.told.text = pseudonyms.settings(&checkpoint.told.text, &groups);
+                checkpoint.told.text = pseudonyms.replace_in_settings(&checkpoint.told.text, &groups);
             }
-            Record::Settings(told) => told.text = pseudonyms.settings(&told.text, &groups),
+            Record::Settings(told) => told.text = pseudonyms.replace_in_settings(&told.text, &groups),
             _ => {}
         }
-        entry.record.texts(&mut |text| *text = pseudonyms.words(text, &groups, &queries));
+        entry.record.texts(&mut |text| *text = pseudonyms.replace_in_text(text, &groups, &queries));
         out.add(source, block, &entry, &rename)
     })?;
-    copied.finish()
+    copier.finish()
 }
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -12,9 +12,9 @@
 /// The first bytes of a segment.
 pub const MAGIC: [u8; 8] = *b"\x89IPTRC\r\n";
 /// The length of the fixed part before the header's body, in bytes: magic, version, length and checksum of the body.
-const HEAD: usize = 20;
+const FIXED_HEADER_BYTES: usize = 20;
 /// The maximum accepted length of a header's body, in bytes. A greater length is treated as damage.
-const MOST_HEADER: u32 = 16 << 20;
+const MAX_HEADER_BYTES: u32 = 16 << 20;
 
 /// A process whose entries are in a segment.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -84,8 +84,8 @@
         }
         let (head, bytes) = batch.seal(source, &mut self.zstd)?;
         self.out.write_all(&bytes)?;
-        let (queries, called) = batch.about();
-        self.index.add(BlockAt::new(self.at, &head), &queries, &called);
+        let (queries, client_ids) = batch.take_index_entries();
+        self.index.add(BlockAt::new(self.at, &head), &queries, &client_ids);
         self.at += bytes.len() as u64;
         Ok(())
     }
@@ -149,27 +149,27 @@
         self.file.seek(SeekFrom::Start(from))?;
         self.file.read_to_end(&mut bytes)?;
         // Everything before `at` is already reported, as a block or as damage.
-        let (mut at, mut look) = (0, 0);
-        while let Some(found) = find(&bytes, look) {
+        let (mut at, mut search_from) = (0, 0);
+        while let Some(found) = find_block_magic(&bytes, search_from) {
             let head = Head::read(&bytes[found..]);
             let payload =
                 |head: &Head| bytes.get(found + block::HEAD..found + block::HEAD + head.stored as usize);
             match head.as_ref().and_then(payload).zip(head) {
                 Some((stored, head)) if Block::is_sound(&head, stored) => {
-                    self.gap(from, at, found);
+                    self.add_damage(from, at, found);
                     let block = BlockAt::new(from + found as u64, &head);
                     at = found + block.length as usize;
-                    look = at;
+                    search_from = at;
                     self.blocks.push(block);
                 }
-                _ => look = found + 1,
+                _ => search_from = found + 1,
             }
         }
-        self.gap(from, at, bytes.len());
+        self.add_damage(from, at, bytes.len());
         Ok(())
     }
 
-    fn gap(&mut self, from: u64, at: usize, end: usize) {
+    fn add_damage(&mut self, from: u64, at: usize, end: usize) {
         if at < end {
             self.damage.push(Damage { at: from + at as u64, length: (end - at) as u64 });
         }
@@ -236,13 +236,13 @@
     /// # Errors
     /// If the underlying reader fails.
     pub fn called(&mut self, name: &str) -> Result<Vec<(u16, u64)>, Error> {
-        let Some(index) = &self.index else { return self.look_for(name) };
+        let Some(index) = &self.index else { return self.called_without_index(name) };
         let found = index.called(&mut self.file, name)?;
         Ok(found.into_iter().map(|key| ((key >> 48) as u16, key & ((1 << 48) - 1))).collect())
     }
 
     /// Implements [`Reader::called`] without an index, by reading all blocks.
-    fn look_for(&mut self, name: &str) -> Result<Vec<(u16, u64)>, Error> {
+    fn called_without_index(&mut self, name: &str) -> Result<Vec<(u16, u64)>, Error> {
         let mut found = Vec::new();
         for no in 0..self.blocks.len() {
             let Ok(block) = self.block(no) else { continue };
@@ -258,7 +258,7 @@
     }
 }
 
-fn find(bytes: &[u8], from: usize) -> Option<usize> {
+fn find_block_magic(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = bytes.get(from..)?;
     rest.windows(block::MAGIC.len()).position(|window| window == block::MAGIC).map(|at| from + at)
 }
@@ -267,14 +267,15 @@
 fn read_header(file: &mut (impl Read + Seek)) -> Result<(Option<Header>, u64), Error> {
     let length = file.seek(SeekFrom::End(0))?;
     file.seek(SeekFrom::Start(0))?;
-    let mut head = [0; HEAD];
-    if length < HEAD as u64 {
+    let mut fixed = [0; FIXED_HEADER_BYTES];
+    if length < FIXED_HEADER_BYTES as u64 {
         return Err(Error::NoTrace);
     }
-    file.read_exact(&mut head)?;
-    let word = |at: usize| head[at..at + 4].try_into().map(u32::from_le_bytes).unwrap_or(0);
-    let (version, size, crc) = (word(8), word(12), word(16));
-    if head[..8] != MAGIC || size > MOST_HEADER || u64::from(size) + HEAD as u64 > length {
+    file.read_exact(&mut fixed)?;
+    let u32_at = |at: usize| fixed[at..at + 4].try_into().map(u32::from_le_bytes).unwrap_or(0);
+    let (version, size, crc) = (u32_at(8), u32_at(12), u32_at(16));
+    if fixed[..8] != MAGIC || size > MAX_HEADER_BYTES || u64::from(size) + FIXED_HEADER_BYTES as u64 > length
+    {
         // The header is damaged or truncated; intact blocks can still be found by their own headers.
         return Ok((None, 0));
     }
@@ -284,7 +285,7 @@
         return Ok((None, 0));
     }
     match u8::try_from(version) {
-        Ok(1..=VERSION) => Ok((Some(postcard::from_bytes(&body)?), (HEAD + body.len()) as u64)),
+        Ok(1..=VERSION) => Ok((Some(postcard::from_bytes(&body)?), (FIXED_HEADER_BYTES + body.len()) as u64)),
         Ok(other) => Err(Error::Version(other)),
         Err(_) => Ok((None, 0)),
     }
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -10,13 +10,13 @@
 /// The last bytes of a finished segment.
 pub const MAGIC: [u8; 8] = *b"\x89IPEND\r\n";
 /// The length of the trailer, which locates the tables, in bytes.
-const TRAILER: usize = 56;
+const TRAILER_BYTES: usize = 56;
 /// The length of a row of the block table, in bytes.
-const BLOCK_ROW: usize = 38;
+const BLOCK_ROW_BYTES: usize = 38;
 /// The length of a row of the query table, in bytes.
-const QUERY_ROW: usize = 16;
+const QUERY_ROW_BYTES: usize = 16;
 /// The length of a row of the name table, in bytes.
-const NAME_ROW: usize = 16;
+const NAME_ROW_BYTES: usize = 16;
 
 /// Returns the hash under which the index stores a query's client id.
 pub fn hash(name: &str) -> u64 {
@@ -90,7 +90,7 @@
     /// # Errors
     /// If the writer fails.
     pub fn write(&mut self, at: u64, out: &mut impl Write) -> Result<u64, Error> {
-        let mut blocks = Vec::with_capacity(self.blocks.len() * BLOCK_ROW);
+        let mut blocks = Vec::with_capacity(self.blocks.len() * BLOCK_ROW_BYTES);
         for block in &self.blocks {
             blocks.extend_from_slice(&block.offset.to_le_bytes());
             for word in [block.length, block.records, block.raw] {
@@ -100,19 +100,19 @@
             blocks.extend_from_slice(&block.last.to_le_bytes());
             blocks.extend_from_slice(&block.source.to_le_bytes());
         }
-        let mut queries = Vec::with_capacity(self.queries.len() * QUERY_ROW);
+        let mut queries = Vec::with_capacity(self.queries.len() * QUERY_ROW_BYTES);
         for (query, (first, last)) in &self.queries {
             queries.extend_from_slice(&query.to_le_bytes());
             queries.extend_from_slice(&first.to_le_bytes());
             queries.extend_from_slice(&last.to_le_bytes());
         }
         self.names.sort_unstable();
-        let mut names = Vec::with_capacity(self.names.len() * NAME_ROW);
+        let mut names = Vec::with_capacity(self.names.len() * NAME_ROW_BYTES);
         for (hash, query) in &self.names {
             names.extend_from_slice(&hash.to_le_bytes());
             names.extend_from_slice(&query.to_le_bytes());
         }
-        let mut trailer = Vec::with_capacity(TRAILER);
+        let mut trailer = Vec::with_capacity(TRAILER_BYTES);
         trailer.extend_from_slice(&at.to_le_bytes());
         for table in [&blocks, &queries, &names] {
             trailer.extend_from_slice(&(table.len() as u64).to_le_bytes());
@@ -153,8 +153,8 @@
     /// If the reader fails.
     pub fn read(file: &mut (impl Read + Seek)) -> Result<Option<Self>, Error> {
         let length = file.seek(SeekFrom::End(0))?;
-        let Some(trailer_at) = length.checked_sub(TRAILER as u64) else { return Ok(None) };
-        let mut trailer = [0; TRAILER];
+        let Some(trailer_at) = length.checked_sub(TRAILER_BYTES as u64) else { return Ok(None) };
+        let mut trailer = [0; TRAILER_BYTES];
         file.seek(SeekFrom::Start(trailer_at))?;
         file.read_exact(&mut trailer)?;
         if trailer[48..] != MAGIC || crc32fast::hash(&trailer[..44]) != u32_at(&trailer, 44) {
@@ -177,7 +177,7 @@
             last: f64::from_bits(u64_at(row, 28)),
             source: u16::from_le_bytes([row[36], row[37]]),
         };
-        let blocks: Vec<BlockAt> = rows.chunks_exact(BLOCK_ROW).map(row).collect();
+        let blocks: Vec<BlockAt> = rows.chunks_exact(BLOCK_ROW_BYTES).map(row).collect();
         let inside =
             |block: &BlockAt| block.offset.checked_add(u64::from(block.length)).is_some_and(|e| e <= at);
         Ok(blocks.iter().all(inside).then_some(Index { blocks, ..index }))
@@ -199,17 +199,17 @@
     fn table(&self, file: &mut (impl Read + Seek), which: usize) -> Result<Option<Vec<u8>>, Error> {
         let (length, crc) = self.tables[which];
         let mut bytes = vec![0; usize::try_from(length).map_err(|_| Error::TooLong)?];
-        file.seek(SeekFrom::Start(self.start(which)))?;
+        file.seek(SeekFrom::Start(self.table_offset(which)))?;
         file.read_exact(&mut bytes)?;
         Ok((crc32fast::hash(&bytes) == crc).then_some(bytes))
     }
 
-    fn start(&self, which: usize) -> u64 {
+    fn table_offset(&self, which: usize) -> u64 {
         self.at + self.tables[..which].iter().map(|(length, _)| length).sum::<u64>()
     }
 
     /// Returns the first row with a key of at least `key` in a table that is sorted by its first eight bytes.
-    fn seek(&self, file: &mut (impl Read + Seek), which: usize, key: u64) -> Result<u64, Error> {
+    fn lower_bound(&self, file: &mut (impl Read + Seek), which: usize, key: u64) -> Result<u64, Error> {
         let (mut low, mut high) = (0, self.tables[which].0 / 16);
         while low < high {
             let middle = low + (high - low) / 2;
@@ -224,7 +224,7 @@
 
     fn row(&self, file: &mut (impl Read + Seek), which: usize, no: u64) -> Result<[u8; 16], Error> {
         let mut row = [0; 16];
-        file.seek(SeekFrom::Start(self.start(which) + no * 16))?;
+        file.seek(SeekFrom::Start(self.table_offset(which) + no * 16))?;
         file.read_exact(&mut row)?;
         Ok(row)
     }
@@ -234,7 +234,7 @@
     /// # Errors
     /// If the reader fails.
     pub fn query(&self, file: &mut (impl Read + Seek), query: u64) -> Result<Option<(u32, u32)>, Error> {
-        let at = self.seek(file, 1, query)?;
+        let at = self.lower_bound(file, 1, query)?;
         if at >= self.tables[1].0 / 16 {
             return Ok(None);
         }
@@ -248,7 +248,7 @@
     /// If the reader fails.
     pub fn called(&self, file: &mut (impl Read + Seek), name: &str) -> Result<Vec<u64>, Error> {
         let (hash, mut found) = (hash(name), Vec::new());
-        let mut at = self.seek(file, 2, hash)?;
+        let mut at = self.lower_bound(file, 2, hash)?;
         while at < self.tables[2].0 / 16 {
             let row = self.row(file, 2, at)?;
             if u64_at(&row, 0) != hash {
--- a/crates/trace/src/keep.rs
+++ b/crates/trace/src/keep.rs
@@ -66,15 +66,15 @@
 /// Writes the segments of an aggregator and limits their total size.
 pub struct Keeper<S: Storage> {
     storage: S,
-    most: u64,
+    max_bytes: u64,
     writer: Option<Writer<S::File>>,
-    open: String,
+    file_name: String,
 }
 
 impl<S: Storage> Keeper<S> {
-    /// Creates a keeper that limits the segments of one aggregator to `most` bytes in total.
-    pub fn new(storage: S, most: u64) -> Self {
-        Keeper { storage, most, writer: None, open: String::new() }
+    /// Creates a keeper that limits the segments of one aggregator to `max_bytes` bytes in total.
+    pub fn new(storage: S, max_bytes: u64) -> Self {
+        Keeper { storage, max_bytes, writer: None, file_name: String::new() }
     }
 
     /// Returns the length of the open segment, in bytes, if there is one.
@@ -84,7 +84,7 @@
 
     /// Returns the file name of the open segment, or else of the last one.
     pub fn name(&self) -> &str {
-        &self.open
+        &self.file_name
     }
 
     /// Executes a job.
@@ -94,9 +94,9 @@
             Job::Close => 0,
         };
         let done = match job {
-            Job::Open(header, batch) => self.begin(&header, batch),
+            Job::Open(header, batch) => self.open_segment(&header, batch),
             Job::Add(batch) => self.add(batch).map(|()| Vec::new()),
-            Job::Close => self.end().map(|()| Vec::new()),
+            Job::Close => self.finish_segment().map(|()| Vec::new()),
         };
         match done {
             Ok(removed) => Done::Kept { removed },
@@ -108,13 +108,13 @@
         }
     }
 
-    fn begin(&mut self, header: &Header, batch: Batch) -> Result<Vec<String>, Error> {
+    fn open_segment(&mut self, header: &Header, batch: Batch) -> Result<Vec<String>, Error> {
         // A failure to finish the previous segment is ignored: readers can read it without its index.
-        let _ = self.end();
+        let _ = self.finish_segment();
         let source = header.sources.first().ok_or(Error::Damaged)?;
-        self.open = name(&source.aggregator, batch.first(), source.process, header.segment);
+        self.file_name = name(&source.aggregator, batch.first(), source.process, header.segment);
         let removed = self.make_room(&source.aggregator)?;
-        let mut writer = Writer::new(self.storage.create(&self.open)?, header)?;
+        let mut writer = Writer::new(self.storage.create(&self.file_name)?, header)?;
         writer.add(0, batch)?;
         self.writer = Some(writer);
         Ok(removed)
@@ -127,7 +127,7 @@
         }
     }
 
-    fn end(&mut self) -> Result<(), Error> {
+    fn finish_segment(&mut self) -> Result<(), Error> {
         self.writer.take().map_or(Ok(()), |writer| writer.finish().map(|_| ()))
     }
 
@@ -135,15 +135,15 @@
     /// still written to, by this or another process, is not removed.
     fn make_room(&mut self, aggregator: &str) -> Result<Vec<String>, Error> {
         let mut files: Vec<_> = self.storage.list()?;
-        files.retain(|(name, _, _)| parts(name).is_some_and(|(of, _)| of == plain(aggregator)));
-        files.sort_by_key(|(name, _, _)| parts(name).map(|(_, order)| order));
+        files.retain(|(name, _, _)| parse_name(name).is_some_and(|(of, _)| of == sanitize(aggregator)));
+        files.sort_by_key(|(name, _, _)| parse_name(name).map(|(_, order)| order));
         let mut total: u64 = files.iter().map(|(_, length, _)| length).sum();
         let mut removed = Vec::new();
-        for (name, length, lately) in files {
-            if total <= self.most {
+        for (name, length, is_recent) in files {
+            if total <= self.max_bytes {
                 break;
             }
-            if !lately {
+            if !is_recent {
                 self.storage.remove(&name)?;
                 total -= length;
                 removed.push(name);
@@ -155,16 +155,16 @@
 
 /// Returns the file name of a segment: aggregator, start time, process id and segment number.
 pub fn name(aggregator: &str, began: f64, process: u32, segment: u64) -> String {
-    format!("{}~{:013}~{process}~{segment:06}{ENDING}", plain(aggregator), began.max(0.0) as u64)
+    format!("{}~{:013}~{process}~{segment:06}{ENDING}", sanitize(aggregator), began.max(0.0) as u64)
 }
 
-fn plain(aggregator: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || matches!(c, '-' | '.') { c } else { '_' };
-    aggregator.chars().map(plain).collect()
+fn sanitize(aggregator: &str) -> String {
+    let replace = |c: char| if c.is_ascii_alphanumeric() || matches!(c, '-' | '.') { c } else { '_' };
+    aggregator.chars().map(replace).collect()
 }
 
 /// Parses the file name of a segment into the aggregator and the sort key (start time, process id, number).
-fn parts(name: &str) -> Option<(&str, (u64, u64, u64))> {
+fn parse_name(name: &str) -> Option<(&str, (u64, u64, u64))> {
     let mut words = name.strip_suffix(ENDING)?.rsplit('~');
     let mut number = || words.next()?.parse().ok();
     let (segment, process, began) = (number()?, number()?, number()?);
--- a/crates/trace/src/num/tests.rs
+++ b/crates/trace/src/num/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_number_comes_back_to_the_bit() {
+fn every_number_is_encoded_losslessly() {
     let now = 1_764_608_967_123.456_7_f64;
     for value in [0.0, -0.0, 0.1, 1.0 / 3.0, 0.123_456, -7.5, now, f64::MAX, f64::MIN_POSITIVE, f64::INFINITY]
     {
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn what_a_clock_and_a_report_say_is_short() {
+fn timestamps_and_reports_have_compact_encodings() {
     let now = 1_764_608_967_123.456_7_f64;
     assert!(matches!(Num::since(now, now - 12.345), Num::Step(steps) if steps.abs() < 100_000));
     assert_eq!(Num::of(0.61), Num::Decimal(610_000));
--- a/crates/trace/src/packed.rs
+++ b/crates/trace/src/packed.rs
@@ -9,65 +9,67 @@
 use crate::record::{Action, Choice, Event, Name, Step, Why};
 
 /// A part in the group of its query: shard, weight, hint, key.
-type PartOf = (u32, Num, Option<Num>, Option<Name>);
+type PackedPart = (u32, Num, Option<Num>, Option<Name>);
 /// A send in a group: shard, run store, reason for the choice of run store.
-type SendOf = (u32, Name, Choice);
+type PackedSend = (u32, Name, Choice);
 
 #[derive(Serialize)]
-enum EventOut<'a> {
-    Asked(&'a Event, Vec<PartOf>),
+enum PackedEventRef<'a> {
+    #[serde(rename = "Asked")]
+    Query(&'a Event, Vec<PackedPart>),
     One(&'a Event),
 }
 
 #[derive(Deserialize)]
-enum EventIn {
-    Asked(Event, Vec<PartOf>),
+enum PackedEvent {
+    #[serde(rename = "Asked")]
+    Query(Event, Vec<PackedPart>),
     One(Event),
 }
 
 #[derive(Serialize)]
-enum ActionOut<'a> {
-    Sends(u64, Num, Why, Vec<SendOf>),
+enum PackedActionRef<'a> {
+    Sends(u64, Num, Why, Vec<PackedSend>),
     One(&'a Action),
 }
 
 #[derive(Deserialize)]
-enum ActionIn {
-    Sends(u64, Num, Why, Vec<SendOf>),
+enum PackedAction {
+    Sends(u64, Num, Why, Vec<PackedSend>),
     One(Action),
 }
 
-fn pack_events(events: &[Event]) -> Vec<EventOut<'_>> {
-    let mut packed: Vec<EventOut> = Vec::with_capacity(events.len());
+fn pack_events(events: &[Event]) -> Vec<PackedEventRef<'_>> {
+    let mut packed: Vec<PackedEventRef> = Vec::with_capacity(events.len());
     for event in events {
         match (event, packed.last_mut()) {
-            (Event::Query { .. }, _) => packed.push(EventOut::Asked(event, Vec::new())),
-            (Event::Part { query, shard, weight, hint, key }, Some(EventOut::Asked(of, parts)))
+            (Event::Query { .. }, _) => packed.push(PackedEventRef::Query(event, Vec::new())),
+            (Event::Part { query, shard, weight, hint, key }, Some(PackedEventRef::Query(of, parts)))
                 if of.query() == Some(*query) =>
             {
                 parts.push((*shard, *weight, *hint, *key));
             }
-            _ => packed.push(EventOut::One(event)),
+            _ => packed.push(PackedEventRef::One(event)),
         }
     }
     packed
 }
 
-fn pack_actions(actions: &[Action]) -> Vec<ActionOut<'_>> {
-    let mut packed: Vec<ActionOut> = Vec::with_capacity(actions.len());
+fn pack_actions(actions: &[Action]) -> Vec<PackedActionRef<'_>> {
+    let mut packed: Vec<PackedActionRef> = Vec::with_capacity(actions.len());
     for action in actions {
         let Action::Send { query, shard, run_store, timeout, why, choice } = action else {
-            packed.push(ActionOut::One(action));
+            packed.push(PackedActionRef::One(action));
             continue;
         };
         let send = (*shard, *run_store, *choice);
         match packed.last_mut() {
-            Some(ActionOut::Sends(of, wait, reason, sends))
+            Some(PackedActionRef::Sends(of, wait, reason, sends))
                 if (&*of, &*wait, &*reason) == (query, timeout, why) =>
             {
                 sends.push(send);
             }
-            _ => packed.push(ActionOut::Sends(*query, *timeout, *why, vec![send])),
+            _ => packed.push(PackedActionRef::Sends(*query, *timeout, *why, vec![send])),
         }
     }
     packed
@@ -89,12 +91,12 @@
 
 impl<'de> Deserialize<'de> for Step {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let (packed_events, packed_actions) = <(Vec<EventIn>, Vec<ActionIn>)>::deserialize(from)?;
+        let (packed_events, packed_actions) = <(Vec<PackedEvent>, Vec<PackedAction>)>::deserialize(from)?;
         let mut events = Vec::with_capacity(packed_events.len());
         for packed in packed_events {
             match packed {
-                EventIn::One(event) => events.push(event),
-                EventIn::Asked(event, parts) => {
+                PackedEvent::One(event) => events.push(event),
+                PackedEvent::Query(event, parts) => {
                     let query = event.query().unwrap_or(0);
                     events.push(event);
                     let part = |(shard, weight, hint, key)| Event::Part { query, shard, weight, hint, key };
@@ -105,8 +107,8 @@
         let mut actions = Vec::with_capacity(packed_actions.len());
         for packed in packed_actions {
             match packed {
-                ActionIn::One(action) => actions.push(action),
-                ActionIn::Sends(query, timeout, why, sends) => {
+                PackedAction::One(action) => actions.push(action),
+                PackedAction::Sends(query, timeout, why, sends) => {
                     let send = |(shard, run_store, choice)| Action::Send {
                         query,
                         shard,
--- a/crates/trace/src/packed/tests.rs
+++ b/crates/trace/src/packed/tests.rs
@@ -2,7 +2,7 @@
 use crate::record::Outcome;
 
 #[test]
-fn what_is_packed_comes_back_in_its_order() {
+fn packing_preserves_events_and_actions_in_order() {
     let mut random = fastrand::Rng::with_seed(1);
     for _ in 0..300 {
         let event = |random: &mut fastrand::Rng| match random.u8(..4) {
--- a/crates/trace/src/set.rs
+++ b/crates/trace/src/set.rs
@@ -38,7 +38,7 @@
 
 /// The location of a block in a set.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct At {
+struct BlockRef {
     segment: usize,
     block: usize,
     first: f64,
@@ -99,13 +99,13 @@
         // The sources of a file without a readable header are unknown; it is treated as a process of its own.
         let unknown =
             || vec![Source { aggregator: format!("unknown: {}", path.display()), ..Source::default() }];
-        let told = reader.header().map_or_else(unknown, |header| header.sources.clone());
-        let sources = told.into_iter().map(|source| self.source(source)).collect();
+        let known = reader.header().map_or_else(unknown, |header| header.sources.clone());
+        let sources = known.into_iter().map(|source| self.add_source(source)).collect();
         self.segments.push(Segment { path: path.into(), reader, sources });
         Ok(())
     }
 
-    fn source(&mut self, source: Source) -> usize {
+    fn add_source(&mut self, source: Source) -> usize {
         if let Some(at) = self.sources.iter().position(|known| known.is(&source)) {
             return at;
         }
@@ -114,7 +114,7 @@
     }
 
     /// Returns the index in [`Set::sources`] of a source of a segment.
-    fn place(&self, segment: usize, source: u16) -> usize {
+    fn source_index(&self, segment: usize, source: u16) -> usize {
         self.segments[segment].sources.get(usize::from(source)).copied().unwrap_or(0)
     }
 
@@ -125,13 +125,13 @@
         Some((first, blocks().map(|block| block.last).fold(first, f64::max)))
     }
 
-    fn tell_progress(&mut self, read: usize, all: usize) {
+    fn report_progress(&mut self, read: usize, all: usize) {
         if let Some(progress) = &mut self.progress {
             progress(read, all);
         }
     }
 
-    fn read(&mut self, at: At) -> Option<Block> {
+    fn read_block(&mut self, at: BlockRef) -> Option<Block> {
         match self.segments[at.segment].reader.block(at.block) {
             Ok(block) => Some(block),
             Err(error) => {
@@ -142,11 +142,11 @@
         }
     }
 
-    fn blocks(&self, of: impl Fn(&crate::index::BlockAt) -> bool) -> Vec<At> {
+    fn blocks(&self, select: impl Fn(&crate::index::BlockAt) -> bool) -> Vec<BlockRef> {
         let mut all = Vec::new();
-        for (segment, known) in self.segments.iter().enumerate() {
-            for (block, at) in known.reader.blocks().iter().enumerate().filter(|(_, at)| of(at)) {
-                all.push(At { segment, block, first: at.first });
+        for (segment, opened) in self.segments.iter().enumerate() {
+            for (block, at) in opened.reader.blocks().iter().enumerate().filter(|(_, at)| select(at)) {
+                all.push(BlockRef { segment, block, first: at.first });
             }
         }
         all.sort_by(|a, b| a.first.total_cmp(&b.first));
@@ -158,9 +158,10 @@
     pub fn blockwise(&mut self, span: (f64, f64), mut visit: impl FnMut(Met)) {
         let all = self.blocks(|block| block.last >= span.0 && block.first <= span.1);
         for (no, at) in all.iter().copied().enumerate() {
-            self.tell_progress(no + 1, all.len());
-            let source = self.place(at.segment, self.segments[at.segment].reader.blocks()[at.block].source);
-            match self.read(at) {
+            self.report_progress(no + 1, all.len());
+            let source =
+                self.source_index(at.segment, self.segments[at.segment].reader.blocks()[at.block].source);
+            match self.read_block(at) {
                 Some(block) => {
                     block.entries.iter().for_each(|entry| visit(Met::Entry(source, &block, entry)))
                 }
@@ -174,7 +175,7 @@
     pub fn each(&mut self, span: (f64, f64), mut visit: impl FnMut(Met)) {
         let all = self.blocks(|block| block.last >= span.0 && block.first <= span.1);
         let (count, mut read) = (all.len(), 0);
-        let mut coming = all.into_iter().peekable();
+        let mut upcoming = all.into_iter().peekable();
         // The open blocks, oldest first, each with the index of its source and of its next entry.
         let mut open: Vec<(Block, usize, usize)> = Vec::new();
         loop {
@@ -182,21 +183,21 @@
             let next = |open: &[(Block, usize, usize)]| {
                 let mut best: Option<(usize, f64)> = None;
                 for (place, (block, source, entry)) in open.iter().enumerate() {
-                    let first_of = open[..place].iter().all(|(_, other, _)| other != source);
+                    let is_oldest = open[..place].iter().all(|(_, other, _)| other != source);
                     let at = block.entries[*entry].at;
-                    if first_of && best.is_none_or(|(_, least)| at < least) {
+                    if is_oldest && best.is_none_or(|(_, least)| at < least) {
                         best = Some((place, at));
                     }
                 }
                 best
             };
             let best = next(&open);
-            if let Some(at) = coming.next_if(|at| best.is_none_or(|(_, time)| at.first <= time)) {
+            if let Some(at) = upcoming.next_if(|at| best.is_none_or(|(_, time)| at.first <= time)) {
                 read += 1;
-                self.tell_progress(read, count);
+                self.report_progress(read, count);
                 let source =
-                    self.place(at.segment, self.segments[at.segment].reader.blocks()[at.block].source);
-                match self.read(at) {
+                    self.source_index(at.segment, self.segments[at.segment].reader.blocks()[at.block].source);
+                match self.read_block(at) {
                     Some(block) if !block.entries.is_empty() => open.push((block, source, 0)),
                     Some(_) => {}
                     None => visit(Met::Gap(source)),
@@ -224,14 +225,14 @@
         mut visit: impl FnMut(&Block, &Entry),
     ) -> Result<(), Error> {
         for segment in 0..self.segments.len() {
-            let places = self.segments[segment].sources.clone();
-            for (local, _) in places.iter().enumerate().filter(|(_, place)| **place == source) {
+            let sources = self.segments[segment].sources.clone();
+            for (local, _) in sources.iter().enumerate().filter(|(_, index)| **index == source) {
                 let range = self.segments[segment].reader.about(local as u16, query)?;
                 for block in range {
                     if usize::from(self.segments[segment].reader.blocks()[block].source) != local {
                         continue;
                     }
-                    if let Some(block) = self.read(At { segment, block, first: 0.0 }) {
+                    if let Some(block) = self.read_block(BlockRef { segment, block, first: 0.0 }) {
                         block.entries.iter().for_each(|entry| visit(&block, entry));
                     }
                 }
@@ -248,7 +249,7 @@
         let mut found = Vec::new();
         for segment in 0..self.segments.len() {
             for (source, query) in self.segments[segment].reader.called(name)? {
-                found.push((self.place(segment, source), query));
+                found.push((self.source_index(segment, source), query));
             }
         }
         if let Some(number) = name.strip_prefix('q').unwrap_or(name).parse().ok().filter(|_| found.is_empty())
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -59,10 +59,10 @@
 /// # Errors
 /// If a reader fails.
 pub fn tell(set: &mut Set, source: usize, query: u64) -> Result<Story, Error> {
-    let told = &set.sources[source];
+    let process = &set.sources[source];
     let mut story = Story {
-        aggregator: told.aggregator.clone(),
-        process: told.started,
+        aggregator: process.aggregator.clone(),
+        process: process.started,
         query,
         name: None,
         class: None,
@@ -72,18 +72,18 @@
     };
     // The attempts of each part so far: the run store and the time of each.
     let mut sent: BTreeMap<u32, Vec<(String, f64)>> = BTreeMap::new();
-    set.about(source, query, |block, entry| story.take(&mut sent, block, entry))?;
+    set.about(source, query, |block, entry| story.add_entry(&mut sent, block, entry))?;
     let first = story.moments.first().map_or(0.0, |moment| moment.at);
     story.moments.iter_mut().for_each(|moment| moment.since_ms = moment.at - first);
     Ok(story)
 }
 
 impl Story {
-    fn say(&mut self, at: f64, shard: Option<u32>, what: String) {
+    fn push(&mut self, at: f64, shard: Option<u32>, what: String) {
         self.moments.push(Moment { at, since_ms: 0.0, shard, what });
     }
 
-    fn take(&mut self, sent: &mut BTreeMap<u32, Vec<(String, f64)>>, block: &Block, entry: &Entry) {
+    fn add_entry(&mut self, sent: &mut BTreeMap<u32, Vec<(String, f64)>>, block: &Block, entry: &Entry) {
         let (at, query) = (entry.at, self.query);
         match &entry.record {
             Record::Taken(taken) if taken.query == query => {
@@ -92,7 +92,7 @@
                 self.group = taken.group.map(|group| block.text(group).into());
                 let again = if taken.retry { ", a retry by its client" } else { "" };
                 let wait = taken.timeout.value();
-                self.say(
+                self.push(
                     at,
                     None,
                     format!("taken: {} parts, its client waits {wait:.0} ms{again}", taken.parts),
@@ -104,7 +104,7 @@
                 let (took, parts_in, parts) = (verdict.took.value(), verdict.parts_in, verdict.parts);
                 let cause = verdict.cause.map_or(String::new(), |cause| format!(": {}", cause.words()));
                 let end = end(verdict.how);
-                self.say(
+                self.push(
                     at,
                     None,
                     format!("{end} after {took:.1} ms, {parts_in} of {parts} parts completed{cause}"),
@@ -123,37 +123,38 @@
                         )
                     }
                 };
-                self.say(at, Some(wire.shard), format!("attempt {}: {what}", wire.attempt));
+                self.push(at, Some(wire.shard), format!("attempt {}: {what}", wire.attempt));
             }
             Record::Step(step) => {
                 step.events.iter().filter(|event| event.query() == Some(query)).for_each(|event| {
-                    self.event(sent, block, at, event);
+                    self.add_event(sent, block, at, event);
                 });
                 step.actions.iter().filter(|action| action.query() == Some(query)).for_each(|action| {
-                    self.action(sent, block, at, action);
+                    self.add_action(sent, block, at, action);
                 });
             }
             _ => {}
         }
     }
 
-    fn event(&mut self, sent: &BTreeMap<u32, Vec<(String, f64)>>, block: &Block, at: f64, event: &Event) {
+    fn add_event(&mut self, sent: &BTreeMap<u32, Vec<(String, f64)>>, block: &Block, at: f64, event: &Event) {
         match event {
             Event::Part { shard, weight, .. } => {
-                self.say(at, Some(*shard), format!("a part of weight {:.3}", weight.value()));
+                self.push(at, Some(*shard), format!("a part of weight {:.3}", weight.value()));
             }
             Event::Ended { shard, attempt, run_store, outcome: how, latency, load, .. } => {
-                let load = load.and_then(|load| load.utilization).map(|told| told.value());
-                let load =
-                    load.map_or(String::new(), |told| format!(", which reports utilization {told:.2}"));
+                let load = load.and_then(|load| load.utilization).map(|utilization| utilization.value());
+                let load = load.map_or(String::new(), |utilization| {
+                    format!(", which reports utilization {utilization:.2}")
+                });
                 let (name, latency) = (block.text(*run_store), latency.value());
                 let known = sent.get(shard).is_some_and(|sent| sent.len() > *attempt as usize);
                 let from = if known { "" } else { ", sent before this trace begins" };
                 let what =
                     format!("attempt {attempt} {} at {name} after {latency:.1} ms{load}{from}", how.code());
-                self.say(at, Some(*shard), what);
+                self.push(at, Some(*shard), what);
             }
-            Event::Gone(_) => self.say(
+            Event::Gone(_) => self.push(
                 at,
                 None,
                 "the module is notified that its client left or its deadline passed".into(),
@@ -162,7 +163,7 @@
         }
     }
 
-    fn action(
+    fn add_action(
         &mut self,
         sent: &mut BTreeMap<u32, Vec<(String, f64)>>,
         block: &Block,
@@ -180,20 +181,20 @@
                     timeout.value()
                 );
                 attempts.push((name, at));
-                self.say(at, Some(*shard), what);
+                self.push(at, Some(*shard), what);
             }
             Action::Cancel { shard, attempt, why, .. } => {
-                self.say(at, Some(*shard), format!("attempt {attempt} is cancelled {}", why.words()));
+                self.push(at, Some(*shard), format!("attempt {attempt} is cancelled {}", why.words()));
             }
             Action::Answer { whole, .. } => {
-                self.say(at, None, format!("decided: answer, {}", if *whole { "whole" } else { "partial" }));
+                self.push(at, None, format!("decided: answer, {}", if *whole { "whole" } else { "partial" }));
             }
             Action::Refuse { retry_after, cause, .. } => {
                 let wait = retry_after.value();
                 let what = format!("decided: refuse, retry after {wait:.0} ms: {}", cause.words());
-                self.say(at, None, what);
+                self.push(at, None, what);
             }
-            Action::Fail { cause, .. } => self.say(at, None, format!("decided: fail: {}", cause.words())),
+            Action::Fail { cause, .. } => self.push(at, None, format!("decided: fail: {}", cause.words())),
             _ => {}
         }
     }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -10,7 +10,7 @@
 use crate::set::{Met, Set};
 
 /// The maximum latency of the histograms, in microseconds (ten minutes). They keep three significant digits.
-const MOST_US: u64 = 600_000_000;
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// The ends and latencies of the queries of a class or group.
 #[derive(Debug, Clone, Serialize)]
@@ -40,7 +40,8 @@
 impl Default for Service {
     fn default() -> Self {
         // Creating a histogram fails only if its bounds are invalid, and these are valid.
-        let latencies = Histogram::new_with_max(MOST_US, 3).unwrap_or_else(|_| unreachable!("valid bounds"));
+        let latencies =
+            Histogram::new_with_max(MAX_LATENCY_US, 3).unwrap_or_else(|_| unreachable!("valid bounds"));
         Service {
             taken: 0,
             answered: 0,
@@ -57,7 +58,7 @@
 }
 
 impl Service {
-    fn end(&mut self, how: How, took_ms: f64) {
+    fn add_end(&mut self, how: How, took_ms: f64) {
         match how {
             How::Whole => (self.answered, self.whole) = (self.answered + 1, self.whole + 1),
             How::Partial => (self.answered, self.partial) = (self.answered + 1, self.partial + 1),
@@ -162,7 +163,7 @@
 #[derive(Default)]
 struct Tally {
     /// The last counters that the process recorded.
-    told: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
+    recorded: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
     /// The ends counted in the trace so far.
     counted: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
     /// The value of `counted` at the last recorded counters.
@@ -184,19 +185,19 @@
     set.blockwise(span, |met| match met {
         Met::Gap(source) => summary.processes[source].gaps += 1,
         Met::Entry(source, block, entry) if (span.0..=span.1).contains(&entry.at) => {
-            summary.take(&mut tally, source, block, entry, only);
+            summary.add_entry(&mut tally, source, block, entry, only);
         }
         Met::Entry(..) => {}
     });
     summary.classes.values_mut().chain(summary.groups.values_mut()).for_each(Service::finish);
     summary.open = tally.open.len() as u64;
-    for (source, told) in &tally.told {
+    for (source, recorded) in &tally.recorded {
         let counted = tally.at_counts.get(source).cloned().unwrap_or_default();
-        for (class, told) in told {
+        for (class, recorded) in recorded {
             let counted = counted.get(class).copied().unwrap_or_default();
-            let less = [0, 1, 2].map(|at| told[at] as i64 - counted[at] as i64);
-            if less != [0; 3] {
-                summary.processes[*source].missing.insert(class.clone(), less);
+            let missing = [0, 1, 2].map(|at| recorded[at] as i64 - counted[at] as i64);
+            if missing != [0; 3] {
+                summary.processes[*source].missing.insert(class.clone(), missing);
             }
         }
     }
@@ -205,7 +206,7 @@
 }
 
 impl Summary {
-    fn take(&mut self, tally: &mut Tally, source: usize, block: &Block, entry: &Entry, only: &Only) {
+    fn add_entry(&mut self, tally: &mut Tally, source: usize, block: &Block, entry: &Entry, only: &Only) {
         self.entries += 1;
         let process = &mut self.processes[source];
         if process.from == 0.0 {
@@ -219,14 +220,14 @@
                 let group = taken.group.map(|group| block.text(group));
                 if only.has(class, group) {
                     tally.open.insert((source, taken.query));
-                    self.of(class, group, |service| service.taken += 1);
+                    self.update(class, group, |service| service.taken += 1);
                 }
             }
             Record::Verdict(verdict) => {
                 let class = block.text(verdict.class);
                 let group = verdict.group.map(|group| block.text(group));
                 tally.open.remove(&(source, verdict.query));
-                count(
+                count_end(
                     tally,
                     source,
                     class,
@@ -242,12 +243,12 @@
                         let causes = self.causes.entry(class.into()).or_default();
                         *causes.entry(cause.code().into()).or_default() += 1;
                     }
-                    self.of(class, group, |service| service.end(verdict.how, verdict.took.value()));
+                    self.update(class, group, |service| service.add_end(verdict.how, verdict.took.value()));
                 }
             }
             Record::NotTaken(Some(class)) => {
                 let class = block.text(*class);
-                count(tally, source, class, Some(2));
+                count_end(tally, source, class, Some(2));
                 if only.has(class, None) {
                     self.classes.entry(class.into()).or_default().not_taken += 1;
                 }
@@ -256,7 +257,7 @@
                 let row = |counts: &crate::record::ClassCounts| {
                     (block.text(counts.class).to_string(), [counts.ok, counts.shed, counts.errors])
                 };
-                tally.told.insert(source, counts.classes.iter().map(row).collect());
+                tally.recorded.insert(source, counts.classes.iter().map(row).collect());
                 tally.at_counts.insert(source, tally.counted.get(&source).cloned().unwrap_or_default());
             }
             Record::Loss(loss) => process.lost += loss.records,
@@ -280,13 +281,13 @@
         }
     }
 
-    fn of(&mut self, class: &str, group: Option<&str>, change: impl Fn(&mut Service)) {
+    fn update(&mut self, class: &str, group: Option<&str>, change: impl Fn(&mut Service)) {
         change(self.classes.entry(class.into()).or_default());
         change(self.groups.entry(group.unwrap_or("-").into()).or_default());
     }
 }
 
-fn count(tally: &mut Tally, source: usize, class: &str, place: Option<usize>) {
+fn count_end(tally: &mut Tally, source: usize, class: &str, place: Option<usize>) {
     if let Some(place) = place {
         tally.counted.entry(source).or_default().entry(class.into()).or_default()[place] += 1;
     }
--- a/crates/trace/src/v1.rs
+++ b/crates/trace/src/v1.rs
@@ -91,7 +91,7 @@
         use record::Record as Now;
         match old {
             Record::Checkpoint(checkpoint) => Now::Checkpoint(checkpoint),
-            Record::Settings(told) => Now::Settings(told),
+            Record::Settings(settings) => Now::Settings(settings),
             Record::Step(Step { events, actions }) => {
                 Now::Step(record::Step { events, actions: actions.into_iter().map(Into::into).collect() })
             }
--- a/crates/trace/src/version.rs
+++ b/crates/trace/src/version.rs
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 /// If the bytes are not a valid entry, or the version is not supported.
-pub(crate) fn take(version: u8, bytes: &[u8]) -> Result<((Num, Record), &[u8]), Error> {
+pub(crate) fn decode_entry(version: u8, bytes: &[u8]) -> Result<((Num, Record), &[u8]), Error> {
     match version {
         1 => {
             let ((at, record), rest) = postcard::take_from_bytes::<(Num, v1::Record)>(bytes)?;
--- a/crates/trace/tests/format.rs
+++ b/crates/trace/tests/format.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn without_its_index_it_is_read_all_the_same() {
+fn a_trace_without_an_index_is_readable() {
     let whole = blocks(&trace("n0", true));
     let bytes = trace("n0", false);
     assert_eq!(blocks(&bytes), whole);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn cut_short_at_any_byte_it_is_read_up_to_the_last_sound_block() {
+fn a_truncated_trace_is_read_up_to_the_last_intact_block() {
     let bytes = trace("n0", true);
     let whole = blocks(&bytes);
     let ends: Vec<usize> = open(&bytes)
@@ -66,13 +66,13 @@
         .collect();
     for length in 0..bytes.len() {
         let read = blocks(&bytes[..length]);
-        let sound = ends.iter().filter(|end| **end <= length).count();
-        assert_eq!(read, whole[..sound], "truncated at {length}");
+        let intact = ends.iter().filter(|end| **end <= length).count();
+        assert_eq!(read, whole[..intact], "truncated at {length}");
     }
 }
 
 #[test]
-fn a_flipped_bit_costs_no_more_than_its_block() {
+fn a_flipped_bit_loses_only_its_block() {
     let bytes = trace("n0", true);
     let whole = blocks(&bytes);
     let places: Vec<(usize, usize)> = open(&bytes)
@@ -83,36 +83,36 @@
         .collect();
     let mut random = fastrand::Rng::with_seed(3);
     for _ in 0..2000 {
-        let mut spoilt = bytes.clone();
-        let at = random.usize(..spoilt.len());
-        spoilt[at] ^= 1 << random.u8(..8);
-        let read = blocks(&spoilt);
-        let hit = places.iter().position(|(from, to)| (*from..*to).contains(&at));
+        let mut corrupt = bytes.clone();
+        let at = random.usize(..corrupt.len());
+        corrupt[at] ^= 1 << random.u8(..8);
+        let read = blocks(&corrupt);
+        let damaged = places.iter().position(|(from, to)| (*from..*to).contains(&at));
         let expected: Vec<_> = whole
             .iter()
             .enumerate()
-            .filter(|(no, _)| Some(*no) != hit)
+            .filter(|(no, _)| Some(*no) != damaged)
             .map(|(_, block)| block.clone())
             .collect();
         // A corrupt version number looks like a future version, so such a file is rejected as a whole.
-        if !matches!(open(&spoilt), Err(Error::Version(_))) {
+        if !matches!(open(&corrupt), Err(Error::Version(_))) {
             assert_eq!(read, expected, "bit flipped at {at}");
         }
     }
 }
 
 #[test]
-fn many_flips_and_noise_never_make_an_entry() {
+fn corruption_and_noise_never_produce_wrong_entries() {
     let bytes = trace("n0", true);
     let whole = blocks(&bytes);
     let mut random = fastrand::Rng::with_seed(5);
     for round in 0..500 {
-        let mut spoilt = bytes.clone();
+        let mut corrupt = bytes.clone();
         for _ in 0..random.usize(1..20) {
-            let at = random.usize(..spoilt.len());
-            spoilt[at] = random.u8(..);
+            let at = random.usize(..corrupt.len());
+            corrupt[at] = random.u8(..);
         }
-        for block in blocks(&spoilt) {
+        for block in blocks(&corrupt) {
             assert!(whole.contains(&block), "round {round}");
         }
         let noise: Vec<u8> = (0..random.usize(..400)).map(|_| random.u8(..)).collect();
--- a/crates/trace/tests/keeping.rs
+++ b/crates/trace/tests/keeping.rs
@@ -21,9 +21,9 @@
 struct State {
     files: BTreeMap<String, Vec<u8>>,
     /// The names of the files that count as recently written.
-    fresh: Vec<String>,
+    recent: Vec<String>,
     /// The free space, in bytes.
-    room: usize,
+    free_space: usize,
     /// Whether creating a file fails.
     broken: bool,
 }
@@ -34,8 +34,8 @@
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let mut disk = self.0 .0.borrow_mut();
         // As much as fits is written, so a full disk leaves an incomplete block.
-        let count = bytes.len().min(disk.room);
-        disk.room -= count;
+        let count = bytes.len().min(disk.free_space);
+        disk.free_space -= count;
         disk.files.get_mut(&self.1).expect("the file exists").extend_from_slice(&bytes[..count]);
         if count == 0 && !bytes.is_empty() {
             return Err(io::ErrorKind::StorageFull.into());
@@ -63,7 +63,7 @@
     fn list(&mut self) -> io::Result<Vec<(String, u64, bool)>> {
         let disk = self.0.borrow();
         let row = |(name, bytes): (&String, &Vec<u8>)| {
-            (name.clone(), bytes.len() as u64, disk.fresh.contains(name))
+            (name.clone(), bytes.len() as u64, disk.recent.contains(name))
         };
         Ok(disk.files.iter().map(row).collect())
     }
@@ -71,14 +71,14 @@
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut disk = self.0.borrow_mut();
         let bytes = disk.files.remove(name).expect("the file exists");
-        disk.room += bytes.len();
+        disk.free_space += bytes.len();
         Ok(())
     }
 }
 
-fn disk(room: usize) -> Disk {
+fn disk(free_space: usize) -> Disk {
     let disk = Disk::default();
-    disk.0.borrow_mut().room = room;
+    disk.0.borrow_mut().free_space = free_space;
     disk
 }
 
@@ -109,9 +109,9 @@
 }
 
 #[test]
-fn a_full_disk_costs_what_did_not_fit_and_no_more() {
-    for room in 1..1200 {
-        let disk = disk(room);
+fn a_full_disk_loses_only_what_did_not_fit() {
+    for free_space in 1..1200 {
+        let disk = disk(free_space);
         let mut keeper = Keeper::new(disk.clone(), u64::MAX);
         let (mut kept_records, mut lost) = (0, 0);
         for job in [open(0), add(10.0, 1), add(20.0, 2), Job::Close] {
@@ -127,10 +127,10 @@
         assert_eq!(
             (kept_records + lost, entries(&disk).iter().sum::<usize>() as u64),
             (11, kept_records),
-            "{room}"
+            "{free_space}"
         );
         // Once there is free space again, the next segment is complete, whatever the state of the previous one.
-        disk.0.borrow_mut().room = 1 << 20;
+        disk.0.borrow_mut().free_space = 1 << 20;
         assert_eq!(keeper.take(open(1)), kept());
         assert_eq!((keeper.take(add(1010.0, 3)), keeper.take(Job::Close)), (kept(), kept()));
         assert_eq!(entries(&disk).last(), Some(&6));
@@ -138,13 +138,13 @@
 }
 
 #[test]
-fn after_a_failure_nothing_goes_behind_half_a_block() {
+fn nothing_is_appended_after_an_incomplete_block() {
     let disk = disk(1 << 20);
     let mut keeper = Keeper::new(disk.clone(), u64::MAX);
     keeper.take(open(0));
-    disk.0.borrow_mut().room = 40;
+    disk.0.borrow_mut().free_space = 40;
     assert!(matches!(keeper.take(add(10.0, 1)), Done::Lost { records: 5, .. }));
-    disk.0.borrow_mut().room = 1 << 20;
+    disk.0.borrow_mut().free_space = 1 << 20;
     assert!(
         matches!(keeper.take(add(20.0, 2)), Done::Lost { records: 5, .. }),
         "a new segment must be opened first"
@@ -157,21 +157,21 @@
 }
 
 #[test]
-fn the_oldest_segments_go_and_none_of_others_or_that_is_written_to() {
+fn only_own_segments_that_are_not_being_written_are_removed_oldest_first() {
     let disk = disk(1 << 20);
     // One file of another aggregator whose name has the same prefix, and one that another process of this aggregator
     // is writing.
     let other = name("n0.b", 1.0, 1, 0);
-    let fresh = name("n0", 2.0, 9, 0);
-    for name in [&other, &fresh, &"notes.txt".to_string()] {
+    let recent = name("n0", 2.0, 9, 0);
+    for name in [&other, &recent, &"notes.txt".to_string()] {
         disk.0.borrow_mut().files.insert(name.clone(), vec![0; 4000]);
     }
-    disk.0.borrow_mut().fresh.push(fresh.clone());
+    disk.0.borrow_mut().recent.push(recent.clone());
     let mut keeper = Keeper::new(disk.clone(), 6000);
     let mut removed = Vec::new();
     for segment in 0..12 {
-        let Done::Kept { removed: gone } = keeper.take(open(segment)) else { panic!("kept") };
-        removed.extend(gone);
+        let Done::Kept { removed: names } = keeper.take(open(segment)) else { panic!("kept") };
+        removed.extend(names);
         keeper.take(add(segment as f64 * 1000.0 + 10.0, segment));
     }
     assert!(
@@ -179,7 +179,9 @@
         "oldest first: {removed:?}"
     );
     let files = disk.0.borrow().files.clone();
-    assert!([&other, &fresh].iter().all(|name| files.contains_key(*name)) && files.contains_key("notes.txt"));
+    assert!(
+        [&other, &recent].iter().all(|name| files.contains_key(*name)) && files.contains_key("notes.txt")
+    );
     assert!(files.contains_key(keeper.name()));
     let own: usize =
         files.iter().filter(|(name, _)| name.starts_with("n0~")).map(|(_, bytes)| bytes.len()).sum();
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -58,7 +58,7 @@
 }
 
 /// Returns two segments that share the records of one query.
-fn straddling() -> [Vec<u8>; 2] {
+fn spanning_segments() -> [Vec<u8>; 2] {
     let mut batches = [Batch::default(), Batch::default()];
     common::checkpoint(&mut batches[0], BEGIN);
     common::query(&mut batches, BEGIN + 5.0, 1, "over-two", "vaal", How::Whole);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn aggregators_and_versions_merge_in_order_of_time_and_stay_apart() {
+fn a_merge_is_ordered_by_time_and_keeps_sources_apart() {
     let second = trace("n1", true);
     let folder = Folder::new(&[include_bytes!("golden/v1.iptrace").to_vec(), second]);
     let merged = merge(&mut folder.set(), Cursor::new(Vec::new())).unwrap().into_inner();
@@ -98,9 +98,9 @@
     assert_eq!(causes, [(0, 1, None), (0, 2, Some("unknown")), (1, 1, None), (1, 2, Some("beyond_share"))]);
     // Queries with the same number and client id in different sources are distinct.
     assert_eq!(set.find("9b1f03aa").unwrap(), [(0, 1), (1, 1)]);
-    let told = story::tell(&mut set, 1, 2).unwrap();
-    assert_eq!((told.aggregator.as_str(), told.end.as_deref()), ("n1", Some("refused")));
-    assert!(told.moments.iter().any(|moment| moment.what.contains("beyond its share")), "{told:?}");
+    let history = story::tell(&mut set, 1, 2).unwrap();
+    assert_eq!((history.aggregator.as_str(), history.end.as_deref()), ("n1", Some("refused")));
+    assert!(history.moments.iter().any(|moment| moment.what.contains("beyond its share")), "{history:?}");
     let summary = summarise(&mut set, ALL, &Only::default());
     let class = &summary.classes["run-lookup"];
     assert_eq!((class.taken, class.answered, class.refused), (4, 2, 2));
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn a_query_over_two_segments_is_one_story() {
-    let folder = Folder::new(&straddling());
+fn a_query_that_spans_two_segments_has_one_history() {
+    let folder = Folder::new(&spanning_segments());
     let mut set = folder.set();
     assert_eq!(set.sources.len(), 1);
     let found = set.find("over-two").unwrap();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_cut_begins_with_its_checkpoint_and_ends_on_time() {
+fn a_cut_begins_with_a_checkpoint_and_ends_with_its_time_span() {
     let folder = Folder::new(&[trace("n0", true)]);
     let span = (BEGIN + 200.0, BEGIN + 260.0);
     let bytes = cut(&mut folder.set(), span, &Pick::default(), Cursor::new(Vec::new())).unwrap().into_inner();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_cut_of_picked_queries_holds_only_these() {
+fn a_cut_of_selected_queries_holds_only_these() {
     let folder = Folder::new(&[trace("n0", true)]);
     let of = |pick: &Pick| {
         let bytes = cut(&mut folder.set(), ALL, pick, Cursor::new(Vec::new())).unwrap().into_inner();
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn what_is_no_trace_is_named_beside_what_is() {
+fn files_that_are_not_traces_are_reported() {
     let folder = Folder::new(&[trace("n0", false), b"no trace at all, but long enough for a head".to_vec()]);
     let mut set = folder.set();
     assert_eq!((set.segments.len(), set.troubles.len()), (1, 2), "{:?}", set.troubles);
