--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -14,9 +14,9 @@
 /// The first bytes of each block. A scan of a damaged file finds blocks by them.
 pub const MAGIC: [u8; 8] = *b"\x89IPBLK\r\n";
 /// The length of a block's header, in bytes.
-pub const HEAD: usize = 52;
+pub const HEADER_BYTES: usize = 52;
 /// The maximum length of a payload, in bytes. It limits the memory that a corrupt length can allocate.
-pub const MOST_PAYLOAD: u32 = 64 << 20;
+pub const MAX_PAYLOAD_BYTES: u32 = 64 << 20;
 /// The codec of an uncompressed payload.
 const UNCOMPRESSED: u8 = 0;
 /// The codec of a payload in LZ4's block format.
@@ -31,7 +31,7 @@
 
 /// The header of a block.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Head {
+pub struct BlockHeader {
     /// The format version of the records.
     pub version: u8,
     /// The codec of the payload.
@@ -52,9 +52,9 @@
     crc: u32,
 }
 
-impl Head {
-    fn write(&self) -> [u8; HEAD] {
-        let mut bytes = [0; HEAD];
+impl BlockHeader {
+    fn write(&self) -> [u8; HEADER_BYTES] {
+        let mut bytes = [0; HEADER_BYTES];
         bytes[..8].copy_from_slice(&MAGIC);
         (bytes[8], bytes[9]) = (self.version, self.codec);
         bytes[10..12].copy_from_slice(&self.source.to_le_bytes());
@@ -71,10 +71,10 @@
 
     /// Parses a block header. Returns `None` if it is not intact.
     pub fn read(bytes: &[u8]) -> Option<Self> {
-        let bytes = bytes.get(..HEAD)?;
+        let bytes = bytes.get(..HEADER_BYTES)?;
         let u32_at = |at: usize| bytes[at..at + 4].try_into().map(u32::from_le_bytes).unwrap_or(0);
         let f64_at = |at: usize| bytes[at..at + 8].try_into().map(f64::from_le_bytes).unwrap_or(0.0);
-        let head = Head {
+        let head = BlockHeader {
             version: bytes[8],
             codec: bytes[9],
             source: u16::from_le_bytes([bytes[10], bytes[11]]),
@@ -86,7 +86,7 @@
             crc: u32_at(40),
         };
         let intact = bytes[..8] == MAGIC && crc32fast::hash(&bytes[..48]) == u32_at(48);
-        let fits = head.raw <= MOST_PAYLOAD && head.stored <= MOST_PAYLOAD;
+        let fits = head.raw <= MAX_PAYLOAD_BYTES && head.stored <= MAX_PAYLOAD_BYTES;
         (intact && fits).then_some(head)
     }
 }
@@ -132,7 +132,7 @@
         self.records += 1;
         self.last = self.last.max(at);
         let queries = &mut self.queries;
-        record.queries(&mut |query| {
+        record.visit_queries(&mut |query| {
             if queries.last() != Some(&query) {
                 queries.push(query);
             }
@@ -178,17 +178,21 @@
     /// costs more than compressing a block.
     ///
     /// # Errors
-    /// If the payload exceeds [`MOST_PAYLOAD`] or there is not enough memory.
-    pub fn seal(&self, source: u16, zstd: &mut Compressor<'static>) -> Result<(Head, Vec<u8>), Error> {
+    /// If the payload exceeds [`MAX_PAYLOAD_BYTES`] or there is not enough memory.
+    pub fn encode(
+        &self,
+        source: u16,
+        zstd: &mut Compressor<'static>,
+    ) -> Result<(BlockHeader, Vec<u8>), Error> {
         let names: Vec<(Kind, &str)> = self.names.iter().map(|(kind, text)| (*kind, &**text)).collect();
         let mut raw = postcard::to_extend(&names, Vec::with_capacity(self.bytes.len() + 1024))?;
         raw.extend_from_slice(&self.bytes);
         let raw_len =
-            u32::try_from(raw.len()).ok().filter(|len| *len <= MOST_PAYLOAD).ok_or(Error::TooLong)?;
+            u32::try_from(raw.len()).ok().filter(|len| *len <= MAX_PAYLOAD_BYTES).ok_or(Error::TooLong)?;
         let compressed = zstd.compress(&raw)?;
         let (codec, stored) =
             if compressed.len() < raw.len() { (ZSTD, compressed) } else { (UNCOMPRESSED, raw) };
-        let head = Head {
+        let head = BlockHeader {
             version: VERSION,
             codec,
             source,
@@ -236,7 +240,7 @@
     }
 
     /// Returns whether a stored payload matches the length and checksum in its header.
-    pub fn is_sound(head: &Head, stored: &[u8]) -> bool {
+    pub fn matches_checksum(head: &BlockHeader, stored: &[u8]) -> bool {
         stored.len() == head.stored as usize && crc32fast::hash(stored) == head.crc
     }
 
@@ -244,8 +248,8 @@
     ///
     /// # Errors
     /// If it is damaged, or its version or codec is not supported.
-    pub fn open(head: &Head, stored: &[u8]) -> Result<Self, Error> {
-        if !Block::is_sound(head, stored) {
+    pub fn decode(head: &BlockHeader, stored: &[u8]) -> Result<Self, Error> {
+        if !Block::matches_checksum(head, stored) {
             return Err(Error::Damaged);
         }
         let raw = match head.codec {
--- a/crates/trace/src/edit.rs
+++ b/crates/trace/src/edit.rs
@@ -45,7 +45,7 @@
             self.writer.add(source as u16, std::mem::take(batch))?;
         }
         let mut record = entry.record.clone();
-        record.names(&mut |kind, name| *name = batch.name(kind, &rename(kind, block.text(*name))));
+        record.visit_names(&mut |kind, name| *name = batch.name(kind, &rename(kind, block.text(*name))));
         batch.push(entry.at, &record)
     }
 
@@ -314,10 +314,11 @@
                     Kind::Class | Kind::RunStore | Kind::Key => false,
                 };
             };
-            // `Record::names` needs a mutable copy. Large records are skipped, as they hold no group or query names.
+            // `Record::visit_names` needs a mutable copy. Large records are skipped, as they hold no group or query
+            // names.
             match &entry.record {
                 Record::Step(_) | Record::Wire(_) | Record::Closed(_) => {}
-                record => record.clone().names(&mut collect),
+                record => record.clone().visit_names(&mut collect),
             }
         }
     });
@@ -342,7 +343,7 @@
             Record::Settings(told) => told.text = pseudonyms.replace_in_settings(&told.text, &groups),
             _ => {}
         }
-        entry.record.texts(&mut |text| *text = pseudonyms.replace_in_text(text, &groups, &queries));
+        entry.record.visit_texts(&mut |text| *text = pseudonyms.replace_in_text(text, &groups, &queries));
         out.add(source, block, &entry, &rename)
     })?;
     copier.finish()
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 use zstd::bulk::Compressor;
 
-use crate::block::{self, Batch, Block, Head};
-use crate::index::{BlockAt, Building, Index};
+use crate::block::{self, Batch, Block, BlockHeader};
+use crate::index::{BlockAt, Index, IndexBuilder};
 use crate::{Error, VERSION};
 
 /// The first bytes of a segment.
@@ -35,7 +35,7 @@
 
 impl Source {
     /// Returns whether both are the same process.
-    pub fn is(&self, other: &Source) -> bool {
+    pub fn is_same_process(&self, other: &Source) -> bool {
         (&self.aggregator, self.started, self.process) == (&other.aggregator, other.started, other.process)
     }
 }
@@ -53,7 +53,7 @@
 pub struct Writer<W> {
     out: W,
     at: u64,
-    index: Building,
+    index: IndexBuilder,
     zstd: Compressor<'static>,
 }
 
@@ -70,7 +70,7 @@
         bytes.extend_from_slice(&crc32fast::hash(&body).to_le_bytes());
         bytes.extend_from_slice(&body);
         out.write_all(&bytes)?;
-        let (at, index) = (bytes.len() as u64, Building::default());
+        let (at, index) = (bytes.len() as u64, IndexBuilder::default());
         Ok(Writer { out, at, index, zstd: block::compressor()? })
     }
 
@@ -82,7 +82,7 @@
         if batch.records() == 0 {
             return Ok(());
         }
-        let (head, bytes) = batch.seal(source, &mut self.zstd)?;
+        let (head, bytes) = batch.encode(source, &mut self.zstd)?;
         self.out.write_all(&bytes)?;
         let (queries, client_ids) = batch.take_index_entries();
         self.index.add(BlockAt::new(self.at, &head), &queries, &client_ids);
@@ -151,11 +151,12 @@
         // Everything before `at` is already reported, as a block or as damage.
         let (mut at, mut search_from) = (0, 0);
         while let Some(found) = find_block_magic(&bytes, search_from) {
-            let head = Head::read(&bytes[found..]);
-            let payload =
-                |head: &Head| bytes.get(found + block::HEAD..found + block::HEAD + head.stored as usize);
+            let head = BlockHeader::read(&bytes[found..]);
+            let payload = |head: &BlockHeader| {
+                bytes.get(found + block::HEADER_BYTES..found + block::HEADER_BYTES + head.stored as usize)
+            };
             match head.as_ref().and_then(payload).zip(head) {
-                Some((stored, head)) if Block::is_sound(&head, stored) => {
+                Some((stored, head)) if Block::matches_checksum(&head, stored) => {
                     self.add_damage(from, at, found);
                     let block = BlockAt::new(from + found as u64, &head);
                     at = found + block.length as usize;
@@ -212,8 +213,8 @@
         let mut bytes = vec![0; at.length as usize];
         self.file.seek(SeekFrom::Start(at.offset))?;
         self.file.read_exact(&mut bytes)?;
-        let head = Head::read(&bytes).ok_or(Error::Damaged)?;
-        Block::open(&head, bytes.get(block::HEAD..).unwrap_or_default())
+        let head = BlockHeader::read(&bytes).ok_or(Error::Damaged)?;
+        Block::decode(&head, bytes.get(block::HEADER_BYTES..).unwrap_or_default())
     }
 
     /// Returns the range of blocks that contains all entries of a query, given by source and number. Without an
@@ -221,10 +222,10 @@
     ///
     /// # Errors
     /// If the underlying reader fails.
-    pub fn about(&mut self, source: u16, query: u64) -> Result<std::ops::Range<usize>, Error> {
+    pub fn blocks_of_query(&mut self, source: u16, query: u64) -> Result<std::ops::Range<usize>, Error> {
         match &self.index {
             Some(index) => {
-                let found = index.query(&mut self.file, crate::index::key(source, query))?;
+                let found = index.blocks_of_query(&mut self.file, crate::index::query_key(source, query))?;
                 Ok(found.map_or(0..0, |(first, last)| first as usize..last as usize + 1))
             }
             None => Ok(0..self.blocks.len()),
@@ -235,14 +236,14 @@
     ///
     /// # Errors
     /// If the underlying reader fails.
-    pub fn called(&mut self, name: &str) -> Result<Vec<(u16, u64)>, Error> {
-        let Some(index) = &self.index else { return self.called_without_index(name) };
-        let found = index.called(&mut self.file, name)?;
+    pub fn queries_by_client_id(&mut self, name: &str) -> Result<Vec<(u16, u64)>, Error> {
+        let Some(index) = &self.index else { return self.queries_by_client_id_without_index(name) };
+        let found = index.queries_by_client_id(&mut self.file, name)?;
         Ok(found.into_iter().map(|key| ((key >> 48) as u16, key & ((1 << 48) - 1))).collect())
     }
 
-    /// Implements [`Reader::called`] without an index, by reading all blocks.
-    fn called_without_index(&mut self, name: &str) -> Result<Vec<(u16, u64)>, Error> {
+    /// Implements [`Reader::queries_by_client_id`] without an index, by reading all blocks.
+    fn queries_by_client_id_without_index(&mut self, name: &str) -> Result<Vec<(u16, u64)>, Error> {
         let mut found = Vec::new();
         for no in 0..self.blocks.len() {
             let Ok(block) = self.block(no) else { continue };
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::io::{Read, Seek, SeekFrom, Write};
 
-use crate::block::Head;
+use crate::block::BlockHeader;
 use crate::Error;
 
 /// The last bytes of a finished segment.
@@ -45,16 +45,16 @@
 
 /// Returns the index key of a query: the source in the upper 16 bits, as query numbers are unique only within a
 /// process, and the number in the lower 48.
-pub fn key(source: u16, query: u64) -> u64 {
+pub fn query_key(source: u16, query: u64) -> u64 {
     u64::from(source) << 48 | query & ((1 << 48) - 1)
 }
 
 impl BlockAt {
     /// Creates the location of a block at an offset from its header.
-    pub fn new(offset: u64, head: &Head) -> Self {
+    pub fn new(offset: u64, head: &BlockHeader) -> Self {
         BlockAt {
             offset,
-            length: crate::block::HEAD as u32 + head.stored,
+            length: crate::block::HEADER_BYTES as u32 + head.stored,
             records: head.records,
             raw: head.raw,
             first: head.first,
@@ -66,23 +66,23 @@
 
 /// The builder of the index of a segment that is being written.
 #[derive(Debug, Default)]
-pub struct Building {
+pub struct IndexBuilder {
     blocks: Vec<BlockAt>,
-    /// The first and the last block of each query, by [`key`].
+    /// The first and the last block of each query, by [`query_key`].
     queries: BTreeMap<u64, (u32, u32)>,
-    /// Hashes of client ids, each with the [`key`] of its query.
+    /// Hashes of client ids, each with the [`query_key`] of its query.
     names: Vec<(u64, u64)>,
 }
 
-impl Building {
+impl IndexBuilder {
     /// Adds a block, with the numbers of its queries, and hashes of client ids with the numbers of their queries.
     pub fn add(&mut self, at: BlockAt, queries: &[u64], called: &[(u64, u64)]) {
         let no = self.blocks.len() as u32;
         self.blocks.push(at);
         for query in queries {
-            self.queries.entry(key(at.source, *query)).or_insert((no, no)).1 = no;
+            self.queries.entry(query_key(at.source, *query)).or_insert((no, no)).1 = no;
         }
-        self.names.extend(called.iter().map(|(hash, query)| (*hash, key(at.source, *query))));
+        self.names.extend(called.iter().map(|(hash, query)| (*hash, query_key(at.source, *query))));
     }
 
     /// Writes the index of a segment whose blocks end at offset `at`. Returns its length in bytes.
@@ -229,11 +229,15 @@
         Ok(row)
     }
 
-    /// Returns the first and the last block that contain entries of a query, given by its [`key`].
+    /// Returns the first and the last block that contain entries of a query, given by its [`query_key`].
     ///
     /// # Errors
     /// If the reader fails.
-    pub fn query(&self, file: &mut (impl Read + Seek), query: u64) -> Result<Option<(u32, u32)>, Error> {
+    pub fn blocks_of_query(
+        &self,
+        file: &mut (impl Read + Seek),
+        query: u64,
+    ) -> Result<Option<(u32, u32)>, Error> {
         let at = self.lower_bound(file, 1, query)?;
         if at >= self.tables[1].0 / 16 {
             return Ok(None);
@@ -246,7 +250,7 @@
     ///
     /// # Errors
     /// If the reader fails.
-    pub fn called(&self, file: &mut (impl Read + Seek), name: &str) -> Result<Vec<u64>, Error> {
+    pub fn queries_by_client_id(&self, file: &mut (impl Read + Seek), name: &str) -> Result<Vec<u64>, Error> {
         let (hash, mut found) = (hash(name), Vec::new());
         let mut at = self.lower_bound(file, 2, hash)?;
         while at < self.tables[2].0 / 16 {
--- a/crates/trace/src/keep.rs
+++ b/crates/trace/src/keep.rs
@@ -10,7 +10,7 @@
 use crate::Error;
 
 /// The file name extension of segments.
-pub const ENDING: &str = ".iptrace";
+pub const EXTENSION: &str = ".iptrace";
 
 /// The directory of segment files.
 pub trait Storage {
@@ -155,7 +155,7 @@
 
 /// Returns the file name of a segment: aggregator, start time, process id and segment number.
 pub fn name(aggregator: &str, began: f64, process: u32, segment: u64) -> String {
-    format!("{}~{:013}~{process}~{segment:06}{ENDING}", sanitize(aggregator), began.max(0.0) as u64)
+    format!("{}~{:013}~{process}~{segment:06}{EXTENSION}", sanitize(aggregator), began.max(0.0) as u64)
 }
 
 fn sanitize(aggregator: &str) -> String {
@@ -165,7 +165,7 @@
 
 /// Parses the file name of a segment into the aggregator and the sort key (start time, process id, number).
 fn parse_name(name: &str) -> Option<(&str, (u64, u64, u64))> {
-    let mut words = name.strip_suffix(ENDING)?.rsplit('~');
+    let mut words = name.strip_suffix(EXTENSION)?.rsplit('~');
     let mut number = || words.next()?.parse().ok();
     let (segment, process, began) = (number()?, number()?, number()?);
     Some((words.next()?, (began, process, segment)))
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -224,7 +224,7 @@
     }
 
     /// Returns a description for operators.
-    pub fn words(self) -> String {
+    pub fn description(self) -> String {
         match self {
             Cause::Unknown => "the cause was not recorded".into(),
             Cause::NoList => "no run store was listed".into(),
@@ -267,7 +267,7 @@
 
 impl Why {
     /// Returns a description for operators.
-    pub fn words(self) -> String {
+    pub fn description(self) -> String {
         match self {
             Why::Unknown => "reason not recorded".into(),
             Why::First => "the first".into(),
@@ -295,7 +295,7 @@
 
 impl Choice {
     /// Returns a description for operators.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Choice::Unknown => "reason for the choice not recorded",
             Choice::Least => "earliest predicted finish",
@@ -621,7 +621,7 @@
 type Visit<'a> = &'a mut dyn FnMut(Kind, &mut Name);
 
 impl Told {
-    fn names(&mut self, visit: Visit) {
+    fn visit_names(&mut self, visit: Visit) {
         self.classes.iter_mut().for_each(|name| visit(Kind::Class, name));
         self.groups.iter_mut().for_each(|name| visit(Kind::Group, name));
     }
@@ -629,13 +629,13 @@
 
 impl Record {
     /// Calls `visit` with each name in the record.
-    pub fn names(&mut self, visit: Visit) {
+    pub fn visit_names(&mut self, visit: Visit) {
         match self {
-            Record::Checkpoint(checkpoint) => checkpoint.told.names(visit),
-            Record::Settings(told) => told.names(visit),
+            Record::Checkpoint(checkpoint) => checkpoint.told.visit_names(visit),
+            Record::Settings(told) => told.visit_names(visit),
             Record::Step(step) => {
-                step.events.iter_mut().for_each(|event| event.names(visit));
-                step.actions.iter_mut().for_each(|action| action.names(visit));
+                step.events.iter_mut().for_each(|event| event.visit_names(visit));
+                step.actions.iter_mut().for_each(|action| action.visit_names(visit));
             }
             Record::Taken(taken) => {
                 visit(Kind::Query, &mut taken.name);
@@ -655,7 +655,7 @@
     }
 
     /// Calls `visit` with the number of each query that the record refers to.
-    pub fn queries(&self, visit: &mut dyn FnMut(u64)) {
+    pub fn visit_queries(&self, visit: &mut dyn FnMut(u64)) {
         match self {
             Record::Step(step) => {
                 step.events.iter().filter_map(Event::query).for_each(&mut *visit);
@@ -669,7 +669,7 @@
     }
 
     /// Calls `visit` with each free-form text in the record. Such texts may contain names.
-    pub fn texts(&mut self, visit: &mut dyn FnMut(&mut String)) {
+    pub fn visit_texts(&mut self, visit: &mut dyn FnMut(&mut String)) {
         match self {
             Record::Step(step) => {
                 for action in &mut step.actions {
@@ -697,7 +697,7 @@
         }
     }
 
-    fn names(&mut self, visit: Visit) {
+    fn visit_names(&mut self, visit: Visit) {
         match self {
             Event::List(_, lines) => {
                 lines.iter_mut().for_each(|line| visit(Kind::RunStore, &mut line.run_store));
@@ -726,7 +726,7 @@
         }
     }
 
-    fn names(&mut self, visit: Visit) {
+    fn visit_names(&mut self, visit: Visit) {
         match self {
             Action::Send { run_store, .. } | Action::Probe(run_store) | Action::CloseIdle(run_store) => {
                 visit(Kind::RunStore, run_store);
--- a/crates/trace/src/set.rs
+++ b/crates/trace/src/set.rs
@@ -7,7 +7,7 @@
 
 use crate::block::Block;
 use crate::file::{Reader, Source};
-use crate::keep::ENDING;
+use crate::keep::EXTENSION;
 use crate::record::Entry;
 use crate::Error;
 
@@ -64,7 +64,7 @@
             if path.is_dir() {
                 let mut files: Vec<PathBuf> =
                     std::fs::read_dir(path)?.filter_map(|entry| Some(entry.ok()?.path())).collect();
-                files.retain(|file| file.to_string_lossy().ends_with(ENDING));
+                files.retain(|file| file.to_string_lossy().ends_with(EXTENSION));
                 files.sort();
                 for file in files {
                     if let Err(error) = set.add(&file) {
@@ -106,7 +106,7 @@
     }
 
     fn add_source(&mut self, source: Source) -> usize {
-        if let Some(at) = self.sources.iter().position(|known| known.is(&source)) {
+        if let Some(at) = self.sources.iter().position(|known| known.is_same_process(&source)) {
             return at;
         }
         self.sources.push(source);
@@ -218,7 +218,7 @@
     ///
     /// # Errors
     /// If a reader fails.
-    pub fn about(
+    pub fn visit_query(
         &mut self,
         source: usize,
         query: u64,
@@ -227,7 +227,7 @@
         for segment in 0..self.segments.len() {
             let sources = self.segments[segment].sources.clone();
             for (local, _) in sources.iter().enumerate().filter(|(_, index)| **index == source) {
-                let range = self.segments[segment].reader.about(local as u16, query)?;
+                let range = self.segments[segment].reader.blocks_of_query(local as u16, query)?;
                 for block in range {
                     if usize::from(self.segments[segment].reader.blocks()[block].source) != local {
                         continue;
@@ -248,7 +248,7 @@
     pub fn find(&mut self, name: &str) -> Result<Vec<(usize, u64)>, Error> {
         let mut found = Vec::new();
         for segment in 0..self.segments.len() {
-            for (source, query) in self.segments[segment].reader.called(name)? {
+            for (source, query) in self.segments[segment].reader.queries_by_client_id(name)? {
                 found.push((self.source_index(segment, source), query));
             }
         }
@@ -256,7 +256,7 @@
         {
             for segment in 0..self.segments.len() {
                 for source in 0..self.segments[segment].sources.len() {
-                    if !self.segments[segment].reader.about(source as u16, number)?.is_empty() {
+                    if !self.segments[segment].reader.blocks_of_query(source as u16, number)?.is_empty() {
                         found.push((self.segments[segment].sources[source], number));
                     }
                 }
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -72,7 +72,7 @@
     };
     // The attempts of each part so far: the run store and the time of each.
     let mut sent: BTreeMap<u32, Vec<(String, f64)>> = BTreeMap::new();
-    set.about(source, query, |block, entry| story.add_entry(&mut sent, block, entry))?;
+    set.visit_query(source, query, |block, entry| story.add_entry(&mut sent, block, entry))?;
     let first = story.moments.first().map_or(0.0, |moment| moment.at);
     story.moments.iter_mut().for_each(|moment| moment.since_ms = moment.at - first);
     Ok(story)
@@ -102,7 +102,7 @@
                 self.class.get_or_insert_with(|| block.text(verdict.class).into());
                 self.end = Some(end(verdict.how).into());
                 let (took, parts_in, parts) = (verdict.took.value(), verdict.parts_in, verdict.parts);
-                let cause = verdict.cause.map_or(String::new(), |cause| format!(": {}", cause.words()));
+                let cause = verdict.cause.map_or(String::new(), |cause| format!(": {}", cause.description()));
                 let end = end(verdict.how);
                 self.push(
                     at,
@@ -176,25 +176,27 @@
                 let (no, name) = (attempts.len(), block.text(*run_store).to_string());
                 let what = format!(
                     "attempt {no} ({}) goes to {name} ({}), timeout {:.0} ms",
-                    why.words(),
-                    choice.words(),
+                    why.description(),
+                    choice.description(),
                     timeout.value()
                 );
                 attempts.push((name, at));
                 self.push(at, Some(*shard), what);
             }
             Action::Cancel { shard, attempt, why, .. } => {
-                self.push(at, Some(*shard), format!("attempt {attempt} is cancelled {}", why.words()));
+                self.push(at, Some(*shard), format!("attempt {attempt} is cancelled {}", why.description()));
             }
             Action::Answer { whole, .. } => {
                 self.push(at, None, format!("decided: answer, {}", if *whole { "whole" } else { "partial" }));
             }
             Action::Refuse { retry_after, cause, .. } => {
                 let wait = retry_after.value();
-                let what = format!("decided: refuse, retry after {wait:.0} ms: {}", cause.words());
+                let what = format!("decided: refuse, retry after {wait:.0} ms: {}", cause.description());
                 self.push(at, None, what);
             }
-            Action::Fail { cause, .. } => self.push(at, None, format!("decided: fail: {}", cause.words())),
+            Action::Fail { cause, .. } => {
+                self.push(at, None, format!("decided: fail: {}", cause.description()))
+            }
             _ => {}
         }
     }
--- a/crates/trace/tests/format.rs
+++ b/crates/trace/tests/format.rs
@@ -31,12 +31,14 @@
     assert_eq!(reader.blocks().len(), 3);
     assert_eq!(reader.blocks()[1].first, BEGIN + 250.0);
     // A lookup matches the whole client id, not a prefix.
-    assert_eq!(reader.called("9b1f03aa").unwrap(), [(0, 1)]);
-    assert_eq!(reader.called("9b1f03aa5c7e2d41").unwrap(), [(0, 2)]);
-    assert_eq!(reader.called("9b1f").unwrap(), []);
-    assert_eq!(reader.about(0, 1).unwrap(), 0..1);
-    assert_eq!(reader.about(0, 2).unwrap(), 1..3, "the query spans two blocks");
-    assert!(reader.about(0, 3).unwrap().is_empty() && reader.about(1, 1).unwrap().is_empty());
+    assert_eq!(reader.queries_by_client_id("9b1f03aa").unwrap(), [(0, 1)]);
+    assert_eq!(reader.queries_by_client_id("9b1f03aa5c7e2d41").unwrap(), [(0, 2)]);
+    assert_eq!(reader.queries_by_client_id("9b1f").unwrap(), []);
+    assert_eq!(reader.blocks_of_query(0, 1).unwrap(), 0..1);
+    assert_eq!(reader.blocks_of_query(0, 2).unwrap(), 1..3, "the query spans two blocks");
+    assert!(
+        reader.blocks_of_query(0, 3).unwrap().is_empty() && reader.blocks_of_query(1, 1).unwrap().is_empty()
+    );
     let last = reader.block(2).unwrap();
     assert_eq!(last.entries.last().unwrap().at, BEGIN + 283.0);
     let Record::Verdict(verdict) = &last.entries.last().unwrap().record else { panic!("{last:?}") };
@@ -50,8 +52,8 @@
     assert_eq!(blocks(&bytes), whole);
     let mut reader = open(&bytes).unwrap();
     assert!(!reader.is_complete());
-    assert_eq!(reader.called("9b1f03aa").unwrap(), [(0, 1)]);
-    assert_eq!(reader.about(0, 2).unwrap(), 0..3, "without an index all blocks are candidates");
+    assert_eq!(reader.queries_by_client_id("9b1f03aa").unwrap(), [(0, 1)]);
+    assert_eq!(reader.blocks_of_query(0, 2).unwrap(), 0..3, "without an index all blocks are candidates");
 }
 
 #[test]
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -157,7 +157,7 @@
                         !matches!(entry.record, Record::Checkpoint(_)),
                         "a cut of selected queries has no checkpoint"
                     );
-                    entry.record.queries(&mut |query| {
+                    entry.record.visit_queries(&mut |query| {
                         queries.insert(query);
                     });
                 }
