--- a/crates/trace/src/edit.rs
+++ b/crates/trace/src/edit.rs
@@ -338,9 +338,11 @@
         let mut entry = entry.clone();
         match &mut entry.record {
             Record::Checkpoint(checkpoint) => {
-                checkpoint.told.text = pseudonyms.replace_in_settings(&checkpoint.told.text, &groups);
+                checkpoint.settings.text = pseudonyms.replace_in_settings(&checkpoint.settings.text, &groups);
+            }
+            Record::Settings(settings) => {
+                settings.text = pseudonyms.replace_in_settings(&settings.text, &groups)
             }
-            Record::Settings(told) => told.text = pseudonyms.replace_in_settings(&told.text, &groups),
             _ => {}
         }
         entry.record.visit_texts(&mut |text| *text = pseudonyms.replace_in_text(text, &groups, &queries));
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -70,7 +70,7 @@
     /// The full state that replay needs to start at this point.
     Checkpoint(Box<Checkpoint>),
     /// A change of settings, effective from this point.
-    Settings(Box<Told>),
+    Settings(Box<AppliedSettings>),
     /// One step of the decision module.
     Step(Step),
     /// A query was accepted.
@@ -102,12 +102,13 @@
     /// The module's state, in its own serialization.
     pub state: Vec<u8>,
     /// The settings in force.
-    pub told: Told,
+    #[serde(rename = "told")]
+    pub settings: AppliedSettings,
 }
 
 /// The settings that were given to the decision module.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct AppliedSettings {
     /// The settings in the module's own serialization.
     pub module: Vec<u8>,
     /// The settings object as JSON, for readers and tools.
@@ -620,7 +621,7 @@
 
 type Visit<'a> = &'a mut dyn FnMut(Kind, &mut Name);
 
-impl Told {
+impl AppliedSettings {
     fn visit_names(&mut self, visit: Visit) {
         self.classes.iter_mut().for_each(|name| visit(Kind::Class, name));
         self.groups.iter_mut().for_each(|name| visit(Kind::Group, name));
@@ -631,8 +632,8 @@
     /// Calls `visit` with each name in the record.
     pub fn visit_names(&mut self, visit: Visit) {
         match self {
-            Record::Checkpoint(checkpoint) => checkpoint.told.visit_names(visit),
-            Record::Settings(told) => told.visit_names(visit),
+            Record::Checkpoint(checkpoint) => checkpoint.settings.visit_names(visit),
+            Record::Settings(settings) => settings.visit_names(visit),
             Record::Step(step) => {
                 step.events.iter_mut().for_each(|event| event.visit_names(visit));
                 step.actions.iter_mut().for_each(|action| action.visit_names(visit));
--- a/crates/trace/src/v1.rs
+++ b/crates/trace/src/v1.rs
@@ -6,14 +6,14 @@
 
 use crate::num::Num;
 use crate::record::{
-    self, Cause, Checkpoint, Choice, Closed, Counts, Event, How, Loss, Name, Taken, Told, Why,
+    self, AppliedSettings, Cause, Checkpoint, Choice, Closed, Counts, Event, How, Loss, Name, Taken, Why,
 };
 use crate::v2::Wire;
 
 #[derive(Deserialize)]
 pub(crate) enum Record {
     Checkpoint(Box<Checkpoint>),
-    Settings(Box<Told>),
+    Settings(Box<AppliedSettings>),
     Step(Step),
     Taken(Taken),
     Verdict(Verdict),
--- a/crates/trace/src/v2.rs
+++ b/crates/trace/src/v2.rs
@@ -5,12 +5,14 @@
 
 use serde::Deserialize;
 
-use crate::record::{self, Action, Checkpoint, Closed, Counts, Event, Loss, Name, Taken, Told, Verdict};
+use crate::record::{
+    self, Action, AppliedSettings, Checkpoint, Closed, Counts, Event, Loss, Name, Taken, Verdict,
+};
 
 #[derive(Deserialize)]
 pub(crate) enum Record {
     Checkpoint(Box<Checkpoint>),
-    Settings(Box<Told>),
+    Settings(Box<AppliedSettings>),
     Step(Step),
     Taken(Taken),
     Verdict(Verdict),
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -89,14 +89,14 @@
 
 /// Adds a checkpoint with arbitrary bytes as the module's state.
 pub fn checkpoint(batch: &mut Batch, at: f64) {
-    let told = Told {
+    let settings = AppliedSettings {
         module: vec![1, 2, 3],
         text: source("").settings,
         classes: vec![name(batch, Kind::Class, "run-lookup")],
         groups: vec![name(batch, Kind::Group, "vaal-muon"), name(batch, Kind::Group, "vaal")],
     };
     let state = vec![9; 40];
-    batch.push(at, &Record::Checkpoint(Box::new(Checkpoint { module: 5, state, told }))).unwrap();
+    batch.push(at, &Record::Checkpoint(Box::new(Checkpoint { module: 5, state, settings }))).unwrap();
 }
 
 /// Returns a trace of three blocks: a checkpoint and two queries, the second of which spans two blocks. Without
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use ironpaddle_trace::block::{Batch, Block};
-use ironpaddle_trace::record::{self, Entry, Record, Step, Told};
+use ironpaddle_trace::record::{self, AppliedSettings, Entry, Record, Step};
 
 use super::{convert, MODULE};
 use crate::api::{Action, Settings};
@@ -82,7 +82,7 @@
                         self.report.checkpoints += 1;
                         // The state holds its settings, and what they have been used up by.
                         if self.other.is_some() {
-                            self.retune(block, &checkpoint.told);
+                            self.retune(block, &checkpoint.settings);
                         }
                     }
                     Err(why) => {
@@ -106,7 +106,7 @@
         }
     }
 
-    fn retune(&mut self, block: &Block, told: &Told) {
+    fn retune(&mut self, block: &Block, told: &AppliedSettings) {
         let Some(router) = &mut self.router else { return };
         let Ok(mut settings) = postcard::from_bytes::<Settings>(&told.module) else { return };
         if let Some(other) = &self.other {
@@ -215,7 +215,7 @@
 
 /// Other settings, with classes and groups at the places that the recording knows them by. One that the other
 /// settings do not name stays as it was.
-fn in_places(block: &Block, told: &Told, recorded: &Settings, other: &Info) -> Settings {
+fn in_places(block: &Block, told: &AppliedSettings, recorded: &Settings, other: &Info) -> Settings {
     let (mut settings, names) = (other.settings(), other.names());
     let place = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
     let class = |(at, name): (usize, &record::Name)| {
--- a/src/trace/tape.rs
+++ b/src/trace/tape.rs
@@ -12,8 +12,8 @@
 use ironpaddle_trace::keep::Job;
 use ironpaddle_trace::num::Num;
 use ironpaddle_trace::record::{
-    Checkpoint, ClassCounts, Closed, Counts, How, Kind, Loss, Progress, Record, Step, Taken, Told, Verdict,
-    Wire,
+    AppliedSettings, Checkpoint, ClassCounts, Closed, Counts, How, Kind, Loss, Progress, Record, Step, Taken,
+    Verdict, Wire,
 };
 
 use super::convert;
@@ -135,7 +135,7 @@
         self.segment += 1;
         (self.opened, self.due, self.counted) = (Some(now), false, 0.0);
         let told = self.told(in_force);
-        self.push(now, &Record::Checkpoint(Box::new(Checkpoint { module, state, told })));
+        self.push(now, &Record::Checkpoint(Box::new(Checkpoint { module, state, settings: told })));
         if let Some(loss) = self.lost {
             self.push(now, &Record::Loss(loss));
             self.telling = true;
@@ -149,9 +149,9 @@
         }
     }
 
-    fn told(&mut self, in_force: InForce) -> Told {
+    fn told(&mut self, in_force: InForce) -> AppliedSettings {
         let batch = &mut self.batch;
-        Told {
+        AppliedSettings {
             module: convert::settings_out(in_force.settings),
             text: in_force.text,
             classes: in_force.classes.iter().map(|name| batch.name(Kind::Class, name)).collect(),
