--- a/crates/trace/examples/lookup.rs
+++ b/crates/trace/examples/lookup.rs
@@ -82,7 +82,7 @@
             let mut set = Set::open(std::slice::from_ref(&folder)).expect("a set");
             let found = set.find(&format!("c{wanted:x}")).expect("read");
             assert_eq!(found, [(0, wanted)]);
-            let story = story::tell(&mut set, 0, wanted).expect("read");
+            let story = story::collect(&mut set, 0, wanted).expect("read");
             assert_eq!(story.end.as_deref(), Some("answered whole"));
             began.elapsed().as_secs_f64() * 1000.0
         })
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -44,7 +44,7 @@
 }
 
 /// Returns a description of the way in which a query ended.
-pub fn end(how: How) -> &'static str {
+pub fn describe_end(how: How) -> &'static str {
     match how {
         How::Whole => "answered whole",
         How::Partial => "answered partially",
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 /// If a reader fails.
-pub fn tell(set: &mut Set, source: usize, query: u64) -> Result<Story, Error> {
+pub fn collect(set: &mut Set, source: usize, query: u64) -> Result<Story, Error> {
     let process = &set.sources[source];
     let mut story = Story {
         aggregator: process.aggregator.clone(),
@@ -100,10 +100,10 @@
             }
             Record::Verdict(verdict) if verdict.query == query => {
                 self.class.get_or_insert_with(|| block.text(verdict.class).into());
-                self.end = Some(end(verdict.how).into());
+                self.end = Some(describe_end(verdict.how).into());
                 let (took, parts_in, parts) = (verdict.took.value(), verdict.parts_in, verdict.parts);
                 let cause = verdict.cause.map_or(String::new(), |cause| format!(": {}", cause.description()));
-                let end = end(verdict.how);
+                let end = describe_end(verdict.how);
                 self.push(
                     at,
                     None,
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -98,7 +98,7 @@
     assert_eq!(causes, [(0, 1, None), (0, 2, Some("unknown")), (1, 1, None), (1, 2, Some("beyond_share"))]);
     // Queries with the same number and client id in different sources are distinct.
     assert_eq!(set.find("9b1f03aa").unwrap(), [(0, 1), (1, 1)]);
-    let history = story::tell(&mut set, 1, 2).unwrap();
+    let history = story::collect(&mut set, 1, 2).unwrap();
     assert_eq!((history.aggregator.as_str(), history.end.as_deref()), ("n1", Some("refused")));
     assert!(history.moments.iter().any(|moment| moment.what.contains("beyond its share")), "{history:?}");
     let summary = summarise(&mut set, ALL, &Only::default());
@@ -114,7 +114,7 @@
     assert_eq!(set.sources.len(), 1);
     let found = set.find("over-two").unwrap();
     assert_eq!(found, [(0, 1)]);
-    let story = story::tell(&mut set, 0, 1).unwrap();
+    let story = story::collect(&mut set, 0, 1).unwrap();
     let words: Vec<_> = story.moments.iter().map(|moment| moment.what.as_str()).collect();
     assert!(
         words[0].starts_with("taken") && words.last().unwrap().starts_with("answered whole"),
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -587,7 +587,7 @@
     }
     let mut stories = Vec::new();
     for (source, query) in found {
-        stories.push(story::tell(&mut set, source, query).map_err(text)?);
+        stories.push(story::collect(&mut set, source, query).map_err(text)?);
     }
     if json {
         print_json(&stories)?;
