--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -9,7 +9,7 @@
 
 use clap::Args;
 use ironpaddle_trace::record::{How, Record};
-use ironpaddle_trace::set::{Met, Set};
+use ironpaddle_trace::set::{Item, Set};
 use ironpaddle_trace::summary::{summarise, Only};
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -645,7 +645,7 @@
     let summary = summarise(&mut set, all, &Only::default());
     let (mut names, mut ends) = (BTreeMap::new(), BTreeMap::new());
     set.blockwise(all, |met| {
-        let Met::Entry(source, block, entry) = met else { return };
+        let Item::Entry(source, block, entry) = met else { return };
         match &entry.record {
             Record::Taken(taken) => {
                 names.insert((source, taken.query), block.text(taken.name).to_string());
--- a/crates/trace/examples/codecs.rs
+++ b/crates/trace/examples/codecs.rs
@@ -6,7 +6,7 @@
 
 use ironpaddle_trace::num::Num;
 use ironpaddle_trace::record::Record;
-use ironpaddle_trace::set::{Met, Set};
+use ironpaddle_trace::set::{Item, Set};
 
 fn kind(record: &Record) -> &'static str {
     match record {
@@ -31,8 +31,8 @@
         .map(|block| u64::from(block.length))
         .sum();
     let (mut no, mut table) = (0, std::ptr::null());
-    set.blockwise((f64::NEG_INFINITY, f64::INFINITY), |met| {
-        let Met::Entry(_, block, entry) = met else { return };
+    set.blockwise((f64::NEG_INFINITY, f64::INFINITY), |item| {
+        let Item::Entry(_, block, entry) = item else { return };
         if table != block.names.as_ptr() {
             (no, table) = (no + 1, block.names.as_ptr());
             blocks.insert(
--- a/crates/trace/src/edit.rs
+++ b/crates/trace/src/edit.rs
@@ -10,7 +10,7 @@
 use crate::file::{Header, Source, Writer};
 use crate::index::hash;
 use crate::record::{Action, Entry, Event, Kind, Name, Record};
-use crate::set::{Met, Set};
+use crate::set::{Item, Set};
 use crate::summary::Only;
 use crate::Error;
 
@@ -69,8 +69,8 @@
     mut change: impl FnMut(&mut Copier<W>, usize, &Block, &Entry) -> Result<(), Error>,
 ) -> Result<(), Error> {
     let mut failed = None;
-    set.each(span, |met| {
-        if let (Met::Entry(source, block, entry), None) = (met, &failed) {
+    set.each(span, |item| {
+        if let (Item::Entry(source, block, entry), None) = (item, &failed) {
             failed = change(copier, source, block, entry).err();
         }
     });
@@ -142,8 +142,8 @@
 /// Returns the time of the last checkpoint of each source at or before a time.
 fn checkpoints(set: &mut Set, until: f64) -> BTreeMap<usize, f64> {
     let mut found = BTreeMap::new();
-    set.blockwise((f64::NEG_INFINITY, until), |met| {
-        if let Met::Entry(source, _, Entry { at, record: Record::Checkpoint(_) }) = met {
+    set.blockwise((f64::NEG_INFINITY, until), |item| {
+        if let Item::Entry(source, _, Entry { at, record: Record::Checkpoint(_) }) = item {
             if *at <= until {
                 found.insert(source, *at);
             }
@@ -160,8 +160,8 @@
     let named = pick.query.as_deref().map(|name| set.find(name)).transpose()?;
     let named: Option<BTreeSet<_>> = named.map(|found| found.into_iter().collect());
     let (mut matching, mut at_store) = (BTreeSet::new(), BTreeSet::new());
-    set.blockwise(span, |met| {
-        let Met::Entry(source, block, entry) = met else { return };
+    set.blockwise(span, |item| {
+        let Item::Entry(source, block, entry) = item else { return };
         let attributes = match &entry.record {
             Record::Taken(taken) => Some((taken.query, taken.class, taken.group)),
             Record::Verdict(verdict) => Some((verdict.query, verdict.class, verdict.group)),
@@ -304,8 +304,8 @@
     let all = (f64::NEG_INFINITY, f64::INFINITY);
     // All names are collected first, as a text may mention a name before the first record that uses it.
     let (mut groups, mut queries) = (HashSet::new(), HashSet::new());
-    set.blockwise(all, |met| {
-        if let Met::Entry(_, block, entry) = met {
+    set.blockwise(all, |item| {
+        if let Item::Entry(_, block, entry) = item {
             let mut collect = |kind, name: &mut Name| {
                 let hash = hash(block.text(*name));
                 let _new = match kind {
--- a/crates/trace/src/set.rs
+++ b/crates/trace/src/set.rs
@@ -45,7 +45,7 @@
 }
 
 /// An item that [`Set::each`] and [`Set::blockwise`] pass to their callback.
-pub enum Met<'a> {
+pub enum Item<'a> {
     /// An entry, with the index of its source and its block.
     Entry(usize, &'a Block, &'a Entry),
     /// A block of a source that could not be read, so that entries of this source are missing here.
@@ -155,7 +155,7 @@
 
     /// Visits the entries of all blocks that overlap a time span, block by block. Entries of one source are visited
     /// in order; those of different sources are not ordered relative to each other.
-    pub fn blockwise(&mut self, span: (f64, f64), mut visit: impl FnMut(Met)) {
+    pub fn blockwise(&mut self, span: (f64, f64), mut visit: impl FnMut(Item)) {
         let all = self.blocks(|block| block.last >= span.0 && block.first <= span.1);
         for (no, at) in all.iter().copied().enumerate() {
             self.report_progress(no + 1, all.len());
@@ -163,16 +163,16 @@
                 self.source_index(at.segment, self.segments[at.segment].reader.blocks()[at.block].source);
             match self.read_block(at) {
                 Some(block) => {
-                    block.entries.iter().for_each(|entry| visit(Met::Entry(source, &block, entry)))
+                    block.entries.iter().for_each(|entry| visit(Item::Entry(source, &block, entry)))
                 }
-                None => visit(Met::Gap(source)),
+                None => visit(Item::Gap(source)),
             }
         }
     }
 
     /// Visits the entries of all blocks that overlap a time span in the order of their times, and those of one source
     /// in the order in which they were recorded.
-    pub fn each(&mut self, span: (f64, f64), mut visit: impl FnMut(Met)) {
+    pub fn each(&mut self, span: (f64, f64), mut visit: impl FnMut(Item)) {
         let all = self.blocks(|block| block.last >= span.0 && block.first <= span.1);
         let (count, mut read) = (all.len(), 0);
         let mut upcoming = all.into_iter().peekable();
@@ -200,13 +200,13 @@
                 match self.read_block(at) {
                     Some(block) if !block.entries.is_empty() => open.push((block, source, 0)),
                     Some(_) => {}
-                    None => visit(Met::Gap(source)),
+                    None => visit(Item::Gap(source)),
                 }
                 continue;
             }
             let Some((place, _)) = best else { break };
             let (block, source, entry) = &mut open[place];
-            visit(Met::Entry(*source, block, &block.entries[*entry]));
+            visit(Item::Entry(*source, block, &block.entries[*entry]));
             *entry += 1;
             if *entry == block.entries.len() {
                 open.remove(place);
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -7,7 +7,7 @@
 
 use crate::block::Block;
 use crate::record::{Entry, Event, How, Progress, Record};
-use crate::set::{Met, Set};
+use crate::set::{Item, Set};
 
 /// The maximum latency of the histograms, in microseconds (ten minutes). They keep three significant digits.
 const MAX_LATENCY_US: u64 = 600_000_000;
@@ -182,12 +182,12 @@
     };
     summary.processes = set.sources.iter().map(process).collect();
     let mut tally = Tally::default();
-    set.blockwise(span, |met| match met {
-        Met::Gap(source) => summary.processes[source].gaps += 1,
-        Met::Entry(source, block, entry) if (span.0..=span.1).contains(&entry.at) => {
+    set.blockwise(span, |item| match item {
+        Item::Gap(source) => summary.processes[source].gaps += 1,
+        Item::Entry(source, block, entry) if (span.0..=span.1).contains(&entry.at) => {
             summary.add_entry(&mut tally, source, block, entry, only);
         }
-        Met::Entry(..) => {}
+        Item::Entry(..) => {}
     });
     summary.classes.values_mut().chain(summary.groups.values_mut()).for_each(Service::finish);
     summary.open = tally.open.len() as u64;
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -13,7 +13,7 @@
 use ironpaddle_trace::edit::{anonymise, cut, merge, Pick, Pseudonyms};
 use ironpaddle_trace::file::{Header, Reader, Writer};
 use ironpaddle_trace::record::{How, Kind, Record};
-use ironpaddle_trace::set::{Met, Set};
+use ironpaddle_trace::set::{Item, Set};
 use ironpaddle_trace::story;
 use ironpaddle_trace::summary::{summarise, Only};
 
@@ -85,8 +85,8 @@
     assert_eq!(names, ["n0", "n1"]);
     // Both sources have equal timestamps: each keeps its order, and times never decrease.
     let (mut times, mut causes) = (Vec::new(), Vec::new());
-    set.each(ALL, |met| {
-        let Met::Entry(source, _, entry) = met else { panic!("a gap") };
+    set.each(ALL, |item| {
+        let Item::Entry(source, _, entry) = item else { panic!("a gap") };
         times.push(entry.at);
         if let Record::Verdict(verdict) = &entry.record {
             causes.push((source, verdict.query, verdict.cause.map(|cause| cause.code())));
@@ -133,8 +133,8 @@
     let folder = Folder::new(&[bytes]);
     let mut times = Vec::new();
     let mut first = None;
-    folder.set().each(ALL, |met| {
-        if let Met::Entry(_, _, entry) = met {
+    folder.set().each(ALL, |item| {
+        if let Item::Entry(_, _, entry) = item {
             first.get_or_insert(matches!(entry.record, Record::Checkpoint(_)));
             times.push(entry.at);
         }
@@ -151,8 +151,8 @@
         let folder = Folder::new(&[bytes]);
         let mut queries = BTreeSet::new();
         if let Ok(mut set) = Set::open(std::slice::from_ref(&folder.0)) {
-            set.each(ALL, |met| {
-                if let Met::Entry(_, _, entry) = met {
+            set.each(ALL, |item| {
+                if let Item::Entry(_, _, entry) = item {
                     assert!(
                         !matches!(entry.record, Record::Checkpoint(_)),
                         "a cut of selected queries has no checkpoint"
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -9,7 +9,7 @@
 use ironpaddle_trace::block::Block;
 use ironpaddle_trace::edit::{self, Pick, Pseudonyms};
 use ironpaddle_trace::record::{self, Entry, Record};
-use ironpaddle_trace::set::{Met, Set};
+use ironpaddle_trace::set::{Item, Set};
 use ironpaddle_trace::summary::{self, Only, Service, Summary};
 use ironpaddle_trace::{story, Error, VERSION};
 use serde::Serialize;
@@ -443,7 +443,7 @@
         }
     };
     set.each(span, |met| {
-        if let (Met::Entry(source, block, entry), None) = (met, &failed) {
+        if let (Item::Entry(source, block, entry), None) = (met, &failed) {
             if (span.0..=span.1).contains(&entry.at) {
                 failed = print(source, block, entry).err();
             }
@@ -518,10 +518,10 @@
     let began = std::time::Instant::now();
     let span = set.span().unwrap_or_default();
     set.blockwise((f64::NEG_INFINITY, f64::INFINITY), |met| match met {
-        Met::Entry(source, block, entry) => {
+        Item::Entry(source, block, entry) => {
             replays[source].take(block, entry);
         }
-        Met::Gap(source) => replays[source].gap(),
+        Item::Gap(source) => replays[source].gap(),
     });
     let took = began.elapsed().as_secs_f64();
     let reports: Vec<Report> = replays.into_iter().map(Replay::report).collect();
