--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -10,7 +10,7 @@
 use clap::Args;
 use ironpaddle_trace::record::{How, Record};
 use ironpaddle_trace::set::{Item, Set};
-use ironpaddle_trace::summary::{summarise, Only};
+use ironpaddle_trace::summary::{summarise, Filter};
 use serde::Serialize;
 use serde_json::{json, Value};
 
@@ -642,7 +642,7 @@
     let dirs: Vec<PathBuf> = (0..aggregators).map(|no| dir.join(format!("n{no}"))).collect();
     let mut set = Set::open(&dirs).map_err(|error| error.to_string())?;
     let all = (f64::NEG_INFINITY, f64::INFINITY);
-    let summary = summarise(&mut set, all, &Only::default());
+    let summary = summarise(&mut set, all, &Filter::default());
     let (mut names, mut ends) = (BTreeMap::new(), BTreeMap::new());
     set.blockwise(all, |met| {
         let Item::Entry(source, block, entry) = met else { return };
--- a/crates/trace/src/edit.rs
+++ b/crates/trace/src/edit.rs
@@ -11,7 +11,7 @@
 use crate::index::hash;
 use crate::record::{Action, Entry, Event, Kind, Name, Record};
 use crate::set::{Item, Set};
-use crate::summary::Only;
+use crate::summary::Filter;
 use crate::Error;
 
 /// The size at which a block is closed, in bytes.
@@ -91,20 +91,20 @@
 
 /// A selection of queries. A query must satisfy all conditions that are set.
 #[derive(Debug, Clone, Default)]
-pub struct Pick {
+pub struct Selection {
     /// The class and group of the query.
-    pub only: Only,
+    pub filter: Filter,
     /// The client id or number of the query.
     pub query: Option<String>,
     /// A run store to which at least one attempt of the query was sent.
     pub run_store: Option<String>,
 }
 
-impl Pick {
+impl Selection {
     /// Returns whether it selects all queries.
     pub fn is_all(&self) -> bool {
-        self.only.class.is_none()
-            && self.only.group.is_none()
+        self.filter.class.is_none()
+            && self.filter.group.is_none()
             && self.query.is_none()
             && self.run_store.is_none()
     }
@@ -116,9 +116,9 @@
 ///
 /// # Errors
 /// If reading or writing fails.
-pub fn cut<W: Write>(set: &mut Set, span: (f64, f64), pick: &Pick, out: W) -> Result<W, Error> {
+pub fn cut<W: Write>(set: &mut Set, span: (f64, f64), selection: &Selection, out: W) -> Result<W, Error> {
     let mut copier = Copier::new(out, set.sources.clone())?;
-    if pick.is_all() {
+    if selection.is_all() {
         let from = checkpoints(set, span.0);
         let earliest = from.values().copied().fold(span.0, f64::min);
         copy_entries(set, (earliest, span.1), &mut copier, |out, source, block, entry| {
@@ -129,10 +129,10 @@
             Ok(())
         })?;
     } else {
-        let picked = picked(set, span, pick)?;
+        let picked = select_queries(set, span, selection)?;
         copy_entries(set, span, &mut copier, |out, source, block, entry| {
             let has = |query: u64| picked.contains(&(source, query));
-            let kept = (span.0..=span.1).contains(&entry.at).then(|| only_of(&entry.record, &has)).flatten();
+            let kept = (span.0..=span.1).contains(&entry.at).then(|| restrict(&entry.record, &has)).flatten();
             kept.map_or(Ok(()), |record| out.add(source, block, &Entry { at: entry.at, record }, &keep_name))
         })?;
     }
@@ -156,8 +156,12 @@
 ///
 /// # Errors
 /// If a reader fails.
-pub fn picked(set: &mut Set, span: (f64, f64), pick: &Pick) -> Result<BTreeSet<(usize, u64)>, Error> {
-    let named = pick.query.as_deref().map(|name| set.find(name)).transpose()?;
+pub fn select_queries(
+    set: &mut Set,
+    span: (f64, f64),
+    selection: &Selection,
+) -> Result<BTreeSet<(usize, u64)>, Error> {
+    let named = selection.query.as_deref().map(|name| set.find(name)).transpose()?;
     let named: Option<BTreeSet<_>> = named.map(|found| found.into_iter().collect());
     let (mut matching, mut at_store) = (BTreeSet::new(), BTreeSet::new());
     set.blockwise(span, |item| {
@@ -168,11 +172,11 @@
             _ => None,
         };
         if let Some((query, class, group)) = attributes {
-            if pick.only.has(block.text(class), group.map(|group| block.text(group))) {
+            if selection.filter.accepts(block.text(class), group.map(|group| block.text(group))) {
                 matching.insert((source, query));
             }
         }
-        if let (Record::Step(step), Some(only)) = (&entry.record, &pick.run_store) {
+        if let (Record::Step(step), Some(only)) = (&entry.record, &selection.run_store) {
             for action in &step.actions {
                 if let Action::Send { query, run_store, .. } = action {
                     if block.text(*run_store) == only {
@@ -184,13 +188,13 @@
     });
     let keep = |key: &(usize, u64)| {
         named.as_ref().is_none_or(|named| named.contains(key))
-            && (pick.run_store.is_none() || at_store.contains(key))
+            && (selection.run_store.is_none() || at_store.contains(key))
     };
     Ok(matching.into_iter().filter(keep).collect())
 }
 
 /// Reduces a record to the queries for which `has` is true. Returns `None` if nothing is left.
-pub fn only_of(record: &Record, has: &dyn Fn(u64) -> bool) -> Option<Record> {
+pub fn restrict(record: &Record, has: &dyn Fn(u64) -> bool) -> Option<Record> {
     match record {
         Record::Step(step) => {
             let mut step = step.clone();
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -144,16 +144,16 @@
 
 /// A filter by class and group. A condition that is not set accepts every query.
 #[derive(Debug, Clone, Default)]
-pub struct Only {
+pub struct Filter {
     /// The required class.
     pub class: Option<String>,
     /// The required group.
     pub group: Option<String>,
 }
 
-impl Only {
+impl Filter {
     /// Returns whether a query of this class and group passes the filter.
-    pub fn has(&self, class: &str, group: Option<&str>) -> bool {
+    pub fn accepts(&self, class: &str, group: Option<&str>) -> bool {
         let class_fits = self.class.as_deref().is_none_or(|only| only == class);
         class_fits && self.group.as_deref().is_none_or(|only| Some(only) == group)
     }
@@ -173,7 +173,7 @@
 }
 
 /// Summarises the entries of a time span.
-pub fn summarise(set: &mut Set, span: (f64, f64), only: &Only) -> Summary {
+pub fn summarise(set: &mut Set, span: (f64, f64), filter: &Filter) -> Summary {
     let mut summary = Summary::default();
     let process = |source: &crate::file::Source| Process {
         aggregator: source.aggregator.clone(),
@@ -185,7 +185,7 @@
     set.blockwise(span, |item| match item {
         Item::Gap(source) => summary.processes[source].gaps += 1,
         Item::Entry(source, block, entry) if (span.0..=span.1).contains(&entry.at) => {
-            summary.add_entry(&mut tally, source, block, entry, only);
+            summary.add_entry(&mut tally, source, block, entry, filter);
         }
         Item::Entry(..) => {}
     });
@@ -206,7 +206,7 @@
 }
 
 impl Summary {
-    fn add_entry(&mut self, tally: &mut Tally, source: usize, block: &Block, entry: &Entry, only: &Only) {
+    fn add_entry(&mut self, tally: &mut Tally, source: usize, block: &Block, entry: &Entry, filter: &Filter) {
         self.entries += 1;
         let process = &mut self.processes[source];
         if process.from == 0.0 {
@@ -218,7 +218,7 @@
             Record::Taken(taken) => {
                 let class = block.text(taken.class);
                 let group = taken.group.map(|group| block.text(group));
-                if only.has(class, group) {
+                if filter.accepts(class, group) {
                     tally.open.insert((source, taken.query));
                     self.update(class, group, |service| service.taken += 1);
                 }
@@ -238,7 +238,7 @@
                         How::Left => None,
                     },
                 );
-                if only.has(class, group) {
+                if filter.accepts(class, group) {
                     if let Some(cause) = verdict.cause {
                         let causes = self.causes.entry(class.into()).or_default();
                         *causes.entry(cause.code().into()).or_default() += 1;
@@ -249,7 +249,7 @@
             Record::NotTaken(Some(class)) => {
                 let class = block.text(*class);
                 count_end(tally, source, class, Some(2));
-                if only.has(class, None) {
+                if filter.accepts(class, None) {
                     self.classes.entry(class.into()).or_default().not_taken += 1;
                 }
             }
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -10,12 +10,12 @@
 
 use common::{source, trace, BEGIN};
 use ironpaddle_trace::block::Batch;
-use ironpaddle_trace::edit::{anonymise, cut, merge, Pick, Pseudonyms};
+use ironpaddle_trace::edit::{anonymise, cut, merge, Pseudonyms, Selection};
 use ironpaddle_trace::file::{Header, Reader, Writer};
 use ironpaddle_trace::record::{How, Kind, Record};
 use ironpaddle_trace::set::{Item, Set};
 use ironpaddle_trace::story;
-use ironpaddle_trace::summary::{summarise, Only};
+use ironpaddle_trace::summary::{summarise, Filter};
 
 const ALL: (f64, f64) = (f64::NEG_INFINITY, f64::INFINITY);
 
@@ -101,7 +101,7 @@
     let history = story::collect(&mut set, 1, 2).unwrap();
     assert_eq!((history.aggregator.as_str(), history.end.as_deref()), ("n1", Some("refused")));
     assert!(history.moments.iter().any(|moment| moment.what.contains("beyond its share")), "{history:?}");
-    let summary = summarise(&mut set, ALL, &Only::default());
+    let summary = summarise(&mut set, ALL, &Filter::default());
     let class = &summary.classes["run-lookup"];
     assert_eq!((class.taken, class.answered, class.refused), (4, 2, 2));
     assert_eq!(summary.causes["run-lookup"].values().sum::<u64>(), 2);
@@ -129,7 +129,8 @@
 fn a_cut_begins_with_a_checkpoint_and_ends_with_its_time_span() {
     let folder = Folder::new(&[trace("n0", true)]);
     let span = (BEGIN + 200.0, BEGIN + 260.0);
-    let bytes = cut(&mut folder.set(), span, &Pick::default(), Cursor::new(Vec::new())).unwrap().into_inner();
+    let bytes =
+        cut(&mut folder.set(), span, &Selection::default(), Cursor::new(Vec::new())).unwrap().into_inner();
     let folder = Folder::new(&[bytes]);
     let mut times = Vec::new();
     let mut first = None;
@@ -146,8 +147,8 @@
 #[test]
 fn a_cut_of_selected_queries_holds_only_these() {
     let folder = Folder::new(&[trace("n0", true)]);
-    let of = |pick: &Pick| {
-        let bytes = cut(&mut folder.set(), ALL, pick, Cursor::new(Vec::new())).unwrap().into_inner();
+    let of = |selection: &Selection| {
+        let bytes = cut(&mut folder.set(), ALL, selection, Cursor::new(Vec::new())).unwrap().into_inner();
         let folder = Folder::new(&[bytes]);
         let mut queries = BTreeSet::new();
         if let Ok(mut set) = Set::open(std::slice::from_ref(&folder.0)) {
@@ -165,11 +166,15 @@
         }
         queries.into_iter().collect::<Vec<_>>()
     };
-    let group = |name: &str| Only { group: Some(name.into()), class: None };
-    assert_eq!(of(&Pick { only: group("vaal"), ..Pick::default() }), [2], "vaal must not match vaal-muon");
-    assert_eq!(of(&Pick { query: Some("9b1f03aa".into()), ..Pick::default() }), [1]);
-    assert_eq!(of(&Pick { run_store: Some("s-1".into()), ..Pick::default() }), [1, 2]);
-    assert_eq!(of(&Pick { run_store: Some("s-2".into()), ..Pick::default() }), [0; 0]);
+    let group = |name: &str| Filter { group: Some(name.into()), class: None };
+    assert_eq!(
+        of(&Selection { filter: group("vaal"), ..Selection::default() }),
+        [2],
+        "vaal must not match vaal-muon"
+    );
+    assert_eq!(of(&Selection { query: Some("9b1f03aa".into()), ..Selection::default() }), [1]);
+    assert_eq!(of(&Selection { run_store: Some("s-1".into()), ..Selection::default() }), [1, 2]);
+    assert_eq!(of(&Selection { run_store: Some("s-2".into()), ..Selection::default() }), [0; 0]);
 }
 
 #[test]
@@ -205,8 +210,8 @@
     assert_ne!(plain(&hide(b"other")), plain(&bytes));
     let hidden = Folder::new(&[bytes]);
     let (before, after) = (
-        summarise(&mut folder.set(), ALL, &Only::default()),
-        summarise(&mut hidden.set(), ALL, &Only::default()),
+        summarise(&mut folder.set(), ALL, &Filter::default()),
+        summarise(&mut hidden.set(), ALL, &Filter::default()),
     );
     assert_eq!(before.classes["run-lookup"].ended(), after.classes["run-lookup"].ended());
     assert_eq!(before.groups.len(), after.groups.len());
@@ -218,7 +223,7 @@
     let folder = Folder::new(&[trace("n0", false), b"no trace at all, but long enough for a head".to_vec()]);
     let mut set = folder.set();
     assert_eq!((set.segments.len(), set.troubles.len()), (1, 2), "{:?}", set.troubles);
-    let summary = summarise(&mut set, ALL, &Only::default());
+    let summary = summarise(&mut set, ALL, &Filter::default());
     assert_eq!((summary.classes["run-lookup"].ended(), summary.processes[0].ended), (2, false));
     assert!(Set::open(&[folder.0.join("1.iptrace")]).is_err());
     assert!(Set::open(&[Path::new("/nowhere/at/all").into()]).is_err());
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -7,10 +7,10 @@
 
 use clap::{Args, Subcommand};
 use ironpaddle_trace::block::Block;
-use ironpaddle_trace::edit::{self, Pick, Pseudonyms};
+use ironpaddle_trace::edit::{self, Pseudonyms, Selection};
 use ironpaddle_trace::record::{self, Entry, Record};
 use ironpaddle_trace::set::{Item, Set};
-use ironpaddle_trace::summary::{self, Only, Service, Summary};
+use ironpaddle_trace::summary::{self, Filter, Service, Summary};
 use ironpaddle_trace::{story, Error, VERSION};
 use serde::Serialize;
 use serde_json::json;
@@ -169,9 +169,9 @@
 }
 
 impl Which {
-    fn pick(&self) -> Pick {
-        Pick {
-            only: Only { class: self.class.clone(), group: self.group.clone() },
+    fn pick(&self) -> Selection {
+        Selection {
+            filter: Filter { class: self.class.clone(), group: self.group.clone() },
             query: self.query.clone(),
             run_store: self.run_store.clone(),
         }
@@ -244,7 +244,7 @@
         Command::Summary { paths, span, class, group, json } => {
             let mut set = open(&paths)?;
             let span = span.read(&set)?;
-            let summary = summary::summarise(&mut set, span, &Only { class, group });
+            let summary = summary::summarise(&mut set, span, &Filter { class, group });
             let found = troubled(&set);
             if json {
                 print_json(&summary)?;
@@ -423,14 +423,15 @@
 fn cat(paths: &[PathBuf], which: &Which, all: bool, json: bool) -> Result<Found, String> {
     let mut set = open(paths)?;
     let (span, pick) = (which.span.read(&set)?, which.pick());
-    let picked = if pick.is_all() { None } else { Some(edit::picked(&mut set, span, &pick).map_err(text)?) };
+    let picked =
+        if pick.is_all() { None } else { Some(edit::select_queries(&mut set, span, &pick).map_err(text)?) };
     let names: Vec<String> = set.sources.iter().map(|source| source.aggregator.clone()).collect();
     let mut out = BufWriter::new(io::stdout().lock());
     let mut failed = None;
     let mut print = |source: usize, block: &Block, entry: &Entry| -> io::Result<()> {
         let kept = match &picked {
             None => Some(entry.record.clone()),
-            Some(picked) => edit::only_of(&entry.record, &|query| picked.contains(&(source, query))),
+            Some(picked) => edit::restrict(&entry.record, &|query| picked.contains(&(source, query))),
         };
         let Some(record) = kept.filter(|record| all || !is_empty(record)) else { return Ok(()) };
         let value = record::with_names(&block.names, || serde_json::to_value(&record))?;
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -17,7 +17,7 @@
 use ironpaddle_trace::keep::Job;
 use ironpaddle_trace::record::{Action, Entry, Record};
 use ironpaddle_trace::set::Set;
-use ironpaddle_trace::summary::{summarise, Only, Summary};
+use ironpaddle_trace::summary::{summarise, Filter, Summary};
 use serde_json::json;
 
 /// Unix milliseconds at which these days begin.
@@ -180,7 +180,7 @@
     }
     let mut set = Set::open(std::slice::from_ref(&dir)).unwrap();
     let all = (f64::NEG_INFINITY, f64::INFINITY);
-    let summary = summarise(&mut set, all, &Only::default());
+    let summary = summarise(&mut set, all, &Filter::default());
     std::fs::remove_dir_all(dir).unwrap();
     summary
 }
