--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -6,7 +6,7 @@
 use zstd::bulk::Compressor;
 
 use crate::block::{self, Batch, Block, BlockHeader};
-use crate::index::{BlockAt, Index, IndexBuilder};
+use crate::index::{BlockLocation, Index, IndexBuilder};
 use crate::{Error, VERSION};
 
 /// The first bytes of a segment.
@@ -85,7 +85,7 @@
         let (head, bytes) = batch.encode(source, &mut self.zstd)?;
         self.out.write_all(&bytes)?;
         let (queries, client_ids) = batch.take_index_entries();
-        self.index.add(BlockAt::new(self.at, &head), &queries, &client_ids);
+        self.index.add(BlockLocation::new(self.at, &head), &queries, &client_ids);
         self.at += bytes.len() as u64;
         Ok(())
     }
@@ -119,7 +119,7 @@
 pub struct Reader<R> {
     file: R,
     header: Option<Header>,
-    blocks: Vec<BlockAt>,
+    blocks: Vec<BlockLocation>,
     index: Option<Index>,
     damage: Vec<Damage>,
 }
@@ -158,7 +158,7 @@
             match head.as_ref().and_then(payload).zip(head) {
                 Some((stored, head)) if Block::matches_checksum(&head, stored) => {
                     self.add_damage(from, at, found);
-                    let block = BlockAt::new(from + found as u64, &head);
+                    let block = BlockLocation::new(from + found as u64, &head);
                     at = found + block.length as usize;
                     search_from = at;
                     self.blocks.push(block);
@@ -182,7 +182,7 @@
     }
 
     /// Returns the locations of the blocks. With an index, their payloads have not been checked yet.
-    pub fn blocks(&self) -> &[BlockAt] {
+    pub fn blocks(&self) -> &[BlockLocation] {
         &self.blocks
     }
 
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -26,7 +26,7 @@
 
 /// The location and extent of a block.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BlockAt {
+pub struct BlockLocation {
     /// Its offset in the file, in bytes.
     pub offset: u64,
     /// Its length including the block header, in bytes.
@@ -49,10 +49,10 @@
     u64::from(source) << 48 | query & ((1 << 48) - 1)
 }
 
-impl BlockAt {
+impl BlockLocation {
     /// Creates the location of a block at an offset from its header.
     pub fn new(offset: u64, head: &BlockHeader) -> Self {
-        BlockAt {
+        BlockLocation {
             offset,
             length: crate::block::HEADER_BYTES as u32 + head.stored,
             records: head.records,
@@ -67,7 +67,7 @@
 /// The builder of the index of a segment that is being written.
 #[derive(Debug, Default)]
 pub struct IndexBuilder {
-    blocks: Vec<BlockAt>,
+    blocks: Vec<BlockLocation>,
     /// The first and the last block of each query, by [`query_key`].
     queries: BTreeMap<u64, (u32, u32)>,
     /// Hashes of client ids, each with the [`query_key`] of its query.
@@ -76,7 +76,7 @@
 
 impl IndexBuilder {
     /// Adds a block, with the numbers of its queries, and hashes of client ids with the numbers of their queries.
-    pub fn add(&mut self, at: BlockAt, queries: &[u64], called: &[(u64, u64)]) {
+    pub fn add(&mut self, at: BlockLocation, queries: &[u64], called: &[(u64, u64)]) {
         let no = self.blocks.len() as u32;
         self.blocks.push(at);
         for query in queries {
@@ -131,7 +131,7 @@
 #[derive(Debug, Clone)]
 pub struct Index {
     /// The blocks of the segment.
-    pub blocks: Vec<BlockAt>,
+    pub blocks: Vec<BlockLocation>,
     /// The offset of the first table, in bytes.
     at: u64,
     /// The length in bytes and the checksum of each table.
@@ -168,7 +168,7 @@
         }
         let index = Index { blocks: Vec::new(), at, tables };
         let Some(rows) = index.table(file, 0)? else { return Ok(None) };
-        let row = |row: &[u8]| BlockAt {
+        let row = |row: &[u8]| BlockLocation {
             offset: u64_at(row, 0),
             length: u32_at(row, 8),
             records: u32_at(row, 12),
@@ -177,9 +177,10 @@
             last: f64::from_bits(u64_at(row, 28)),
             source: u16::from_le_bytes([row[36], row[37]]),
         };
-        let blocks: Vec<BlockAt> = rows.chunks_exact(BLOCK_ROW_BYTES).map(row).collect();
-        let inside =
-            |block: &BlockAt| block.offset.checked_add(u64::from(block.length)).is_some_and(|e| e <= at);
+        let blocks: Vec<BlockLocation> = rows.chunks_exact(BLOCK_ROW_BYTES).map(row).collect();
+        let inside = |block: &BlockLocation| {
+            block.offset.checked_add(u64::from(block.length)).is_some_and(|e| e <= at)
+        };
         Ok(blocks.iter().all(inside).then_some(Index { blocks, ..index }))
     }
 
--- a/crates/trace/src/set.rs
+++ b/crates/trace/src/set.rs
@@ -142,7 +142,7 @@
         }
     }
 
-    fn blocks(&self, select: impl Fn(&crate::index::BlockAt) -> bool) -> Vec<BlockRef> {
+    fn blocks(&self, select: impl Fn(&crate::index::BlockLocation) -> bool) -> Vec<BlockRef> {
         let mut all = Vec::new();
         for (segment, opened) in self.segments.iter().enumerate() {
             for (block, at) in opened.reader.blocks().iter().enumerate().filter(|(_, at)| select(at)) {
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -350,7 +350,7 @@
             set.troubles
                 .push((segment.path.clone(), format!("{bad} damaged blocks, index sound: {index:?}")));
         }
-        let sum = |of: fn(&ironpaddle_trace::index::BlockAt) -> u64| blocks.iter().map(of).sum::<u64>();
+        let sum = |of: fn(&ironpaddle_trace::index::BlockLocation) -> u64| blocks.iter().map(of).sum::<u64>();
         let sources: Vec<_> = header
             .sources
             .iter()
