--- a/crates/trace/examples/codecs.rs
+++ b/crates/trace/examples/codecs.rs
@@ -1,11 +1,12 @@
-//! What a trace's bytes are made of, and what LZ4 and zstd make of its blocks: `codecs SEGMENT...`.
+//! Reports the sizes of a trace's records by kind, and the ratio and speed of several codecs on its blocks. Usage:
+//! `codecs SEGMENT...`.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 use ironpaddle_trace::num::Num;
 use ironpaddle_trace::record::Record;
-use ironpaddle_trace::set::{Met, Set};
+use ironpaddle_trace::set::{Item, Set};
 
 fn kind(record: &Record) -> &'static str {
     match record {
@@ -30,8 +31,8 @@
         .map(|block| u64::from(block.length))
         .sum();
     let (mut no, mut table) = (0, std::ptr::null());
-    set.blockwise((f64::NEG_INFINITY, f64::INFINITY), |met| {
-        let Met::Entry(_, block, entry) = met else { return };
+    set.blockwise((f64::NEG_INFINITY, f64::INFINITY), |item| {
+        let Item::Entry(_, block, entry) = item else { return };
         if table != block.names.as_ptr() {
             (no, table) = (no + 1, block.names.as_ptr());
             blocks.insert(
@@ -58,19 +59,19 @@
     for (kind, (count, size)) in &sizes {
         println!("{kind:<24}{count:>9} records {size:>11} bytes before compression");
     }
-    let report = |name: &str, squeeze: &dyn Fn(&[u8]) -> Vec<u8>, loosen: &dyn Fn(&[u8])| {
+    let report = |name: &str, compress: &dyn Fn(&[u8]) -> Vec<u8>, decompress: &dyn Fn(&[u8])| {
         let began = Instant::now();
-        let made: Vec<Vec<u8>> = blocks.values().map(|block| squeeze(block)).collect();
-        let squeezed = began.elapsed().as_secs_f64();
+        let compressed: Vec<Vec<u8>> = blocks.values().map(|block| compress(block)).collect();
+        let compress_s = began.elapsed().as_secs_f64();
         let began = Instant::now();
-        made.iter().for_each(|block| loosen(block));
-        let loosened = began.elapsed().as_secs_f64();
-        let size: usize = made.iter().map(Vec::len).sum();
+        compressed.iter().for_each(|block| decompress(block));
+        let decompress_s = began.elapsed().as_secs_f64();
+        let size: usize = compressed.iter().map(Vec::len).sum();
         println!(
             "{name:<10} {size:>10} of {raw} bytes, {:.0} bytes a query, {:.0} MB/s in, {:.0} MB/s out",
             size as f64 / queries.max(1) as f64,
-            raw as f64 / squeezed / 1e6,
-            raw as f64 / loosened / 1e6
+            raw as f64 / compress_s / 1e6,
+            raw as f64 / decompress_s / 1e6
         );
     };
     report("LZ4", &lz4_flex::block::compress_prepend_size, &|block| {
--- a/crates/trace/src/index.rs
+++ b/crates/trace/src/index.rs
@@ -1,56 +1,60 @@
-//! The index at the end of a segment: where each block and each query is. It is looked through on the disk, a few
-//! reads for a query, whatever the size of the segment.
+//! The index at the end of a segment, which locates blocks and queries. The query and name tables are sorted and
+//! searched on disk, so that a lookup takes a few reads even in a large segment.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Seek, SeekFrom, Write};
 
-use crate::block::Head;
+use crate::block::BlockHeader;
 use crate::Error;
 
-/// The last bytes of a segment that ended in order.
+/// The last bytes of a finished segment.
 pub const MAGIC: [u8; 8] = *b"\x89IPEND\r\n";
-/// The length of the part that says where the tables are, in bytes.
-const TRAILER: usize = 56;
-const BLOCK_ROW: usize = 38;
-const QUERY_ROW: usize = 16;
-const NAME_ROW: usize = 16;
+/// The length of the trailer, which locates the tables, in bytes.
+const TRAILER_BYTES: usize = 56;
+/// The length of a row of the block table, in bytes.
+const BLOCK_ROW_BYTES: usize = 38;
+/// The length of a row of the query table, in bytes.
+const QUERY_ROW_BYTES: usize = 16;
+/// The length of a row of the name table, in bytes.
+const NAME_ROW_BYTES: usize = 16;
 
-/// The hash under which a query's name is found.
+/// Returns the hash under which the index stores a query's client id.
 pub fn hash(name: &str) -> u64 {
     let bytes = *blake3::hash(name.as_bytes()).as_bytes();
     u64::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3], bytes[4], bytes[5], bytes[6], bytes[7]])
 }
 
-/// Where a block is, and what it spans.
+/// The location and extent of a block.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BlockAt {
-    /// Its place in the file, in bytes.
+pub struct BlockLocation {
+    /// Its offset in the file, in bytes.
     pub offset: u64,
-    /// Its length, with what stands before its payload, in bytes.
+    /// Its length including the block header, in bytes.
     pub length: u32,
-    /// How many entries there are.
+    /// The number of entries.
     pub records: u32,
-    /// Its length before compression, in bytes.
+    /// The length of its payload before compression, in bytes.
     pub raw: u32,
-    /// The time of its first entry, and the latest of any.
+    /// The time of its first entry, in Unix milliseconds.
     pub first: f64,
-    /// See `first`.
+    /// The latest time of any entry, in Unix milliseconds.
     pub last: f64,
-    /// Whose entries they are, by the place in the file's list of sources.
+    /// The process that the entries belong to, as an index into the file's list of sources.
     pub source: u16,
 }
 
-/// A query under its source: numbers are each process's own.
-pub fn key(source: u16, query: u64) -> u64 {
+/// Returns the index key of a query: the source in the upper 16 bits, as query numbers are unique only within a
+/// process, and the number in the lower 48.
+pub fn query_key(source: u16, query: u64) -> u64 {
     u64::from(source) << 48 | query & ((1 << 48) - 1)
 }
 
-impl BlockAt {
-    /// A block that begins at a place.
-    pub fn new(offset: u64, head: &Head) -> Self {
-        BlockAt {
+impl BlockLocation {
+    /// Creates the location of a block at an offset from its header.
+    pub fn new(offset: u64, head: &BlockHeader) -> Self {
+        BlockLocation {
             offset,
-            length: crate::block::HEAD as u32 + head.stored,
+            length: crate::block::HEADER_BYTES as u32 + head.stored,
             records: head.records,
             raw: head.raw,
             first: head.first,
@@ -60,31 +64,33 @@
     }
 }
 
-/// The index while its segment is written.
+/// The builder of the index of a segment that is being written.
 #[derive(Debug, Default)]
-pub struct Building {
-    blocks: Vec<BlockAt>,
+pub struct IndexBuilder {
+    blocks: Vec<BlockLocation>,
+    /// The first and the last block of each query, by [`query_key`].
     queries: BTreeMap<u64, (u32, u32)>,
+    /// Hashes of client ids, each with the [`query_key`] of its query.
     names: Vec<(u64, u64)>,
 }
 
-impl Building {
-    /// A block was written: which queries it is about, and what some of them are called.
-    pub fn add(&mut self, at: BlockAt, queries: &[u64], called: &[(u64, u64)]) {
+impl IndexBuilder {
+    /// Adds a block, with the numbers of its queries, and hashes of client ids with the numbers of their queries.
+    pub fn add(&mut self, at: BlockLocation, queries: &[u64], called: &[(u64, u64)]) {
         let no = self.blocks.len() as u32;
         self.blocks.push(at);
         for query in queries {
-            self.queries.entry(key(at.source, *query)).or_insert((no, no)).1 = no;
+            self.queries.entry(query_key(at.source, *query)).or_insert((no, no)).1 = no;
         }
-        self.names.extend(called.iter().map(|(hash, query)| (*hash, key(at.source, *query))));
+        self.names.extend(called.iter().map(|(hash, query)| (*hash, query_key(at.source, *query))));
     }
 
-    /// Writes the index of a segment whose blocks end at a place.
+    /// Writes the index of a segment whose blocks end at offset `at`. Returns its length in bytes.
     ///
     /// # Errors
     /// If the writer fails.
     pub fn write(&mut self, at: u64, out: &mut impl Write) -> Result<u64, Error> {
-        let mut blocks = Vec::with_capacity(self.blocks.len() * BLOCK_ROW);
+        let mut blocks = Vec::with_capacity(self.blocks.len() * BLOCK_ROW_BYTES);
         for block in &self.blocks {
             blocks.extend_from_slice(&block.offset.to_le_bytes());
             for word in [block.length, block.records, block.raw] {
@@ -94,19 +100,19 @@
             blocks.extend_from_slice(&block.last.to_le_bytes());
             blocks.extend_from_slice(&block.source.to_le_bytes());
         }
-        let mut queries = Vec::with_capacity(self.queries.len() * QUERY_ROW);
+        let mut queries = Vec::with_capacity(self.queries.len() * QUERY_ROW_BYTES);
         for (query, (first, last)) in &self.queries {
             queries.extend_from_slice(&query.to_le_bytes());
             queries.extend_from_slice(&first.to_le_bytes());
             queries.extend_from_slice(&last.to_le_bytes());
         }
         self.names.sort_unstable();
-        let mut names = Vec::with_capacity(self.names.len() * NAME_ROW);
+        let mut names = Vec::with_capacity(self.names.len() * NAME_ROW_BYTES);
         for (hash, query) in &self.names {
             names.extend_from_slice(&hash.to_le_bytes());
             names.extend_from_slice(&query.to_le_bytes());
         }
-        let mut trailer = Vec::with_capacity(TRAILER);
+        let mut trailer = Vec::with_capacity(TRAILER_BYTES);
         trailer.extend_from_slice(&at.to_le_bytes());
         for table in [&blocks, &queries, &names] {
             trailer.extend_from_slice(&(table.len() as u64).to_le_bytes());
@@ -121,13 +127,14 @@
     }
 }
 
-/// The index of a segment that ended in order.
+/// The index of a finished segment.
 #[derive(Debug, Clone)]
 pub struct Index {
-    /// Its blocks.
-    pub blocks: Vec<BlockAt>,
-    /// Where the tables begin, and how long they are, each with its checksum.
+    /// The blocks of the segment.
+    pub blocks: Vec<BlockLocation>,
+    /// The offset of the first table, in bytes.
     at: u64,
+    /// The length in bytes and the checksum of each table.
     tables: [(u64, u32); 3],
 }
 
@@ -140,14 +147,14 @@
 }
 
 impl Index {
-    /// Reads the index at the end of a file; `None` if there is none that is sound.
+    /// Reads the index at the end of a file. Returns `None` if there is none, or its trailer or block table is damaged.
     ///
     /// # Errors
     /// If the reader fails.
     pub fn read(file: &mut (impl Read + Seek)) -> Result<Option<Self>, Error> {
         let length = file.seek(SeekFrom::End(0))?;
-        let Some(trailer_at) = length.checked_sub(TRAILER as u64) else { return Ok(None) };
-        let mut trailer = [0; TRAILER];
+        let Some(trailer_at) = length.checked_sub(TRAILER_BYTES as u64) else { return Ok(None) };
+        let mut trailer = [0; TRAILER_BYTES];
         file.seek(SeekFrom::Start(trailer_at))?;
         file.read_exact(&mut trailer)?;
         if trailer[48..] != MAGIC || crc32fast::hash(&trailer[..44]) != u32_at(&trailer, 44) {
@@ -161,7 +168,7 @@
         }
         let index = Index { blocks: Vec::new(), at, tables };
         let Some(rows) = index.table(file, 0)? else { return Ok(None) };
-        let row = |row: &[u8]| BlockAt {
+        let row = |row: &[u8]| BlockLocation {
             offset: u64_at(row, 0),
             length: u32_at(row, 8),
             records: u32_at(row, 12),
@@ -170,13 +177,14 @@
             last: f64::from_bits(u64_at(row, 28)),
             source: u16::from_le_bytes([row[36], row[37]]),
         };
-        let blocks: Vec<BlockAt> = rows.chunks_exact(BLOCK_ROW).map(row).collect();
-        let inside =
-            |block: &BlockAt| block.offset.checked_add(u64::from(block.length)).is_some_and(|e| e <= at);
+        let blocks: Vec<BlockLocation> = rows.chunks_exact(BLOCK_ROW_BYTES).map(row).collect();
+        let inside = |block: &BlockLocation| {
+            block.offset.checked_add(u64::from(block.length)).is_some_and(|e| e <= at)
+        };
         Ok(blocks.iter().all(inside).then_some(Index { blocks, ..index }))
     }
 
-    /// Whether all tables are those that were written.
+    /// Verifies the checksums of all tables.
     ///
     /// # Errors
     /// If the reader fails.
@@ -192,17 +200,17 @@
     fn table(&self, file: &mut (impl Read + Seek), which: usize) -> Result<Option<Vec<u8>>, Error> {
         let (length, crc) = self.tables[which];
         let mut bytes = vec![0; usize::try_from(length).map_err(|_| Error::TooLong)?];
-        file.seek(SeekFrom::Start(self.start(which)))?;
+        file.seek(SeekFrom::Start(self.table_offset(which)))?;
         file.read_exact(&mut bytes)?;
         Ok((crc32fast::hash(&bytes) == crc).then_some(bytes))
     }
 
-    fn start(&self, which: usize) -> u64 {
+    fn table_offset(&self, which: usize) -> u64 {
         self.at + self.tables[..which].iter().map(|(length, _)| length).sum::<u64>()
     }
 
-    /// The first row of a table, sorted by its first eight bytes, whose key is not below one.
-    fn seek(&self, file: &mut (impl Read + Seek), which: usize, key: u64) -> Result<u64, Error> {
+    /// Returns the first row with a key of at least `key` in a table that is sorted by its first eight bytes.
+    fn lower_bound(&self, file: &mut (impl Read + Seek), which: usize, key: u64) -> Result<u64, Error> {
         let (mut low, mut high) = (0, self.tables[which].0 / 16);
         while low < high {
             let middle = low + (high - low) / 2;
@@ -217,17 +225,21 @@
 
     fn row(&self, file: &mut (impl Read + Seek), which: usize, no: u64) -> Result<[u8; 16], Error> {
         let mut row = [0; 16];
-        file.seek(SeekFrom::Start(self.start(which) + no * 16))?;
+        file.seek(SeekFrom::Start(self.table_offset(which) + no * 16))?;
         file.read_exact(&mut row)?;
         Ok(row)
     }
 
-    /// The blocks among which all entries about a query, by its [`key`], are, by the first and the last of them.
+    /// Returns the first and the last block that contain entries of a query, given by its [`query_key`].
     ///
     /// # Errors
     /// If the reader fails.
-    pub fn query(&self, file: &mut (impl Read + Seek), query: u64) -> Result<Option<(u32, u32)>, Error> {
-        let at = self.seek(file, 1, query)?;
+    pub fn blocks_of_query(
+        &self,
+        file: &mut (impl Read + Seek),
+        query: u64,
+    ) -> Result<Option<(u32, u32)>, Error> {
+        let at = self.lower_bound(file, 1, query)?;
         if at >= self.tables[1].0 / 16 {
             return Ok(None);
         }
@@ -235,13 +247,13 @@
         Ok((u64_at(&row, 0) == query).then(|| (u32_at(&row, 8), u32_at(&row, 12))))
     }
 
-    /// The keys of the queries that may be called so; other names may have the same hash.
+    /// Returns the keys of the queries whose client id has the same hash as `name`.
     ///
     /// # Errors
     /// If the reader fails.
-    pub fn called(&self, file: &mut (impl Read + Seek), name: &str) -> Result<Vec<u64>, Error> {
+    pub fn queries_by_client_id(&self, file: &mut (impl Read + Seek), name: &str) -> Result<Vec<u64>, Error> {
         let (hash, mut found) = (hash(name), Vec::new());
-        let mut at = self.seek(file, 2, hash)?;
+        let mut at = self.lower_bound(file, 2, hash)?;
         while at < self.tables[2].0 / 16 {
             let row = self.row(file, 2, at)?;
             if u64_at(&row, 0) != hash {
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,4 +1,4 @@
-//! What a trace says of the service, by class and group.
+//! Summary statistics of a trace, by class, group, run store and process.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,31 +7,31 @@
 
 use crate::block::Block;
 use crate::record::{Entry, Event, How, Progress, Record};
-use crate::set::{Met, Set};
+use crate::set::{Item, Set};
 
-/// Latencies are kept in microseconds, to three digits, up to ten minutes.
-const MOST_US: u64 = 600_000_000;
+/// The maximum latency of the histograms, in microseconds (ten minutes). They keep three significant digits.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// How the queries of a class or group ended.
+/// The ends and latencies of the queries of a class or group.
 #[derive(Debug, Clone, Serialize)]
 pub struct Service {
-    /// Queries taken whose taking is in the trace.
+    /// The number of queries whose acceptance is in the trace.
     pub taken: u64,
-    /// Answered, whole or from some parts.
+    /// The number of answered queries, whole or partial.
     pub answered: u64,
-    /// Of these, whole.
+    /// The number of whole answers.
     pub whole: u64,
-    /// Of these, from some parts.
+    /// The number of partial answers.
     pub partial: u64,
-    /// Refused.
+    /// The number of refused queries.
     pub refused: u64,
-    /// Failed.
+    /// The number of failed queries.
     pub failed: u64,
-    /// Left by their clients.
+    /// The number of queries whose client disconnected before there was an answer.
     pub left: u64,
-    /// Answered with an error before they became queries.
+    /// The number of requests that were answered with an error before they were accepted as queries.
     pub not_taken: u64,
-    /// The time from taking to the answer, of those answered: percentiles in milliseconds.
+    /// Percentiles of the time from acceptance to answer, of the answered queries, in milliseconds.
     pub latency_ms: BTreeMap<&'static str, f64>,
     #[serde(skip)]
     latencies: Histogram<u32>,
@@ -39,8 +39,9 @@
 
 impl Default for Service {
     fn default() -> Self {
-        // These bounds are sound ones, so that there is always a histogram.
-        let latencies = Histogram::new_with_max(MOST_US, 3).unwrap_or_else(|_| unreachable!("sound bounds"));
+        // Creating a histogram fails only if its bounds are invalid, and these are valid.
+        let latencies =
+            Histogram::new_with_max(MAX_LATENCY_US, 3).unwrap_or_else(|_| unreachable!("valid bounds"));
         Service {
             taken: 0,
             answered: 0,
@@ -57,7 +58,7 @@
 }
 
 impl Service {
-    fn end(&mut self, how: How, took_ms: f64) {
+    fn add_end(&mut self, how: How, took_ms: f64) {
         match how {
             How::Whole => (self.answered, self.whole) = (self.answered + 1, self.whole + 1),
             How::Partial => (self.answered, self.partial) = (self.answered + 1, self.partial + 1),
@@ -79,96 +80,100 @@
         }
     }
 
-    /// The queries that ended.
+    /// Returns the number of queries that ended.
     pub fn ended(&self) -> u64 {
         self.answered + self.refused + self.failed + self.left
     }
 }
 
-/// What a run store did.
+/// The attempts and probes of a run store.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RunStore {
-    /// Attempts that ended, by outcome.
+    /// The number of ended attempts, by outcome.
     pub ends: BTreeMap<String, u64>,
-    /// Probes answered, and not.
+    /// The number of answered probes.
     pub probes_ok: u64,
-    /// See `probes_ok`.
+    /// The number of unanswered probes.
     pub probes_failed: u64,
 }
 
-/// The last counts of a process, and what the trace holds less than they say.
+/// The recording of a process, and the ends that its counters include but the trace lacks.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Process {
-    /// The aggregator.
+    /// The name of the aggregator.
     pub aggregator: String,
-    /// When it started, in Unix milliseconds.
+    /// The start time of the process, in Unix milliseconds.
     pub started: u64,
-    /// The first and the last time in the trace.
+    /// The time of the first entry, in Unix milliseconds.
     pub from: f64,
-    /// See `from`.
+    /// The time of the last entry, in Unix milliseconds.
     pub to: f64,
-    /// Whether its recording ended in good order.
+    /// Whether the recording was closed regularly.
     pub ended: bool,
-    /// Records that it says were lost.
+    /// The number of records that the process reported as lost.
     pub lost: u64,
-    /// Gaps by blocks that could not be read.
+    /// The number of blocks that could not be read.
     pub gaps: u64,
-    /// Attempts written whole.
+    /// The number of attempts that were written completely.
     pub tries: u64,
-    /// Ends that the last counts before the end of the trace tell and the trace lacks: what was before the recording
-    /// began, or was lost. By class: answered, refused, failed or not taken.
+    /// The ends of queries that the last recorded counters include but the trace lacks, because they happened before
+    /// the recording began or their records were lost. By class: answered, refused, and failed or not accepted.
     pub missing: BTreeMap<String, [i64; 3]>,
 }
 
-/// The summary.
+/// The summary of a trace.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Summary {
-    /// By class.
+    /// The queries of each class.
     pub classes: BTreeMap<String, Service>,
-    /// By group.
+    /// The queries of each group.
     pub groups: BTreeMap<String, Service>,
-    /// By class and cause: why queries were refused or failed.
+    /// The number of refused and failed queries, by class and cause.
     pub causes: BTreeMap<String, BTreeMap<String, u64>>,
-    /// By run store.
+    /// The attempts and probes of each run store.
     pub run_stores: BTreeMap<String, RunStore>,
-    /// By process.
+    /// The recording of each process.
     pub processes: Vec<Process>,
-    /// Of the queries taken, those without an end in the trace.
+    /// The number of accepted queries without an end in the trace.
     pub open: u64,
-    /// Entries read.
+    /// The number of entries read.
     pub entries: u64,
-    /// What could not be read.
+    /// Problems met in reading the trace.
     pub troubles: Vec<String>,
 }
 
-/// Which entries count.
+/// A filter by class and group. A condition that is not set accepts every query.
 #[derive(Debug, Clone, Default)]
-pub struct Only {
-    /// Of a class.
+pub struct Filter {
+    /// The required class.
     pub class: Option<String>,
-    /// Of a group.
+    /// The required group.
     pub group: Option<String>,
 }
 
-impl Only {
-    /// Whether a query of a class and group counts.
-    pub fn has(&self, class: &str, group: Option<&str>) -> bool {
+impl Filter {
+    /// Returns whether a query of this class and group passes the filter.
+    pub fn accepts(&self, class: &str, group: Option<&str>) -> bool {
         let class_fits = self.class.as_deref().is_none_or(|only| only == class);
         class_fits && self.group.as_deref().is_none_or(|only| Some(only) == group)
     }
 }
 
+/// Intermediate counts, by process and class: answered, refused, and failed or not accepted.
 #[derive(Default)]
 struct Tally {
-    /// By process: its last counts by class, and the same ends as counted here, before those counts.
-    told: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
+    /// The last counters that the process recorded.
+    recorded: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
+    /// The ends counted in the trace so far.
     counted: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
+    /// The value of `counted` at the last recorded counters.
     at_counts: BTreeMap<usize, BTreeMap<String, [u64; 3]>>,
+    /// The queries that were accepted and have not ended, by process and number.
     open: BTreeSet<(usize, u64)>,
 }
 
-/// Summarises the entries of a span.
-pub fn summarise(set: &mut Set, span: (f64, f64), only: &Only) -> Summary {
+/// Summarises the entries of a time span.
+pub fn summarise(set: &mut Set, span: (f64, f64), filter: &Filter) -> Summary {
     let mut summary = Summary::default();
     let process = |source: &crate::file::Source| Process {
         aggregator: source.aggregator.clone(),
@@ -177,22 +182,22 @@
     };
     summary.processes = set.sources.iter().map(process).collect();
     let mut tally = Tally::default();
-    set.blockwise(span, |met| match met {
-        Met::Gap(source) => summary.processes[source].gaps += 1,
-        Met::Entry(source, block, entry) if (span.0..=span.1).contains(&entry.at) => {
-            summary.take(&mut tally, source, block, entry, only);
+    set.blockwise(span, |item| match item {
+        Item::Gap(source) => summary.processes[source].gaps += 1,
+        Item::Entry(source, block, entry) if (span.0..=span.1).contains(&entry.at) => {
+            summary.add_entry(&mut tally, source, block, entry, filter);
         }
-        Met::Entry(..) => {}
+        Item::Entry(..) => {}
     });
     summary.classes.values_mut().chain(summary.groups.values_mut()).for_each(Service::finish);
     summary.open = tally.open.len() as u64;
-    for (source, told) in &tally.told {
+    for (source, recorded) in &tally.recorded {
         let counted = tally.at_counts.get(source).cloned().unwrap_or_default();
-        for (class, told) in told {
+        for (class, recorded) in recorded {
             let counted = counted.get(class).copied().unwrap_or_default();
-            let less = [0, 1, 2].map(|at| told[at] as i64 - counted[at] as i64);
-            if less != [0; 3] {
-                summary.processes[*source].missing.insert(class.clone(), less);
+            let missing = [0, 1, 2].map(|at| recorded[at] as i64 - counted[at] as i64);
+            if missing != [0; 3] {
+                summary.processes[*source].missing.insert(class.clone(), missing);
             }
         }
     }
@@ -201,7 +206,7 @@
 }
 
 impl Summary {
-    fn take(&mut self, tally: &mut Tally, source: usize, block: &Block, entry: &Entry, only: &Only) {
+    fn add_entry(&mut self, tally: &mut Tally, source: usize, block: &Block, entry: &Entry, filter: &Filter) {
         self.entries += 1;
         let process = &mut self.processes[source];
         if process.from == 0.0 {
@@ -213,16 +218,16 @@
             Record::Taken(taken) => {
                 let class = block.text(taken.class);
                 let group = taken.group.map(|group| block.text(group));
-                if only.has(class, group) {
+                if filter.accepts(class, group) {
                     tally.open.insert((source, taken.query));
-                    self.of(class, group, |service| service.taken += 1);
+                    self.update(class, group, |service| service.taken += 1);
                 }
             }
             Record::Verdict(verdict) => {
                 let class = block.text(verdict.class);
                 let group = verdict.group.map(|group| block.text(group));
                 tally.open.remove(&(source, verdict.query));
-                count(
+                count_end(
                     tally,
                     source,
                     class,
@@ -233,18 +238,18 @@
                         How::Left => None,
                     },
                 );
-                if only.has(class, group) {
+                if filter.accepts(class, group) {
                     if let Some(cause) = verdict.cause {
                         let causes = self.causes.entry(class.into()).or_default();
                         *causes.entry(cause.code().into()).or_default() += 1;
                     }
-                    self.of(class, group, |service| service.end(verdict.how, verdict.took.value()));
+                    self.update(class, group, |service| service.add_end(verdict.how, verdict.took.value()));
                 }
             }
             Record::NotTaken(Some(class)) => {
                 let class = block.text(*class);
-                count(tally, source, class, Some(2));
-                if only.has(class, None) {
+                count_end(tally, source, class, Some(2));
+                if filter.accepts(class, None) {
                     self.classes.entry(class.into()).or_default().not_taken += 1;
                 }
             }
@@ -252,7 +257,7 @@
                 let row = |counts: &crate::record::ClassCounts| {
                     (block.text(counts.class).to_string(), [counts.ok, counts.shed, counts.errors])
                 };
-                tally.told.insert(source, counts.classes.iter().map(row).collect());
+                tally.recorded.insert(source, counts.classes.iter().map(row).collect());
                 tally.at_counts.insert(source, tally.counted.get(&source).cloned().unwrap_or_default());
             }
             Record::Loss(loss) => process.lost += loss.records,
@@ -276,13 +281,13 @@
         }
     }
 
-    fn of(&mut self, class: &str, group: Option<&str>, change: impl Fn(&mut Service)) {
+    fn update(&mut self, class: &str, group: Option<&str>, change: impl Fn(&mut Service)) {
         change(self.classes.entry(class.into()).or_default());
         change(self.groups.entry(group.unwrap_or("-").into()).or_default());
     }
 }
 
-fn count(tally: &mut Tally, source: usize, class: &str, place: Option<usize>) {
+fn count_end(tally: &mut Tally, source: usize, class: &str, place: Option<usize>) {
     if let Some(place) = place {
         tally.counted.entry(source).or_default().entry(class.into()).or_default()[place] += 1;
     }
--- a/crates/trace/src/v1.rs
+++ b/crates/trace/src/v1.rs
@@ -1,19 +1,19 @@
-//! Version 1, which knew no causes: its records as they were, and what they are now.
+//! Format version 1, which had no causes: its record types and their conversion to the current ones.
 //!
-//! Nothing here changes any more. What version 1 did not know is unknown, and never said to be none.
+//! These types are frozen. Information that version 1 did not record is converted to `Unknown`, not to "none".
 
 use serde::Deserialize;
 
 use crate::num::Num;
 use crate::record::{
-    self, Cause, Checkpoint, Choice, Closed, Counts, Event, How, Loss, Name, Taken, Told, Why,
+    self, AppliedSettings, Cause, Checkpoint, Choice, Closed, Counts, Event, How, Loss, Name, Taken, Why,
 };
 use crate::v2::Wire;
 
 #[derive(Deserialize)]
 pub(crate) enum Record {
     Checkpoint(Box<Checkpoint>),
-    Settings(Box<Told>),
+    Settings(Box<AppliedSettings>),
     Step(Step),
     Taken(Taken),
     Verdict(Verdict),
@@ -91,7 +91,7 @@
         use record::Record as Now;
         match old {
             Record::Checkpoint(checkpoint) => Now::Checkpoint(checkpoint),
-            Record::Settings(told) => Now::Settings(told),
+            Record::Settings(settings) => Now::Settings(settings),
             Record::Step(Step { events, actions }) => {
                 Now::Step(record::Step { events, actions: actions.into_iter().map(Into::into).collect() })
             }
--- a/crates/trace/src/v2.rs
+++ b/crates/trace/src/v2.rs
@@ -1,14 +1,18 @@
-//! Version 2, which stored steps event by event and the bytes of attempts in two records each. Nothing here changes
-//! any more.
+//! Format version 2, which stored steps without grouping and the progress of each attempt in two records: its record
+//! types and their conversion to the current ones.
+//!
+//! These types are frozen.
 
 use serde::Deserialize;
 
-use crate::record::{self, Action, Checkpoint, Closed, Counts, Event, Loss, Name, Taken, Told, Verdict};
+use crate::record::{
+    self, Action, AppliedSettings, Checkpoint, Closed, Counts, Event, Loss, Name, Taken, Verdict,
+};
 
 #[derive(Deserialize)]
 pub(crate) enum Record {
     Checkpoint(Box<Checkpoint>),
-    Settings(Box<Told>),
+    Settings(Box<AppliedSettings>),
     Step(Step),
     Taken(Taken),
     Verdict(Verdict),
@@ -57,7 +61,7 @@
         use record::Record as Now;
         match old {
             Record::Checkpoint(checkpoint) => Now::Checkpoint(checkpoint),
-            Record::Settings(told) => Now::Settings(told),
+            Record::Settings(settings) => Now::Settings(settings),
             Record::Step(Step { events, actions }) => Now::Step(record::Step { events, actions }),
             Record::Taken(taken) => Now::Taken(taken),
             Record::Verdict(verdict) => Now::Verdict(verdict),
--- a/crates/trace/tests/format.rs
+++ b/crates/trace/tests/format.rs
@@ -1,4 +1,5 @@
-//! The format under damage: never a panic, never a wrong entry, every sound block read.
+//! The trace format: reading back, damaged files and older versions. Reading a damaged file must not panic or return
+//! wrong entries, and must return every intact block.
 
 mod common;
 
@@ -14,7 +15,7 @@
     Reader::open(Cursor::new(bytes))
 }
 
-/// The blocks that can be read, by the times of their first entries.
+/// Returns the blocks that can be read, in the order of the file.
 fn blocks(bytes: &[u8]) -> Vec<Block> {
     let Ok(mut reader) = open(bytes) else { return Vec::new() };
     (0..reader.blocks().len()).filter_map(|no| reader.block(no).ok()).collect()
@@ -29,13 +30,15 @@
     assert_eq!(reader.header().unwrap().sources[0].aggregator, "n0");
     assert_eq!(reader.blocks().len(), 3);
     assert_eq!(reader.blocks()[1].first, BEGIN + 250.0);
-    // A name that is part of another one is another name.
-    assert_eq!(reader.called("9b1f03aa").unwrap(), [(0, 1)]);
-    assert_eq!(reader.called("9b1f03aa5c7e2d41").unwrap(), [(0, 2)]);
-    assert_eq!(reader.called("9b1f").unwrap(), []);
-    assert_eq!(reader.about(0, 1).unwrap(), 0..1);
-    assert_eq!(reader.about(0, 2).unwrap(), 1..3, "a query over two blocks");
-    assert!(reader.about(0, 3).unwrap().is_empty() && reader.about(1, 1).unwrap().is_empty());
+    // A lookup matches the whole client id, not a prefix.
+    assert_eq!(reader.queries_by_client_id("9b1f03aa").unwrap(), [(0, 1)]);
+    assert_eq!(reader.queries_by_client_id("9b1f03aa5c7e2d41").unwrap(), [(0, 2)]);
+    assert_eq!(reader.queries_by_client_id("9b1f").unwrap(), []);
+    assert_eq!(reader.blocks_of_query(0, 1).unwrap(), 0..1);
+    assert_eq!(reader.blocks_of_query(0, 2).unwrap(), 1..3, "the query spans two blocks");
+    assert!(
+        reader.blocks_of_query(0, 3).unwrap().is_empty() && reader.blocks_of_query(1, 1).unwrap().is_empty()
+    );
     let last = reader.block(2).unwrap();
     assert_eq!(last.entries.last().unwrap().at, BEGIN + 283.0);
     let Record::Verdict(verdict) = &last.entries.last().unwrap().record else { panic!("{last:?}") };
@@ -43,18 +46,18 @@
 }
 
 #[test]
-fn without_its_index_it_is_read_all_the_same() {
+fn a_trace_without_an_index_is_readable() {
     let whole = blocks(&trace("n0", true));
     let bytes = trace("n0", false);
     assert_eq!(blocks(&bytes), whole);
     let mut reader = open(&bytes).unwrap();
     assert!(!reader.is_complete());
-    assert_eq!(reader.called("9b1f03aa").unwrap(), [(0, 1)]);
-    assert_eq!(reader.about(0, 2).unwrap(), 0..3, "no index says less");
+    assert_eq!(reader.queries_by_client_id("9b1f03aa").unwrap(), [(0, 1)]);
+    assert_eq!(reader.blocks_of_query(0, 2).unwrap(), 0..3, "without an index all blocks are candidates");
 }
 
 #[test]
-fn cut_short_at_any_byte_it_is_read_up_to_the_last_sound_block() {
+fn a_truncated_trace_is_read_up_to_the_last_intact_block() {
     let bytes = trace("n0", true);
     let whole = blocks(&bytes);
     let ends: Vec<usize> = open(&bytes)
@@ -65,13 +68,13 @@
         .collect();
     for length in 0..bytes.len() {
         let read = blocks(&bytes[..length]);
-        let sound = ends.iter().filter(|end| **end <= length).count();
-        assert_eq!(read, whole[..sound], "cut at {length}");
+        let intact = ends.iter().filter(|end| **end <= length).count();
+        assert_eq!(read, whole[..intact], "truncated at {length}");
     }
 }
 
 #[test]
-fn a_flipped_bit_costs_no_more_than_its_block() {
+fn a_flipped_bit_loses_only_its_block() {
     let bytes = trace("n0", true);
     let whole = blocks(&bytes);
     let places: Vec<(usize, usize)> = open(&bytes)
@@ -82,36 +85,36 @@
         .collect();
     let mut random = fastrand::Rng::with_seed(3);
     for _ in 0..2000 {
-        let mut spoilt = bytes.clone();
-        let at = random.usize(..spoilt.len());
-        spoilt[at] ^= 1 << random.u8(..8);
-        let read = blocks(&spoilt);
-        let hit = places.iter().position(|(from, to)| (*from..*to).contains(&at));
+        let mut corrupt = bytes.clone();
+        let at = random.usize(..corrupt.len());
+        corrupt[at] ^= 1 << random.u8(..8);
+        let read = blocks(&corrupt);
+        let damaged = places.iter().position(|(from, to)| (*from..*to).contains(&at));
         let expected: Vec<_> = whole
             .iter()
             .enumerate()
-            .filter(|(no, _)| Some(*no) != hit)
+            .filter(|(no, _)| Some(*no) != damaged)
             .map(|(_, block)| block.clone())
             .collect();
-        // A version that is not known cannot be told from one that is to come: such a file is turned down whole.
-        if !matches!(open(&spoilt), Err(Error::Version(_))) {
-            assert_eq!(read, expected, "a flip at {at}");
+        // A corrupt version number looks like a future version, so such a file is rejected as a whole.
+        if !matches!(open(&corrupt), Err(Error::Version(_))) {
+            assert_eq!(read, expected, "bit flipped at {at}");
         }
     }
 }
 
 #[test]
-fn many_flips_and_noise_never_make_an_entry() {
+fn corruption_and_noise_never_produce_wrong_entries() {
     let bytes = trace("n0", true);
     let whole = blocks(&bytes);
     let mut random = fastrand::Rng::with_seed(5);
     for round in 0..500 {
-        let mut spoilt = bytes.clone();
+        let mut corrupt = bytes.clone();
         for _ in 0..random.usize(1..20) {
-            let at = random.usize(..spoilt.len());
-            spoilt[at] = random.u8(..);
+            let at = random.usize(..corrupt.len());
+            corrupt[at] = random.u8(..);
         }
-        for block in blocks(&spoilt) {
+        for block in blocks(&corrupt) {
             assert!(whole.contains(&block), "round {round}");
         }
         let noise: Vec<u8> = (0..random.usize(..400)).map(|_| random.u8(..)).collect();
@@ -119,7 +122,7 @@
     }
 }
 
-/// What a version before the second one knows of these records.
+/// Returns the entries of a block as version 1 records them, without reasons and causes.
 fn without_causes(block: &Block) -> Vec<Entry> {
     let mut entries = block.entries.clone();
     for entry in &mut entries {
@@ -150,12 +153,12 @@
     assert!(first.iter().all(|block| block.version == 1));
     let expected: Vec<_> = now.iter().map(without_causes).collect();
     assert_eq!(entries(&first), expected);
-    // What it did not know is unknown, not absent.
+    // A cause that version 1 did not record is `Unknown`, not `None`.
     let Record::Verdict(refused) = &first[2].entries.last().unwrap().record else { panic!("{first:?}") };
     assert_eq!(refused.cause, Some(Cause::Unknown));
 }
 
-/// Writes the golden file of a version that is new; it is never written again.
+/// Writes the golden file of a new version. Existing golden files must never be rewritten.
 #[test]
 #[ignore = "writes a file"]
 fn write_golden() {
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -7,10 +7,10 @@
 
 use clap::{Args, Subcommand};
 use ironpaddle_trace::block::Block;
-use ironpaddle_trace::edit::{self, Pick, Pseudonyms};
+use ironpaddle_trace::edit::{self, Pseudonyms, Selection};
 use ironpaddle_trace::record::{self, Entry, Record};
-use ironpaddle_trace::set::{Met, Set};
-use ironpaddle_trace::summary::{self, Only, Service, Summary};
+use ironpaddle_trace::set::{Item, Set};
+use ironpaddle_trace::summary::{self, Filter, Service, Summary};
 use ironpaddle_trace::{story, Error, VERSION};
 use serde::Serialize;
 use serde_json::json;
@@ -169,9 +169,9 @@
 }
 
 impl Which {
-    fn pick(&self) -> Pick {
-        Pick {
-            only: Only { class: self.class.clone(), group: self.group.clone() },
+    fn pick(&self) -> Selection {
+        Selection {
+            filter: Filter { class: self.class.clone(), group: self.group.clone() },
             query: self.query.clone(),
             run_store: self.run_store.clone(),
         }
@@ -244,7 +244,7 @@
         Command::Summary { paths, span, class, group, json } => {
             let mut set = open(&paths)?;
             let span = span.read(&set)?;
-            let summary = summary::summarise(&mut set, span, &Only { class, group });
+            let summary = summary::summarise(&mut set, span, &Filter { class, group });
             let found = troubled(&set);
             if json {
                 print_json(&summary)?;
@@ -350,7 +350,7 @@
             set.troubles
                 .push((segment.path.clone(), format!("{bad} damaged blocks, index sound: {index:?}")));
         }
-        let sum = |of: fn(&ironpaddle_trace::index::BlockAt) -> u64| blocks.iter().map(of).sum::<u64>();
+        let sum = |of: fn(&ironpaddle_trace::index::BlockLocation) -> u64| blocks.iter().map(of).sum::<u64>();
         let sources: Vec<_> = header
             .sources
             .iter()
@@ -423,14 +423,15 @@
 fn cat(paths: &[PathBuf], which: &Which, all: bool, json: bool) -> Result<Found, String> {
     let mut set = open(paths)?;
     let (span, pick) = (which.span.read(&set)?, which.pick());
-    let picked = if pick.is_all() { None } else { Some(edit::picked(&mut set, span, &pick).map_err(text)?) };
+    let picked =
+        if pick.is_all() { None } else { Some(edit::select_queries(&mut set, span, &pick).map_err(text)?) };
     let names: Vec<String> = set.sources.iter().map(|source| source.aggregator.clone()).collect();
     let mut out = BufWriter::new(io::stdout().lock());
     let mut failed = None;
     let mut print = |source: usize, block: &Block, entry: &Entry| -> io::Result<()> {
         let kept = match &picked {
             None => Some(entry.record.clone()),
-            Some(picked) => edit::only_of(&entry.record, &|query| picked.contains(&(source, query))),
+            Some(picked) => edit::restrict(&entry.record, &|query| picked.contains(&(source, query))),
         };
         let Some(record) = kept.filter(|record| all || !is_empty(record)) else { return Ok(()) };
         let value = record::with_names(&block.names, || serde_json::to_value(&record))?;
@@ -443,7 +444,7 @@
         }
     };
     set.each(span, |met| {
-        if let (Met::Entry(source, block, entry), None) = (met, &failed) {
+        if let (Item::Entry(source, block, entry), None) = (met, &failed) {
             if (span.0..=span.1).contains(&entry.at) {
                 failed = print(source, block, entry).err();
             }
@@ -518,10 +519,10 @@
     let began = std::time::Instant::now();
     let span = set.span().unwrap_or_default();
     set.blockwise((f64::NEG_INFINITY, f64::INFINITY), |met| match met {
-        Met::Entry(source, block, entry) => {
+        Item::Entry(source, block, entry) => {
             replays[source].take(block, entry);
         }
-        Met::Gap(source) => replays[source].gap(),
+        Item::Gap(source) => replays[source].gap(),
     });
     let took = began.elapsed().as_secs_f64();
     let reports: Vec<Report> = replays.into_iter().map(Replay::report).collect();
@@ -587,7 +588,7 @@
     }
     let mut stories = Vec::new();
     for (source, query) in found {
-        stories.push(story::tell(&mut set, source, query).map_err(text)?);
+        stories.push(story::collect(&mut set, source, query).map_err(text)?);
     }
     if json {
         print_json(&stories)?;
