--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -40,7 +40,12 @@
         let aim = self.classes.get(class).class.aim;
         let half_life = aim * ADVICE_HALF_LIFE_AIMS;
         self.advice.record(true, now, half_life);
-        self.advice.retry_after(aim, self.settings.max_retry_after, (now, half_life), draw(&mut self.random_state))
+        self.advice.retry_after(
+            aim,
+            self.settings.max_retry_after,
+            (now, half_life),
+            draw(&mut self.random_state),
+        )
     }
 
     /// Records that a query was admitted, for the retry advice.
--- a/src/core/relay.rs
+++ b/src/core/relay.rs
@@ -43,8 +43,8 @@
     /// Records the end of a probe, by its response or by its timeout. Only the first end counts.
     pub fn probe_ended(&mut self, no: CallNo, ok: bool, load: Option<LoadReport>) {
         if let Some(run_store) = self.ledger.probes.remove(&no) {
-            let load =
-                load.filter(|_| self.clock.is_none_or(|now| self.start_times.is_warmth_known(&run_store, now)));
+            let load = load
+                .filter(|_| self.clock.is_none_or(|now| self.start_times.is_warmth_known(&run_store, now)));
             self.pending_events.push(Event::ProbeEnded { replica: run_store, ok, load });
         }
     }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -500,7 +500,12 @@
                     replica.parked_at,
                     replica.connection_idle,
                 ) = (now, now, None, None);
-                replica.failure_rates[flight.class].record(0.0, FAILURE_SAMPLE_WEIGHT, now, failure_half_life);
+                replica.failure_rates[flight.class].record(
+                    0.0,
+                    FAILURE_SAMPLE_WEIGHT,
+                    now,
+                    failure_half_life,
+                );
                 sample_latency = self.lag.stall_ended < now;
             }
             // A connection that was dropped while idle says nothing about the replica.
@@ -1162,7 +1167,8 @@
             // Silence on a connection that was idle is blamed on the path, not on the replica, only if resets
             // have shown that idle connections are dropped there.
             let was_idle = flight.cancelled.is_none() && flight.connection_idle.is_some();
-            let dropped = was_idle && self.measures.idle_drops.drops_detected(self.now, self.record_half_life);
+            let dropped =
+                was_idle && self.measures.idle_drops.drops_detected(self.now, self.record_half_life);
             let is_parked = !dropped && self.park(replica_no, false);
             if may_retry && (dropped || (is_parked && !no_retries && self.measures.retry_budget.allows())) {
                 let reason = if dropped { AttemptReason::Dropped } else { AttemptReason::Silent };
--- a/src/decide/indexes.rs
+++ b/src/decide/indexes.rs
@@ -61,7 +61,8 @@
         };
         let (replica_index, difference) = (
             self.build_replica_index(),
-            self.query_index.difference(&self.build_query_index(|_| true), &self.build_query_index(is_silent)),
+            self.query_index
+                .difference(&self.build_query_index(|_| true), &self.build_query_index(is_silent)),
         );
         match difference {
             _ if !self.indexed => Ok(()),
@@ -101,7 +102,11 @@
     /// Updates the query index after the completed share of a query has changed.
     pub(super) fn update_enough(&mut self, number: u64) {
         if let Some(query) = self.queries.get(&number) {
-            self.query_index.set_answerable(query.class, self.check_times(number, query), self.has_enough(query));
+            self.query_index.set_answerable(
+                query.class,
+                self.check_times(number, query),
+                self.has_enough(query),
+            );
         }
     }
 
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -95,7 +95,11 @@
 }
 
 impl Handler for OpenSearch {
-    fn handle(&self, arrived: ReceivedRequest, earlier_deadline: Receiver<Instant>) -> LocalBoxFuture<Response> {
+    fn handle(
+        &self,
+        arrived: ReceivedRequest,
+        earlier_deadline: Receiver<Instant>,
+    ) -> LocalBoxFuture<Response> {
         let request = &arrived.message;
         let opaque_id = request.headers.get("x-opaque-id").map(str::to_string);
         let response = match (request.start.0.as_str(), request.start.1.as_str()) {
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -105,7 +105,11 @@
 }
 
 impl Handler for Platform {
-    fn handle(&self, request: ReceivedRequest, earlier_deadline: Receiver<Instant>) -> LocalBoxFuture<Response> {
+    fn handle(
+        &self,
+        request: ReceivedRequest,
+        earlier_deadline: Receiver<Instant>,
+    ) -> LocalBoxFuture<Response> {
         let start = &request.message.start;
         let path = path_of(&request.message);
         let response = match (start.0.as_str(), path) {
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -13,7 +13,7 @@
 use crate::handover::{Message, PeerSender};
 use crate::http::client_gate::ClientGate;
 use crate::http::inbox::ReceivedRequest;
-use crate::http::parse::{self, Bad};
+use crate::http::parse::{self, MessageError};
 use crate::http::server::{Handler, Limits, LocalBoxFuture, RefusalReason, Server};
 use crate::http::target::Target;
 use crate::http::write::Response;
@@ -42,11 +42,11 @@
     /// Accepts and answers calls on `listener`.
     pub async fn serve(self, executor: Rc<LocalExecutor<'static>>, listener: TcpListener) {
         let limits = Limits {
-            connections: MAX_CONNECTIONS,
-            idle: CALL_TIMEOUT,
-            request: CALL_TIMEOUT,
-            write: CALL_TIMEOUT,
-            keep: false,
+            max_connections: MAX_CONNECTIONS,
+            idle_timeout: CALL_TIMEOUT,
+            request_timeout: CALL_TIMEOUT,
+            write_timeout: CALL_TIMEOUT,
+            keep_alive: false,
         };
         let server = Server::new("operator", executor, Box::new(self), limits, Rc::default());
         server.accept(listener).await;
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -75,7 +75,8 @@
     // Planned shutdown: go on accepting for a while, answer everything, then exit.
     log::line("draining");
     program.client_gate.shut_down();
-    let time_left = duration_from_millis(program.driver.longest_deadline()).min(MAX_COUNTED_DEADLINE) + EXIT_GRACE;
+    let time_left =
+        duration_from_millis(program.driver.longest_deadline()).min(MAX_COUNTED_DEADLINE) + EXIT_GRACE;
     let end = Instant::now() + time_left;
     // Every query, open or still to come, gets its answer before the time for the final writes begins.
     program.driver.exit_within(time_left - FINAL_WRITE_TIME);
