--- a/src/trace/convert.rs
+++ b/src/trace/convert.rs
@@ -61,7 +61,7 @@
     }
 }
 
-fn reason_out(reason: AttemptReason) -> record::Why {
+pub(super) fn reason_out(reason: AttemptReason) -> record::Why {
     match reason {
         AttemptReason::First => record::Why::First,
         AttemptReason::After(outcome) => record::Why::After(outcome_out(outcome)),
@@ -72,6 +72,14 @@
     }
 }
 
+pub(super) fn choice_out(choice: ReplicaChoice) -> record::Choice {
+    match choice {
+        ReplicaChoice::LeastFinish => record::Choice::Least,
+        ReplicaChoice::OnlyCandidate => record::Choice::Only,
+        ReplicaChoice::BestParked => record::Choice::BestParked,
+    }
+}
+
 /// A cause as a record.
 pub fn cause_out(cause: Cause) -> record::Cause {
     match cause {
@@ -253,12 +261,7 @@
         Action::Send { part, replica, timeout, reason, choice } => {
             let (query, shard) = place(part);
             let run_store = batch.name(Kind::RunStore, &replica.0);
-            let choice = match choice {
-                ReplicaChoice::LeastFinish => record::Choice::Least,
-                ReplicaChoice::OnlyCandidate => record::Choice::Only,
-                ReplicaChoice::BestParked => record::Choice::BestParked,
-            };
-            let (timeout, why) = (Num::of(*timeout), reason_out(*reason));
+            let (timeout, why, choice) = (Num::of(*timeout), reason_out(*reason), choice_out(*choice));
             record::Action::Send { query, shard, run_store, timeout, why, choice }
         }
         Action::Cancel { part, attempt, reason } => {
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -4,6 +4,7 @@
 //! module reads no clock and draws chance from its state, it has to say the same to the bit.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
 use ironpaddle_trace::block::{Batch, Block};
 use ironpaddle_trace::record::{self, Entry, Record, Step, Told};
@@ -159,7 +160,7 @@
                 let words = format!("{:?}", bare(action));
                 text(action).map_or(words.clone(), |name| format!("{words} at {name}"))
             };
-            let now = actions.get(place).map(|action| format!("{action:?}"));
+            let now = actions.get(place).map(|action| format!("{:?}", InTraceTerms(action)));
             let found = Difference { at, query, recorded: recorded.map(show), now };
             self.report.difference.get_or_insert(found);
         }
@@ -202,6 +203,31 @@
     action
 }
 
+/// Formats an action with the names that the trace format has for its fields and values.
+struct InTraceTerms<'a>(&'a Action);
+
+impl fmt::Debug for InTraceTerms<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Action::Send { part, replica, timeout, reason, choice } => f
+                .debug_struct("Send")
+                .field("part", part)
+                .field("replica", replica)
+                .field("timeout", timeout)
+                .field("why", &convert::reason_out(*reason))
+                .field("choice", &convert::choice_out(*choice))
+                .finish(),
+            Action::Cancel { part, attempt, reason } => f
+                .debug_struct("Cancel")
+                .field("part", part)
+                .field("attempt", attempt)
+                .field("why", &convert::reason_out(*reason))
+                .finish(),
+            other => fmt::Debug::fmt(other, f),
+        }
+    }
+}
+
 /// The end that an action gives a query.
 fn end_of(action: &record::Action) -> Option<(u64, String)> {
     match action {
