--- a/src/lib.rs
+++ b/src/lib.rs
@@ -40,7 +40,6 @@
 pub mod repeats;
 pub mod replica_index;
 pub mod service;
-#[allow(missing_docs)] // Its fields have the names that the settings object gives them.
 pub mod settings;
 pub mod starts;
 pub mod store;
