--- a/tests/common/histories.rs
+++ b/tests/common/histories.rs
@@ -7,6 +7,8 @@
 use ironpaddle::hash::{draw, hash};
 use ironpaddle::Router;
 
+mod encoding;
+
 /// Chance from a seed.
 struct Chance(u64);
 
@@ -60,6 +62,7 @@
     open: BTreeMap<u64, Query>,
     next: u64,
     probed: Vec<ReplicaId>,
+    /// Folded from the seed and the encoded actions of every step.
     digest: u64,
 }
 
@@ -372,7 +375,7 @@
         self.meddle();
         let events = self.events();
         let actions = self.router.step(self.now, events);
-        self.digest = hash(&format!("{} {actions:?}", self.digest));
+        self.digest = hash(&format!("{} {}", self.digest, encoding::encode(&actions)));
         actions.into_iter().for_each(|action| self.carry(action));
     }
 }
