--- a/tests/common/encoding.rs
+++ b/tests/common/encoding.rs
@@ -6,7 +6,9 @@
 
 use std::fmt::Write;
 
-use ironpaddle::api::{Action, Attempt, Cause, Choice, Outcome, PartId, QueryId, ReplicaId, Shard, Why};
+use ironpaddle::api::{
+    Action, Attempt, AttemptReason, Cause, Outcome, PartId, QueryId, ReplicaChoice, ReplicaId, Shard,
+};
 
 /// Encodes actions as decimal numbers separated by spaces: their count, then each action.
 ///
@@ -64,19 +66,19 @@
 
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Send { part, replica, timeout, why, choice } => {
+            Action::Send { part, replica, timeout, reason, choice } => {
                 self.number(0);
                 self.part(part);
                 self.replica(replica);
                 self.float(*timeout);
-                self.why(*why);
+                self.reason(*reason);
                 self.choice(*choice);
             }
-            Action::Cancel { part, attempt, why } => {
+            Action::Cancel { part, attempt, reason } => {
                 self.number(1);
                 self.part(part);
                 self.attempt(*attempt);
-                self.why(*why);
+                self.reason(*reason);
             }
             Action::Answer { query, whole } => {
                 self.number(2);
@@ -115,25 +117,25 @@
         }
     }
 
-    fn why(&mut self, why: Why) {
-        match why {
-            Why::First => self.number(0),
-            Why::After(outcome) => {
+    fn reason(&mut self, reason: AttemptReason) {
+        match reason {
+            AttemptReason::First => self.number(0),
+            AttemptReason::After(outcome) => {
                 self.number(1);
                 self.outcome(outcome);
             }
-            Why::Silent => self.number(2),
-            Why::Overtaken => self.number(3),
-            Why::Dropped => self.number(4),
-            Why::Over => self.number(5),
+            AttemptReason::Silent => self.number(2),
+            AttemptReason::Overtaken => self.number(3),
+            AttemptReason::Dropped => self.number(4),
+            AttemptReason::Over => self.number(5),
         }
     }
 
-    fn choice(&mut self, choice: Choice) {
+    fn choice(&mut self, choice: ReplicaChoice) {
         self.number(match choice {
-            Choice::Least => 0,
-            Choice::Only => 1,
-            Choice::BestParked => 2,
+            ReplicaChoice::LeastFinish => 0,
+            ReplicaChoice::OnlyCandidate => 1,
+            ReplicaChoice::BestParked => 2,
         });
     }
 
