--- a/src/api.rs
+++ b/src/api.rs
@@ -399,17 +399,17 @@
 /// Why a query was refused or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Cause {
-    /// No run store is listed, because no list has arrived yet or all run stores are gone.
+    /// No replica is listed, because no list has arrived yet or all replicas are gone.
     NoList,
-    /// No listed run store holds this shard.
+    /// No listed replica holds this shard.
     NoHolder(Shard),
-    /// All run stores that hold this shard are draining, by discovery or by an operator.
+    /// All replicas that hold this shard are draining, by discovery or by an operator.
     Drained(Shard),
-    /// All run stores that hold this shard are parked because they stopped answering.
+    /// All replicas that hold this shard are parked because they stopped answering.
     AllParked(Shard),
-    /// The run stores are overloaded and the query exceeds its tenant's quota.
+    /// The replicas are overloaded and the query exceeds its tenant's quota.
     BeyondShare,
-    /// The run stores are overloaded and the answer is predicted to be too late.
+    /// The replicas are overloaded and the answer is predicted to be too late.
     PredictedLate,
     /// Too few parts had completed when the query's time ran out.
     TimeUp,
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -47,8 +47,8 @@
 /// replicas work through their queues roughly in order.
 const LOST_WHEN_OVERTAKEN_BY: u32 = 4;
 /// Share of the replicas that fail at the same time above which a shared cause is assumed. Replicas that are
-/// only suspected are then not parked, as that would pile up load on the rest. If so many look dead, a query
-/// may have crashed them.
+/// only suspected are then not parked, as that would pile up load on the rest. If more than this share look
+/// dead, a query may have crashed them.
 const SHARED_CAUSE_SHARE: f64 = 0.25;
 /// Weight of a new sample in exponential moving averages over parts: about the last 15 parts count.
 const PART_SAMPLE_WEIGHT: f64 = 0.06;
--- a/src/decide/state.rs
+++ b/src/decide/state.rs
@@ -205,7 +205,7 @@
     /// The retry budget that this router earns by its parts.
     #[serde(rename = "further")]
     pub(super) retry_budget: RetryBudget,
-    /// The share of queries refused lately, from which retry-after advice follows.
+    /// The share of recent queries that were refused, from which retry-after advice follows.
     #[serde(rename = "advice")]
     pub(super) retry_advice: RetryAdvice,
     /// The usage of the configured limit on retries.
