--- a/src/advice.rs
+++ b/src/advice.rs
@@ -1,9 +1,9 @@
-//! How long a client that is refused is told to stay away.
+//! How long a refused client is advised to wait before it tries again.
 //!
-//! Of those that come back, as many are refused again as now, if nothing has changed meanwhile: with a share `s` refused,
-//! one gets through after `1 / (1 - s)` tries on average. Each wait is made so much longer, so that repeats
-//! of refused queries are no more than the fleet can take, and it is scattered, so that those refused together do not come
-//! back together.
+//! If the load stays the same, the same share of the returning clients is refused again: with a share `s`
+//! refused, a client gets through after `1 / (1 - s)` tries on average. Each wait is longer by that factor,
+//! so that retries of refused queries do not exceed what the fleet can take. Waits are jittered, so that
+//! clients refused together do not return together.
 
 use serde::{Deserialize, Serialize};
 
@@ -28,8 +28,8 @@
         self.0.note(f64::from(u8::from(refused)), STEP, now, half);
     }
 
-    /// How long to stay away, for a class of some aim, where clients heed no longer waits than `most`; chance is from 0
-    /// to 1.
+    /// Returns how long a client of a class with this aim should wait, where clients observe no waits longer
+    /// than `most`; `chance` is from 0 to 1.
     pub fn wait(self, aim: Millis, most: Millis, (now, half): (Millis, Millis), chance: f64) -> Millis {
         let refused = self.0.at(now, half).min(MOST_REFUSED);
         let wait = aim * OF_AIM / (1.0 - refused);
--- a/src/asking.rs
+++ b/src/asking.rs
@@ -5,8 +5,8 @@
 
 use crate::api::Millis;
 
-/// Routers up to which one waits after a failure as if it were alone. Of more, each waits longer in proportion,
-/// so that all together ask no more often than so many.
+/// Number of routers up to which each waits after a failure as if it were alone. With more routers each waits
+/// longer in proportion, so that all together ask no more often than this many.
 const FEW: f64 = 4.0;
 /// Half the first wait after a failure, of the aim, and how often it doubles with failures in a row.
 const WAIT_OF_AIM: f64 = 0.25;
@@ -14,26 +14,26 @@
 /// Aims after which a call has failed.
 const PATIENCE: f64 = 8.0;
 
-/// A change of the list counts as told so long after the service had it and could be reached, whether or not it has
-/// come: whatever becomes of calls and watches, the next list is here by then.
+/// Time after which a change of the list counts as known, from when the service had it and could be reached,
+/// whether or not it has arrived: even if calls or watches fail, the next list arrives within it.
 pub const TOLD_WITHIN: Millis = 6000.0;
-/// How long a call may take that does not wait for news, from its connecting on. The service works through calls in
-/// turn, and fails itself what has waited for so long. One for the whole list is then made once more, on another
-/// connection, while the first goes on for as long again: a service may be slow.
+/// Timeout of a call that does not wait for news, connecting included. The service works through calls in
+/// turn and itself fails those that have waited this long. A call for the whole list is then repeated on
+/// another connection, while the first one goes on for as long again, as the service may only be slow.
 pub const CALL: Millis = 2000.0;
-/// The longest pause after a call that failed: one may have begun just before the service could be reached again, and
-/// one more has to be over in time after it.
+/// The longest pause after a failed call: a call may have begun just before the service could be reached
+/// again, and one more must end in time after it.
 pub const LONGEST_PAUSE: Millis = TOLD_WITHIN - 2.0 * CALL;
-/// How much later than the end of its wait the answer of a watch may come before the watch counts as silent: what the
-/// service has to do at once for all.
+/// How long after the end of its wait the answer of a watch may come before the watch counts as silent: the
+/// time that the service may need to answer the watches of all routers at once.
 pub const SILENT_AFTER: Millis = 750.0;
 /// The time over which routers scatter the calls by which they open silent watches anew.
 const REOPENED_OVER: Millis = 250.0;
-/// How long a watch asks the service to wait for news. A change that a silent watch missed is here in time by the
-/// call that opens it anew.
+/// How long a watch asks the service to wait for news. A change that a silent watch missed arrives in time
+/// with the call that reopens it.
 pub const WAIT: Millis = TOLD_WITHIN - SILENT_AFTER - REOPENED_OVER - CALL;
-/// How soon a watch on pushed lists is begun again after it broke: a watch goes on as long as its next call comes
-/// within 200 ms of the last answer, and half of that is left for the call's own way.
+/// Pause before a broken watch on pushed lists is started again. A watch continues if its next call arrives
+/// within 200 ms of the last answer; half of that is left for the call's transit.
 const AGAIN: Millis = 100.0;
 
 /// The asking of one router. It is asked for whenever it is not on.
@@ -53,9 +53,9 @@
         self.failures = 0;
     }
 
-    /// A call failed, of one of so many routers that are to ask within some time. Waits grow with the shortest aim of
-    /// queries and from failure to failure, up to the longest that still tells in time, and are scattered by chance (0
-    /// to 1).
+    /// Records that a call failed, for one of `routers` routers, each of which must ask at least once in
+    /// `within`. The wait grows with the shortest aim of queries and with each failure, up to the longest
+    /// after which the list still arrives in time, and is jittered by `chance` (0 to 1).
     pub fn failed(&mut self, now: Millis, aim: Millis, (within, routers): (Millis, u32), chance: f64) {
         self.on = false;
         self.failures = (self.failures + 1).min(DOUBLINGS);
@@ -74,10 +74,12 @@
     }
 }
 
-/// A watch that is to be begun again soon after it broke, at no wish of the router. Lists that are pushed come to an
-/// agent of one's own, which is watched at all times: what it holds counts as told, and asking costs nobody else
-/// anything. A watch on the service of all routers is opened anew by this only if it fell silent: a call that failed
-/// says that the service has too much to do, but silence says nothing, and all that it hides soon counts as told.
+/// A watch that is restarted soon after it broke, without a request of the router.
+///
+/// Pushed lists arrive at a local agent, which is watched at all times: a change that the agent holds counts
+/// as known, and asking it puts load on nobody else. A watch on the service that all routers share is
+/// reopened here only if it fell silent: a failed call shows that the service is overloaded, but silence
+/// shows nothing, and the changes that it hides soon count as known.
 #[derive(Debug, Clone)]
 pub struct Watching(State);
 
@@ -106,8 +108,9 @@
         self.0 = State::Broken(AGAIN);
     }
 
-    /// The watch on the service has fallen silent, maybe those of all routers at once: all open it anew before what it
-    /// missed counts as told, scattered by chance (0 to 1), as the service works through calls in turn.
+    /// Records that the watch on the service has fallen silent, which may happen to all routers at once. Each
+    /// reopens its watch before the changes that it missed count as known, jittered by `chance` (0 to 1), as
+    /// the service works through calls in turn.
     pub fn silent(&mut self, chance: f64) {
         self.0 = State::Broken(REOPENED_OVER * chance);
     }
--- a/src/cold.rs
+++ b/src/cold.rs
@@ -1,9 +1,10 @@
-//! What one router of a fleet may send to a replica that has just started.
+//! Limits what one router of a fleet may send to a replica that has just started.
 //!
-//! A cold replica bears so much from all routers together, and they share nothing. An even share each leaves most of
-//! it unused: a router that seldom has a part for the replica saves up no more than one, and a busy one has used up its
-//! share. So each takes the share that it has of the fleet's traffic, as far as replicas report what they serve: then
-//! all shares still add up to one, and each router can use its own.
+//! A cold replica can take a limited load from all routers together, and the routers share no state. Equal
+//! shares would leave most of the limit unused: a router that seldom has a part for the replica saves up no
+//! more than one, while a busy router has used up its share. So each router takes its share of the fleet's
+//! traffic, as far as replicas report what they serve: all shares still add up to one, and each router can
+//! use its own.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +18,7 @@
 /// Share of the most that a cold replica bears which is aimed at: the rest is for chance.
 const AIMED: f64 = 0.5;
 
-/// The most times sooner that any report can tell: one of a replica that has hardly begun tells next to nothing.
+/// Upper bound of the pace that reports can show: a replica that has hardly begun shows next to nothing.
 const MOST_PACE: f64 = 1000.0;
 /// Queries of a router for which it keeps a call that it may send to a cold replica.
 const KEPT_FOR: f64 = 2.0;
@@ -44,7 +45,8 @@
 }
 
 impl Traffic {
-    /// Takes in what replicas reported last. Counts fade over the time in which a replica gets warm at the latest.
+    /// Takes in the last reports of the replicas. Counts decay over the longest time that a replica takes to
+    /// warm up.
     pub fn told(&mut self, now: Millis, rule: Option<ColdRule>, reports: &Reports) {
         let Some(rule) = rule else { return };
         let span = rule.warm_within.max(1.0);
@@ -86,8 +88,8 @@
         }
     }
 
-    /// The share of this router, of so many, in the fleet's traffic. That each has an even one counts for as much
-    /// as a query of each: one query tells little.
+    /// Returns this router's share of the fleet's traffic, of `routers` routers. The assumption of equal
+    /// shares weighs as much as one query of each router, as a single query says little.
     fn share(&self, routers: f64) -> f64 {
         let guess = self.clump.unwrap_or(1.0).max(1.0);
         ((self.own + guess) / (self.fleet + guess * routers)).min(1.0)
@@ -116,8 +118,8 @@
 }
 
 impl Reports {
-    /// A replica's report, with how much of the time in which it gets warm at the latest had passed then, if it ever
-    /// started.
+    /// Adds a replica's report. `age` is the time since the replica's start as a fraction of the longest
+    /// warm-up time, if a start is known.
     pub fn add(&mut self, load: LoadReport, age: Option<f64>) {
         self.all += 1;
         self.count(load, age, Exact::add, |tell| tell + 1);
@@ -151,9 +153,11 @@
 }
 
 impl Sums {
-    /// How many times sooner than at the latest these get warm, at least. A busy share of one that is cold serves that
-    /// share of its capacity, which begins at `from`, so that together they serve as much as their shares times
-    /// `from + (1 - from) * pace * age`. What they serve in a second is a count, of which chance may have made some.
+    /// Returns a lower bound of how many times faster than the longest warm-up time these replicas get warm.
+    ///
+    /// A cold replica that is busy for a share of its time serves that share of its present capacity, which
+    /// begins at `from`. So together they serve their busy shares times `from + (1 - from) * pace * age`.
+    /// What they serve in a second is a count, which may be too high by chance.
     fn pace(&self, from: f64, capacity: f64) -> f64 {
         let served = self.served.value();
         let sure = served / 1000.0 * (1.0 - CHANCE / served.max(1.0).sqrt());
@@ -168,13 +172,15 @@
     }
 }
 
-/// Room for work at a replica that started at some time, and the most there can be; `None` if it is warm. `left` is
-/// what there was at some time, and `best` what a sound replica does with one part, in cost units a millisecond.
+/// Returns the room for work at a replica that started at `started`, and its upper bound; `None` if the
+/// replica is warm. `left` is the room that there was and when, and `best` the rate of a healthy replica at
+/// one part, in cost units a millisecond.
 ///
-/// The share comes in evenly, from a start drawn by chance: few of many routers send at once, and none waits long. What
-/// is not used is lost after a while: all routers' shares of so much time, and what they do meanwhile, are no more
-/// than the replica bears in its window, however suddenly all have work for it. Only where queries are so seldom that
-/// most would be lost is that time the one in which two come.
+/// The router's share accrues evenly, from a start drawn at random, so that few of many routers send at once
+/// and none waits long. Unused room is lost after a time: the shares that all routers save up in it, and what
+/// they send meanwhile, are no more than the replica can take in its window, however suddenly all have work
+/// for it. Only where queries are so rare that most room would be lost, that time is the one in which two
+/// queries come.
 pub fn room(
     rule: &ColdRule,
     (started, now): (Millis, Millis),
@@ -188,8 +194,8 @@
     }
     let pace = traffic.pace.max(1.0);
     let warmth = rule.from + (1.0 - rule.from) * (age.max(0.0) * pace).min(1.0);
-    // Where reports tell what a replica can do, more than that would only wait there. Else the best one-part rate
-    // stands for it: it holds call overhead and one core only.
+    // Where reports show a replica's capacity, work beyond it would only wait there. Otherwise the best
+    // one-part rate is used for it, which includes call overhead and covers one core only.
     let multiple = rule.multiple;
     let (bears, falls) = traffic.capacity.map_or((multiple * best, multiple * best), |capacity| {
         (capacity * (multiple * AIMED).min(1.0), capacity * multiple)
@@ -197,13 +203,14 @@
     let share = traffic.share(f64::from(routers));
     let since = now - left.1;
     let saved = left.0 + share * bears * warmth * since;
-    // All that came in since counts as much as it would have now, so that more comes in than a share while it warms.
+    // Room that accrued since counts at the present warmth, so that more than a share accrues during warm-up.
     let growth = if age * pace < 1.0 { (1.0 - rule.from) * pace / rule.warm_within.max(1.0) } else { 0.0 };
     let coming = bears * (warmth + growth * since) * rule.window;
-    // What all may have saved up: the budget of a window less what comes in during one, and two calls of what is put
-    // down to chance. The rest of that, twice the budget's root, is left for chance itself, but for one root where a
-    // guess at what one core does leaves nothing else. A router that has a query seldom keeps its call for as long as
-    // it takes for two to come, or most would be lost: what such have out together is bounded by that.
+    // The most that all routers may have saved up: the budget of a window less what accrues during one, plus
+    // two calls out of the margin for chance, which is twice the square root of the budget. The rest of the
+    // margin is left for chance, but for one square root where the estimate from one core leaves nothing
+    // else. A router with rare queries keeps its call for the time in which two of them come, or most calls
+    // would be lost; this also bounds what these routers have out together.
     let budget = falls * warmth * rule.window;
     let saved_by_all = (budget - coming).max(budget.sqrt()) + 2.0;
     let most = share * saved_by_all.max(bears * warmth * traffic.between() * KEPT_FOR);
--- a/src/decide/indexes.rs
+++ b/src/decide/indexes.rs
@@ -43,7 +43,7 @@
         due
     }
 
-    /// Whether all indexes equal a recount of what they are made of, as they do between any two steps; for tests.
+    /// Checks, for tests, that all indexes equal a recount from the state, as they do between any two steps.
     ///
     /// # Errors
     /// Says what differs.
@@ -100,8 +100,9 @@
         }
     }
 
-    /// The queries that anything may be due of now, for what is looked at in steps of some time: those that something has
-    /// happened to, and those of which time alone makes something due. Parts that wait may no longer be sent by now.
+    /// Returns the queries that may need a decision now, where times are examined in steps of `step`: those
+    /// affected by an event, and those for which the passing of time alone makes something due. Queries with
+    /// waiting parts are among them, as these parts may no longer be allowed to go out.
     pub(super) fn due_now(&mut self, step: Millis) -> BTreeSet<u64> {
         let mut due = self.due.take_touched();
         due.extend(self.waiting.iter().map(|(number, ..)| *number));
--- a/src/due.rs
+++ b/src/due.rs
@@ -1,7 +1,7 @@
 //! Which queries are due to be looked at, in order of time, kept as they change: a step looks at no others.
 //!
-//! It decides nothing: a query that is looked at too soon stays as it is. Nothing of it is written down; all of it can be
-//! reckoned anew from queries, parts and flights.
+//! The index decides nothing: a query that is examined too soon stays as it is. It is not serialized, as all
+//! of it can be recomputed from queries, parts and flights.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,8 +16,8 @@
 /// How much sooner than due a query may be looked at, for what sums of times lose.
 const SLACK: Millis = 1.0;
 
-/// When a query is due by time: at the end of its aim or of its client's patience, whichever comes first, and at the
-/// latter.
+/// The times at which a query is due: the earlier of the end of its aim and its client's deadline, and that
+/// deadline.
 #[derive(Debug, Clone, Copy)]
 pub struct Ends {
     /// The query.
@@ -178,8 +178,8 @@
         sent.map(|(_, (number, _))| *number)
     }
 
-    /// What differs from a recount, but for what was touched and parts out whose replica has answered since: these are
-    /// there in `all`, and not in `silent`.
+    /// Returns what differs from a recount. Touched queries are left out, and so are parts out whose replica
+    /// has answered since: `all` holds these, `silent` does not.
     pub fn differs(&self, all: &Due, silent: &Due) -> Option<String> {
         let bare = |due: &Due| {
             let class = |class: &Class| Class { out: BTreeSet::new(), ..class.clone() };
--- a/src/exact.rs
+++ b/src/exact.rs
@@ -1,4 +1,5 @@
-//! Sums that are kept as their terms come and go: what is taken out leaves no trace, and no order of terms shows.
+//! Sums that are updated as terms are added and removed: a removed term leaves no rounding error, and the
+//! order of terms makes no difference.
 
 use std::cmp::Ordering;
 
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,7 +1,7 @@
 //! Numbers that scatter: for orders among equals, and for names compared in one go.
 
-/// Scatters a number (the finalizer of SplitMix64: Steele, Lea and Flood, "Fast Splittable Pseudorandom Number
-/// Generators", 2014).
+/// Mixes the bits of a number (the finalizer of SplitMix64: Steele, Lea and Flood, "Fast Splittable
+/// Pseudorandom Number Generators", 2014).
 pub fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/src/pace.rs
+++ b/src/pace.rs
@@ -1,15 +1,15 @@
 //! How fast a replica works off what one router has out there, and when more would only wait in vain.
 //!
-//! A replica that is asked for more than it does keeps a full queue, in which all that is sent to it waits longer than
-//! anybody waits for it: it works on, and nothing of it is of use. A router that sends it no more than it works off
-//! in time gets that much from it.
+//! An overloaded replica keeps a full queue, in which everything that is sent to it waits longer than its
+//! client does: the replica works, but its answers come too late to be of use. A router that sends it no more
+//! than it works off in time gets that much useful work from it.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
 
-/// How fast the pace follows what shows that it is higher, and lower: one sample in a quiet moment shows how fast a
-/// replica can be, and it takes several to show that it is no longer.
+/// Weights of a sample that shows a higher pace, and of one that shows a lower pace: one sample in a quiet
+/// moment shows how fast a replica can be, and it takes several to show that it no longer is.
 const STEPS: (f64, f64) = (0.2, 0.06);
 
 /// The pace of one replica, in cost units a millisecond; none before any sample.
@@ -17,8 +17,9 @@
 pub struct Pace(Option<f64>);
 
 impl Pace {
-    /// A part was completed after some time, or called back, with so much out at its start, itself included: by Little's
-    /// law that was worked off at what was out over the time. A part called back can only tell that it was no faster.
+    /// Records that a part was completed, or cancelled, after `took`, with `ahead` out at its start, itself
+    /// included. By Little's law the replica worked at a rate of `ahead` over `took`. A cancelled part can
+    /// only show that the replica was no faster.
     pub fn note(&mut self, ahead: f64, took: Millis, completed: bool) {
         let rate = ahead / took;
         let known = self.0.unwrap_or(rate);
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,7 +1,8 @@
-//! What is known of all replicas together, kept as it changes: who holds a shard, sums, and who is due for something.
+//! An index of all replicas, updated with each change: the holders of each shard, sums, and replicas by the
+//! time at which something is due.
 //!
-//! It decides nothing, and nothing of it is written down: all of it can be reckoned anew from the replicas
-//! ([`Pool::of`]), and equals that at any time.
+//! The index decides nothing and is not serialized: all of it can be recomputed from the replicas
+//! ([`Pool::of`]), and equals the result at any time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -83,8 +84,8 @@
 }
 
 impl Pool {
-    /// All replicas at once, in a layout of shards over so many cells, of which so many in a row hold one; utilizations
-    /// count that were reported after some time.
+    /// Builds the index of all replicas, for shards laid out over `cells` cells, of which `width` in a row
+    /// hold each shard. Utilizations count that were reported after `since`.
     pub fn of(
         (cells, width): (u32, u32),
         warm_within: Option<Millis>,
--- a/src/quota.rs
+++ b/src/quota.rs
@@ -17,13 +17,14 @@
         Quotas(tenants.iter().map(|tenant| (tenant.quota_per_s, now)).collect())
     }
 
-    /// A query of a tenant came in at one of so many routers, which have even parts in its share; says whether it is
-    /// within that. Queries of no tenant are.
+    /// Takes a query of a tenant from this router's part of the tenant's share, which is divided equally
+    /// among `routers` routers. Returns whether the query is within it; queries of no tenant always are.
     pub fn take(&mut self, tenant: usize, tenants: &[Tenant], routers: u32, now: Millis) -> bool {
         let Some((bucket, told)) = self.0.get_mut(tenant).zip(tenants.get(tenant)) else { return true };
         let rate = told.quota_per_s / f64::from(routers);
         let left = (bucket.0 + rate * (now - bucket.1) / 1000.0).min(rate.max(SLACK));
-        // What is beyond the share takes what is left of it too: who goes on asking for more is beyond it with all.
+        // A query beyond the share also takes what is left of it: a tenant that keeps sending more than its
+        // share is beyond it with all its queries.
         *bucket = ((left - 1.0).max(0.0), now);
         left >= 1.0
     }
--- a/src/repeats.rs
+++ b/src/repeats.rs
@@ -1,15 +1,16 @@
-//! One budget of repeats for a whole fleet: what one router of many may send again.
+//! One retry budget for a whole fleet: how many retries one router of many may send.
 //!
-//! Each router earns by the parts that it takes, so that the parts of all add up to a share of the fleet's traffic, however
-//! that is spread over them. What a router may save up is divided by their number: three hundred that each had
-//! saved for a lone one's bad moment would be a storm together.
+//! Each router earns retries by the parts that it takes, so that all routers' retries add up to a share of
+//! the fleet's traffic, however it is spread over the routers. What a router may save up is divided by the
+//! number of routers: three hundred that had each saved up what one router needs in a bad moment would cause
+//! a retry storm.
 
 use serde::{Deserialize, Serialize};
 
 /// Repeats earned by each part taken: more would be load on a slow fleet.
 const RATIO: f64 = 0.1;
-/// The most that one router saves up, and the most that all of a fleet do, as four would: also the most that they may be
-/// behind after repeats that could not wait.
+/// The most that one router saves up, and the most that all routers of a fleet save up together, which is as
+/// much as four do. It is also the largest debt after retries that could not wait.
 const SAVED: f64 = 10.0;
 const SAVED_BY_ALL: f64 = 4.0 * SAVED;
 
@@ -24,8 +25,8 @@
 }
 
 impl Repeats {
-    /// A part was taken, by one of so many routers, of a query that has so many by now. What a query earns is not lost to
-    /// the bound on what is saved up.
+    /// Records that one of `routers` routers took a part of a query that has `parts` parts by now. What the
+    /// query has earned is kept even if it exceeds the router's part of the fleet's savings.
     pub fn earn(&mut self, routers: u32, parts: usize) {
         self.0 = (self.0 + RATIO).min(most(routers).max(RATIO * parts as f64).min(SAVED));
     }
@@ -35,8 +36,8 @@
         self.0 >= 1.0
     }
 
-    /// A part is sent again by one of so many routers. What had to be goes to a bounded debt: a bad moment is not paid
-    /// for to the end of the day.
+    /// Records a retry by one of `routers` routers. Retries that could not wait lead to a bounded debt, so
+    /// that a bad moment does not restrict retries for the rest of the day.
     pub fn spend(&mut self, routers: u32) {
         self.0 = (self.0 - 1.0).max(-most(routers));
     }
--- a/src/starts.rs
+++ b/src/starts.rs
@@ -1,9 +1,10 @@
-//! When run stores started, by this process's own clock.
+//! Start times of run stores on this process's own clock.
 //!
-//! Lists state starts as Unix times of the machines' wall clock. The process's clock begins at that too and then only
-//! runs forward, so that the two part once the wall clock is stepped. A start that is told as news lies in the past and
-//! not long ago, whatever a wall clock says; where it cannot be placed, it is taken to be now, and what the run
-//! store reports meanwhile tells nothing of how others get warm.
+//! Lists state starts as Unix times of the machines' wall clocks. The process's clock begins at the wall
+//! clock's time and then only runs forward, so that the two differ once the wall clock is stepped. A start
+//! that arrives as news is recent and in the past, whatever a wall clock says. Where it cannot be placed it
+//! is taken to be now, and the run store's reports do not count as evidence of how fast others warm up until
+//! it must be warm.
 
 use std::collections::BTreeMap;
 
@@ -40,8 +41,9 @@
     known: BTreeMap<ReplicaId, Start>,
     /// How far the wall clock was ahead of the process's, at each step the last time, oldest first.
     ahead: Vec<Millis>,
-    /// Whether the clock is known not to be far ahead of the run stores': no start is told before it was, so that it is
-    /// ahead by no more than the time that seems to have passed since any.
+    /// Whether the clock is known not to be far ahead of the run stores' clocks: no start is reported before
+    /// it happened, so that the clock is ahead by no more than the time that seems to have passed since any
+    /// start.
     is_known: bool,
 }
 
@@ -58,8 +60,9 @@
         self.is_known = false;
     }
 
-    /// Places the start that a line states. A start within `warm_within`, in which a run store gets warm, tells that the
-    /// clock is right, but for less than that; while none has, news of an older one cannot be placed.
+    /// Places the start that a line of the list states. A start less than `warm_within` ago, the time in
+    /// which a run store gets warm, shows that the clock is off by less than that. Until there was one, an
+    /// older start that arrives as news cannot be placed.
     pub fn place(
         &mut self,
         id: &ReplicaId,
@@ -86,7 +89,8 @@
         Some(start.placed)
     }
 
-    /// Whether it is known at some time how warm a run store is, so that its reports tell how others get warm.
+    /// Returns whether it is known at `now` how warm a run store is, so that its reports show how others warm
+    /// up.
     pub fn is_sure(&self, id: &ReplicaId, now: Millis) -> bool {
         self.known.get(id).is_none_or(|start| now >= start.unsure_until)
     }
@@ -101,7 +105,8 @@
         self.known.remove(id);
     }
 
-    /// A stated time on the process's clock: by the step of the wall clock under which it is latest, and not ahead.
+    /// Converts a stated time to the process's clock, by the step of the wall clock that gives the latest
+    /// time not after `now`.
     fn latest_before(&self, stated: Millis, now: Millis) -> Option<Millis> {
         let steps = self.ahead.iter().copied().chain([0.0]);
         steps.map(|ahead| stated - ahead).filter(|at| *at <= now).reduce(f64::max)
--- a/src/trim.rs
+++ b/src/trim.rs
@@ -6,8 +6,9 @@
 const KEEPS: f64 = 0.15;
 const GAIN: f64 = 1.2;
 
-/// The places of the lightest parts, by their weights, where leaving them out earns more for the work: those under the
-/// mean, and, while queries are slow, all that the least share does without. None where that gains too little.
+/// Returns the positions of the lightest parts, where leaving them out earns more for the work: those of less
+/// than the mean weight and, while queries are slow, all that the least share does not need. Empty where the
+/// gain is too small.
 pub fn lightest(weights: &[f64], class: &Class, pressed: bool) -> Vec<usize> {
     let (goal, all) = (class.least_share + KEEPS, weights.len() as f64);
     let mut order: Vec<_> = (0..weights.len()).collect();
