--- a/src/trace/control.rs
+++ b/src/trace/control.rs
@@ -1,4 +1,4 @@
-//! A recording switched on and off: what ties the tape in the core to the thread that writes.
+//! Switches the recording on and off, and moves jobs from the trace writer in the core to the recorder's thread.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,42 +12,44 @@
 use crate::core::Core;
 use crate::log;
 
-/// Ends of connections that wait for being recorded; more are not kept.
+/// The maximum number of connection ends that wait to be recorded; further ones are discarded.
 const MOST_CLOSED: usize = 4096;
 
-/// The end of a connection: when, to what, whose address, the reason's code, and what else is said of it.
+/// The end of a connection: its time, the kind of connection, the peer's address, the reason code, and a note.
 type Closed = (Millis, String, String, String, String);
 
-/// The switch.
+/// Controls the recording of one process.
 pub struct Control {
     keep: Keep,
     source: Source,
     recorder: RefCell<Option<Recorder>>,
+    /// Ends of connections that are not recorded yet.
     closed: Rc<RefCell<Vec<Closed>>>,
     /// The number of the next segment.
     segment: Cell<u64>,
-    /// Records that were lost, and those of them that no segment tells of yet.
+    /// The number of records that were lost.
     lost: Cell<u64>,
+    /// The number of lost records that no segment on the disk records yet.
     untold: Cell<u64>,
 }
 
 impl Control {
-    /// A switch that is off, for one process.
+    /// Creates the control of one process, with the recording switched off.
     pub fn new(keep: Keep, source: Source) -> Self {
         let (recorder, closed) = (RefCell::default(), Rc::default());
         let (segment, lost, untold) = (Cell::new(0), Cell::new(0), Cell::new(0));
         Control { keep, source, recorder, closed, segment, lost, untold }
     }
 
-    /// Whether it is on.
+    /// Returns true if the recording is on.
     pub fn is_on(&self) -> bool {
         self.recorder.borrow().as_ref().is_some_and(|recorder| recorder.standing().recording)
     }
 
-    /// Switches it on; nothing changes if it is.
+    /// Switches the recording on. Does nothing if it is on already.
     ///
     /// # Errors
-    /// If the folder cannot be made.
+    /// If the folder cannot be created or the thread cannot be started.
     pub fn start(&self, core: &mut Core, clock: impl Fn() -> Millis + 'static) -> Result<(), String> {
         if self.is_on() {
             return Ok(());
@@ -58,7 +60,7 @@
         Ok(())
     }
 
-    /// Has a recorder write what the core does from now on.
+    /// Attaches a recorder to the core, which is recorded from now on.
     pub fn begin(&self, recorder: Recorder, core: &mut Core, clock: impl Fn() -> Millis + 'static) {
         *self.recorder.borrow_mut() = Some(recorder);
         let trace_writer = TraceWriter::new(self.source.clone(), self.keep.limits, self.segment.get());
@@ -72,7 +74,7 @@
         })));
     }
 
-    /// Switches it off, in good order.
+    /// Switches the recording off, and ends the open segment cleanly.
     pub fn stop(&self, core: &mut Core, now: Millis) {
         self.pump(core, now);
         core.trace_last(now);
@@ -86,14 +88,14 @@
         log::watch(None);
     }
 
-    /// Has a new segment begun.
+    /// Makes the next step begin a new segment.
     pub fn rotate(&self, core: &mut Core) {
         if let Some(trace_writer) = core.trace_writer() {
             trace_writer.rotate();
         }
     }
 
-    /// Hands over what is to be written.
+    /// Hands the collected jobs to the recorder, and takes back what it reports of losses and the segment's size.
     pub fn pump(&self, core: &mut Core, now: Millis) {
         core.trace_due(now);
         let Some(trace_writer) = core.trace_writer() else { return };
@@ -124,25 +126,25 @@
         trace_writer.grown(recorder.size());
     }
 
-    /// Adds up what was lost since this was called last.
+    /// Adds the records lost since the last call to the total.
     fn count_lost(&self, trace_writer: &TraceWriter) {
         let before = self.untold.replace(trace_writer.untold());
         self.lost.set(self.lost.get() + trace_writer.untold().saturating_sub(before));
     }
 
-    /// How it stands.
+    /// Returns the status of the recording.
     pub fn standing(&self) -> Standing {
         let standing = self.recorder.borrow().as_ref().map(Recorder::standing).unwrap_or_default();
         Standing { lost: self.lost.get(), ..standing }
     }
 
-    /// Whether all is written, after [`Control::stop`].
+    /// Returns true once everything is written after [`Control::stop`].
     pub fn is_done(&self) -> bool {
         self.recorder.borrow().as_ref().is_none_or(Recorder::is_done)
     }
 }
 
-/// When the first entry of a job was made.
+/// Returns the time of the first entry in a job.
 fn first(job: &Job) -> Option<Millis> {
     match job {
         Job::Open(_, batch) | Job::Add(batch) => Some(batch.first()),
--- a/src/trace/convert.rs
+++ b/src/trace/convert.rs
@@ -1,6 +1,6 @@
-//! From the interface of the decision module to the records of a trace, and back without loss.
+//! Converts between the interface of the decision module and the records of a trace, in both directions without loss.
 //!
-//! The core names queries `qN` and parts `qN.SHARD`, so that numbers stand for both; see [`query_id`] and [`part_id`].
+//! The core names queries `qN` and parts `qN.SHARD`, so records hold only the numbers; see [`query_id`] and [`part_id`].
 
 use std::sync::Arc;
 
@@ -14,22 +14,22 @@
     Shard, TenantIndex,
 };
 
-/// The module's name of a query.
+/// Returns the decision module's id of a query.
 pub fn query_id(no: u64) -> QueryId {
     QueryId(Arc::from(format!("q{no}")))
 }
 
-/// The module's name of a part.
+/// Returns the decision module's id of a part.
 pub fn part_id(no: u64, shard: u32) -> PartId {
     PartId(Arc::from(format!("q{no}.{shard}")))
 }
 
-/// The number of a query, by its module's name.
+/// Returns the number of a query, given the module's id of it.
 fn number(id: &QueryId) -> u64 {
     id.0.get(1..).and_then(|no| no.parse().ok()).unwrap_or(0)
 }
 
-/// The query and shard of a part, by its module's name.
+/// Returns the query and shard of a part, given the module's id of it.
 fn place(id: &PartId) -> (u64, u32) {
     let words = id.0.get(1..).and_then(|text| text.split_once('.'));
     words.and_then(|(no, shard)| Some((no.parse().ok()?, shard.parse().ok()?))).unwrap_or((0, 0))
@@ -72,7 +72,7 @@
     }
 }
 
-/// A cause as a record.
+/// Converts a cause to a record.
 pub fn cause_out(cause: Cause) -> record::Cause {
     match cause {
         Cause::NoList => record::Cause::NoList,
@@ -139,7 +139,7 @@
     }
 }
 
-/// An event as a record. Keys are kept only where routing goes by them.
+/// Converts an event to a record. Keys are recorded only if `keys` is true, that is, if the module routes by them.
 pub fn event_out(batch: &mut Batch, now: Millis, event: &Event, keys: bool) -> record::Event {
     let key = |batch: &mut Batch, key: &Option<Arc<str>>| {
         key.as_ref().filter(|_| keys).map(|key| batch.name(Kind::Key, key))
@@ -193,7 +193,7 @@
     }
 }
 
-/// The event that a record was made of.
+/// Converts a record back to the event.
 pub fn event_in(block: &Block, now: Millis, event: &record::Event) -> Event {
     let text = |name: &record::Name| Arc::from(block.text(*name));
     match event {
@@ -247,7 +247,7 @@
     }
 }
 
-/// An action as a record.
+/// Converts an action to a record.
 pub fn action_out(batch: &mut Batch, now: Millis, action: &Action) -> record::Action {
     match action {
         Action::Send { part, replica, timeout, reason, choice } => {
@@ -282,7 +282,7 @@
     }
 }
 
-/// Settings for the module, as a record keeps them.
+/// Serializes the module's settings for a record.
 pub fn settings_out(settings: &api::Settings) -> Vec<u8> {
     postcard::to_stdvec(settings).unwrap_or_default()
 }
--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -1,7 +1,9 @@
-//! Recording what an aggregator sees and decides, and playing it again.
+//! Records what an aggregator sees and decides, and replays it.
 //!
-//! The format and its tools are the package `ironpaddle-trace`; here is what ties them to this program. [`writer`]
-//! collects, [`recorder`] writes, [`control`] ties both together, [`replay`] feeds a recording to the decision module again. See `docs/TRACE.md`.
+//! The package `ironpaddle-trace` defines the format and its tools; this module connects them to the aggregator.
+//! [`writer`] collects records into blocks, [`recorder`] writes the blocks on a thread of its own, [`control`] switches
+//! both on and off, [`convert`] translates between the decision module's interface and trace records, and [`replay`]
+//! feeds a recording to the decision module again. See `docs/TRACE.md`.
 
 pub mod control;
 pub mod convert;
@@ -11,7 +13,8 @@
 
 use std::sync::LazyLock;
 
-/// The decision module's text and that of its state, hashed: the states of one text are no states of another.
+/// The hash of the source of the decision module and its state. A serialized state is valid only for the source that
+/// wrote it.
 pub static MODULE: LazyLock<u64> = LazyLock::new(|| {
     let text = [include_str!("../decide.rs"), include_str!("../decide/state.rs")].concat();
     ironpaddle_trace::index::hash(&text)
--- a/src/trace/recorder.rs
+++ b/src/trace/recorder.rs
@@ -1,7 +1,7 @@
-//! The recording of a running process: a tape, and a thread that writes what it hands out.
+//! Writes the recording of a running process on a thread of its own.
 //!
-//! Between both stands a bounded queue. When it is full, or the disk fails, records are dropped and counted; serving
-//! never waits for a disk.
+//! A bounded queue connects the trace writer to the thread. When the queue is full, or the disk fails, records are
+//! dropped and counted; serving never waits for a disk.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -16,80 +16,81 @@
 use super::writer::{records_of, Limits};
 use crate::log;
 
-/// Jobs that wait for the disk: some seconds of a busy aggregator, some MB at most.
+/// The capacity of the queue, in jobs: a few seconds of a busy aggregator, a few MB at most.
 pub const QUEUE: usize = 64;
-/// A file that was written to within this time may belong to a process that runs.
+/// A file that was written to within this time may belong to a running process.
 const LATELY: Duration = Duration::from_secs(60);
 
-/// Where and how much is kept.
+/// Where segments are stored, and how much space they may take up.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Keep {
     /// The folder.
     pub dir: PathBuf,
-    /// When a segment is long enough.
+    /// The limits of one segment.
     pub limits: Limits,
-    /// What all segments of the aggregator may take up, in bytes.
+    /// The maximum total size of the aggregator's segments, in bytes.
     pub most: u64,
 }
 
-/// What the thread tells.
+/// The state that the thread shares with its [`Recorder`].
 #[derive(Default)]
 struct Told {
-    /// The length of the segment, in bytes, and the number of segments begun.
+    /// The size of the segment, in bytes.
     size: AtomicU64,
+    /// The number of segments begun.
     begun: AtomicU64,
-    /// Whether the last of them is there.
+    /// True if the beginning of the last segment was written.
     sound: AtomicBool,
-    /// Records that the disk did not take.
+    /// The number of records lost to failed writes.
     lost: AtomicU64,
-    /// Whether it wants another segment, as the disk failed.
+    /// True if a write failed, so that a new segment is needed.
     failed: AtomicBool,
-    /// Records that are on the disk.
+    /// The number of records that are on the disk.
     kept: AtomicU64,
-    /// Segments that were removed for room.
+    /// The number of segments that were removed to free space.
     removed: AtomicU64,
     /// The name of the segment.
     name: Mutex<String>,
 }
 
-/// A thread that writes.
+/// A handle to the thread that writes segments.
 pub struct Recorder {
     jobs: Option<SyncSender<Job>>,
     told: Arc<Told>,
     ended: Arc<AtomicBool>,
     said: bool,
-    /// Segments that the thread was asked to begin.
+    /// The number of segments that the thread was asked to begin.
     asked: u64,
 }
 
-/// How a recording stands.
+/// The status of a recording, as the operator interface reports it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Standing {
-    /// Whether anything is being recorded.
+    /// True if the recording is on.
     pub recording: bool,
-    /// The segment that is written, or was last.
+    /// The name of the current or last segment.
     pub segment: String,
-    /// Its length, in bytes.
+    /// The size of that segment, in bytes.
     pub bytes: u64,
-    /// Records that are on the disk.
+    /// The number of records that are on the disk.
     pub kept: u64,
-    /// Records that were lost.
+    /// The number of records that were lost.
     pub lost: u64,
-    /// Segments that were removed for room.
+    /// The number of segments that were removed to free space.
     pub removed: u64,
 }
 
 impl Recorder {
-    /// Starts the thread.
+    /// Starts the thread, which writes to files in the folder of `keep`.
     ///
     /// # Errors
-    /// If the folder cannot be made or the thread cannot be started.
+    /// If the folder cannot be created or the thread cannot be started.
     pub fn start(keep: &Keep) -> io::Result<Self> {
         fs::create_dir_all(&keep.dir)?;
         Recorder::over(Folder(keep.dir.clone()), keep.most)
     }
 
-    /// Starts the thread over some storage, of which the segments may take up so many bytes.
+    /// Starts the thread, which writes to `storage`; the segments may take up `most` bytes in total.
     ///
     /// # Errors
     /// If the thread cannot be started.
@@ -104,7 +105,7 @@
         Ok(Recorder { jobs: Some(jobs), told, ended, said: false, asked: 0 })
     }
 
-    /// Hands a job to the thread; gives back the number of records that are lost by that.
+    /// Queues a job for the thread. Returns the number of records that are lost because the queue does not accept it.
     pub fn take(&mut self, job: Job) -> u64 {
         let (records, opens) = (records_of(&job), matches!(job, Job::Open(..)));
         let Some(jobs) = &self.jobs else { return records };
@@ -121,19 +122,20 @@
         }
     }
 
+    /// Logs a warning the first time that it is called.
     fn say(&mut self, why: &str) {
         if !std::mem::replace(&mut self.said, true) {
             log::line(&format!("trace: {why}"));
         }
     }
 
-    /// Records that the disk has failed to take since this was asked last, if it has failed.
+    /// Returns the number of records lost to failed writes since the last call, or `None` if no write has failed.
     pub fn failed(&mut self) -> Option<u64> {
         let failed = self.told.failed.swap(false, Ordering::AcqRel);
         failed.then(|| self.told.lost.swap(0, Ordering::AcqRel))
     }
 
-    /// The length of the segment so far, in bytes; 0 while a new one waits for being begun.
+    /// Returns the current size of the segment, in bytes; 0 while a queued new segment has not been begun.
     pub fn size(&self) -> u64 {
         if self.told.begun.load(Ordering::Acquire) < self.asked {
             return 0;
@@ -141,22 +143,22 @@
         self.told.size.load(Ordering::Acquire)
     }
 
-    /// Whether the segment that was asked for last is on the disk, as far as it goes.
+    /// Returns true if the beginning of the last requested segment is on the disk.
     pub fn is_begun(&self) -> bool {
         self.told.begun.load(Ordering::Acquire) == self.asked && self.told.sound.load(Ordering::Acquire)
     }
 
-    /// No more jobs: the thread ends once it has done what it has.
+    /// Closes the queue. The thread ends once it has done the queued jobs.
     pub fn finish(&mut self) {
         self.jobs = None;
     }
 
-    /// Whether the thread is done.
+    /// Returns true if the thread has ended.
     pub fn is_done(&self) -> bool {
         self.ended.load(Ordering::Acquire)
     }
 
-    /// How it stands.
+    /// Returns the status of the recording. The losses are counted elsewhere, so `lost` is 0.
     pub fn standing(&self) -> Standing {
         Standing {
             recording: self.jobs.is_some(),
@@ -169,7 +171,7 @@
     }
 }
 
-/// The thread: it does jobs until no more can come.
+/// The body of the thread: does jobs until the queue is closed and empty.
 fn write<S: Storage>(mut keeper: Keeper<S>, queue: &Receiver<Job>, told: &Told) {
     let mut said = false;
     while let Ok(job) = queue.recv() {
@@ -194,7 +196,7 @@
                 told.lost.fetch_add(records, Ordering::AcqRel);
                 told.failed.store(true, Ordering::Release);
                 if !std::mem::replace(&mut said, true) {
-                    log::line(&format!("trace: {why}; records are dropped until that has ended"));
+                    log::line(&format!("trace: {why}; records are dropped until writing succeeds again"));
                 }
             }
         }
@@ -203,7 +205,7 @@
     }
 }
 
-/// Files in a folder.
+/// Stores segments as files in a folder.
 struct Folder(PathBuf);
 
 impl Storage for Folder {
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -1,7 +1,7 @@
-//! Replay: the recorded events go to the decision module again, and each action is compared.
+//! Replays a recording: feeds the recorded events to the decision module again and compares each action.
 //!
-//! Replay begins at a checkpoint and ends at a loss, a gap, or the end; a later checkpoint begins it anew. As the
-//! module reads no clock and draws chance from its state, it has to say the same to the bit.
+//! Replay begins at a checkpoint and stops at a loss, a gap, or the end; it resumes at the next checkpoint. The module
+//! reads no clock, and its random numbers come from its state, so the actions have to be identical to the bit.
 
 use std::collections::BTreeMap;
 
@@ -13,58 +13,59 @@
 use crate::settings::SiteSettings;
 use crate::Router;
 
-/// What differed first.
+/// The first difference between the recorded and the replayed actions.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct Difference {
-    /// When, in Unix milliseconds.
+    /// The time of the step, in Unix milliseconds.
     pub at: f64,
-    /// The query that it is about, if one is.
+    /// The query that the action concerns, if any.
     pub query: Option<u64>,
-    /// What was recorded; `None` where nothing more was.
+    /// The recorded action; `None` if the recorded step has fewer actions.
     pub recorded: Option<String>,
-    /// What the module says now; `None` where it says nothing more.
+    /// The replayed action; `None` if the replayed step has fewer actions.
     pub now: Option<String>,
 }
 
-/// What replay has shown.
+/// The result of a replay.
 #[derive(Debug, Clone, Default, PartialEq, serde::Serialize)]
 pub struct Report {
-    /// Checkpoints from which replay began.
+    /// The number of checkpoints from which replay began.
     pub checkpoints: u64,
-    /// Steps played.
+    /// The number of steps replayed.
     pub steps: u64,
-    /// Events fed to the module.
+    /// The number of events fed to the module.
     pub events: u64,
-    /// Actions compared.
+    /// The number of actions compared.
     pub actions: u64,
-    /// Steps that could not be played, as there was no checkpoint that could be read before them.
+    /// The number of steps that could not be replayed, as no readable checkpoint precedes them.
     pub skipped: u64,
-    /// Why checkpoints could not be used, each reason once.
+    /// The reasons for which checkpoints could not be used, each once.
     pub unusable: Vec<String>,
-    /// The first difference.
+    /// The first difference, if there is any.
     pub difference: Option<Difference>,
-    /// Steps that differed.
+    /// The number of steps that differed.
     pub differing: u64,
-    /// With other settings: ends of queries as recorded and as they would be, and how many.
+    /// With other settings: the number of queries by recorded and replayed end, as `RECORDED -> REPLAYED`.
     pub verdicts: BTreeMap<String, u64>,
 }
 
-/// A replay of one process's entries, which have to come in their order.
+/// Replays the entries of one process, which have to be fed in their order.
 pub struct Replay {
     router: Option<Router>,
+    /// The settings that replace the recorded ones, if any.
     other: Option<SiteSettings>,
-    /// With other settings: the ends of queries that were recorded, and those that the module gave.
+    /// With other settings: the recorded and the replayed end of each query.
     ends: BTreeMap<u64, (Option<String>, Option<String>)>,
     report: Report,
 }
 
 impl Replay {
-    /// A replay under the recorded settings, or under others.
+    /// Creates a replay under the recorded settings, or under `other` settings.
     pub fn new(other: Option<SiteSettings>) -> Self {
         Replay { router: None, other, ends: BTreeMap::new(), report: Report::default() }
     }
 
-    /// The next entry.
+    /// Replays the next entry.
     pub fn take(&mut self, block: &Block, entry: &Entry) {
         match &entry.record {
             Record::Checkpoint(checkpoint) => {
@@ -75,12 +76,12 @@
                     Err("recorded by a decision module of another text; replay needs the program that recorded it")
                 };
                 match state {
-                    // With other settings the first checkpoint alone counts: later states are those of reality.
+                    // With other settings only the first checkpoint is used: later ones hold the recorded state.
                     Ok(_) if self.other.is_some() && self.router.is_some() => {}
                     Ok(router) => {
                         self.router = Some(router);
                         self.report.checkpoints += 1;
-                        // The state holds its settings, and what they have been used up by.
+                        // The state holds the recorded settings, so the other ones are applied to it.
                         if self.other.is_some() {
                             self.apply_settings(block, &checkpoint.told);
                         }
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Entries are missing here: only a checkpoint begins anew.
+    /// Notes that entries are missing here. Replay resumes at the next checkpoint, or at once with other settings.
     pub fn gap(&mut self) {
         if self.other.is_none() {
             self.router = None;
@@ -112,7 +113,8 @@
         if let Some(other) = &self.other {
             settings = in_places(block, told, &settings, other);
         }
-        // What was in force when it was recorded had been checked; what is not is told by the differences.
+        // Recorded settings were checked before they came into force. If the module rejects them all the same, the
+        // replayed actions differ, and that is reported.
         let _ = router.apply_settings(settings);
     }
 
@@ -130,7 +132,7 @@
             return;
         }
         self.report.actions += actions.len() as u64;
-        // Names are compared as texts: a table made anew knows them by other places.
+        // Names are compared as text, since the new name table gives them other indexes.
         let mut table = Batch::default();
         let again: Vec<_> =
             actions.iter().map(|action| convert::action_out(&mut table, at, action)).collect();
@@ -179,7 +181,7 @@
         }
     }
 
-    /// What it has shown.
+    /// Returns the result.
     pub fn report(mut self) -> Report {
         for (recorded, now) in self.ends.values() {
             let none = || "no end".to_string();
@@ -190,7 +192,7 @@
     }
 }
 
-/// An action without the place of its name.
+/// Returns the action with the index of its name set to 0.
 fn bare(action: &record::Action) -> record::Action {
     let mut action = action.clone();
     match &mut action {
@@ -202,7 +204,7 @@
     action
 }
 
-/// The end that an action gives a query.
+/// Returns the query that an action ends, and how it ends it.
 fn end_of(action: &record::Action) -> Option<(u64, String)> {
     match action {
         record::Action::Answer { query, whole: true } => Some((*query, "whole".into())),
@@ -213,8 +215,8 @@
     }
 }
 
-/// Other settings, with classes and groups at the places that the recording knows them by. One that the other
-/// settings do not name stays as it was.
+/// Returns the other settings with classes and groups in the order of the recording. Those that the other settings do
+/// not name keep their recorded settings.
 fn in_places(block: &Block, told: &Told, recorded: &Settings, other: &SiteSettings) -> Settings {
     let (mut settings, names) = (other.router_settings(), other.names());
     let place = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
--- a/src/trace/writer.rs
+++ b/src/trace/writer.rs
@@ -1,8 +1,9 @@
-//! What is recorded, without input or output: the core tells it what happens, and it hands out jobs for a
-//! [`Keeper`](ironpaddle_trace::keep::Keeper).
+//! Collects the records of a trace. It does no input or output: the core reports what happens, and the writer produces
+//! jobs for a [`Keeper`](ironpaddle_trace::keep::Keeper).
 //!
-//! Entries are collected into blocks of some size or age. A segment begins with a checkpoint of the module's whole
-//! state; one is begun at the start, when a segment has its size or age, when an operator asks, and after a loss.
+//! Entries are collected into blocks, which are closed at a size or an age. A segment begins with a checkpoint of the
+//! module's whole state. A new segment is begun at the start of the recording, when the open segment reaches its limit
+//! of size or age, at an operator's request, and after a loss.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,56 +21,58 @@
 use crate::api::{Action, Cause, Event, Millis, Settings};
 use crate::counters::Counters;
 
-/// A block is closed at this size, in bytes before compression, or at this age, in milliseconds: what a crash takes.
+/// A block is closed at this size, in bytes before compression, or at this age, in milliseconds. A crash loses at most
+/// the open block.
 const BLOCK_BYTES: usize = 32 * 1024;
 const BLOCK_MS: Millis = 250.0;
-/// Between two records of the counts, in milliseconds.
+/// The interval between two records of the counts, in milliseconds.
 const COUNTS_MS: Millis = 1000.0;
-/// After a loss, the time before another segment is tried, in milliseconds: a full disk is not asked all the time.
+/// After a loss, the delay before the next segment is attempted, in milliseconds, so that a full disk is not retried
+/// constantly.
 const AGAIN_MS: Millis = 1000.0;
 
-/// When a segment is long enough.
+/// The size and age at which a segment is complete and the next one is begun.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Its length, in bytes as stored.
+    /// The maximum size, in bytes as stored.
     pub bytes: u64,
-    /// Its age, in milliseconds.
+    /// The maximum age, in milliseconds.
     pub age: Millis,
 }
 
-/// The settings as a tape writes them down.
+/// The settings in force, as they are recorded.
 pub struct ActiveSettings<'a> {
-    /// For the module.
+    /// The settings of the decision module.
     pub settings: &'a Settings,
-    /// The settings object.
+    /// The settings object, as JSON text.
     pub text: String,
-    /// The classes by their places.
+    /// The names of the classes, in the order of their indexes.
     pub classes: Vec<Arc<str>>,
-    /// The groups by their places.
+    /// The names of the groups, in the order of their indexes.
     pub groups: Vec<Arc<str>>,
 }
 
-/// A query, as its end is written down.
+/// The end of a query, as it is recorded.
 pub struct QueryEnd<'a> {
-    /// Its number.
+    /// The number of the query.
     pub query: u64,
-    /// Its class.
+    /// The class of the query.
     pub class: &'a Arc<str>,
-    /// Its group.
+    /// The group of the query, if it has one.
     pub group: Option<&'a Arc<str>>,
-    /// When it was taken.
+    /// When the query was accepted.
     pub taken: Millis,
-    /// How it ended.
+    /// How the query ended.
     pub how: How,
-    /// Why it was refused or failed, if it was.
+    /// The cause, if the query was refused or failed.
     pub cause: Option<Cause>,
-    /// Parts that were in.
+    /// The number of parts that had completed.
     pub parts_in: usize,
-    /// Parts that were asked for.
+    /// The number of parts that were requested.
     pub parts: usize,
 }
 
-/// A recording that is on.
+/// Collects the records of one recording.
 pub struct TraceWriter {
     source: Source,
     limits: Limits,
@@ -77,25 +80,28 @@
     jobs: VecDeque<Job>,
     /// The number of the next segment.
     segment: u64,
-    /// The next block begins a segment, which this heads.
+    /// The header of the segment that the next block begins, if that block begins one.
     opening: Option<Header>,
-    /// When the segment was begun, if one is open; and whether another is due all the same.
+    /// When the open segment was begun; `None` while no segment is open.
     opened: Option<Millis>,
+    /// True if the next step is to begin another segment, whatever the age of the open one.
     due: bool,
+    /// When the counts were recorded last in this segment; 0 if they have not been.
     counted: Millis,
     /// The time of the last entry.
     clock: Millis,
+    /// The loss that no segment on the disk records yet.
     lost: Option<Loss>,
-    /// The open segment tells of the loss, and is not on the disk yet.
+    /// True if the open segment records the loss, but its first block is not confirmed to be on the disk.
     telling: bool,
-    /// No segment before this time.
+    /// The earliest time at which the next segment may begin.
     not_before: Millis,
-    /// Whether the module's routing goes by keys.
+    /// True if the module routes by keys; only then are keys recorded.
     keys: bool,
 }
 
 impl TraceWriter {
-    /// A recording of a process, whose next segment has some number.
+    /// Creates the writer of a process; `segment` is the number of its first segment.
     pub fn new(source: Source, limits: Limits, segment: u64) -> Self {
         TraceWriter {
             source,
@@ -115,18 +121,19 @@
         }
     }
 
-    /// Whether a segment is to be begun before the next step.
+    /// Returns true if a segment has to be begun before the next step.
     pub fn wants_segment(&self, now: Millis) -> bool {
         let old = self.opened.is_none_or(|at| now - at >= self.limits.age);
         (old || self.due) && now >= self.not_before
     }
 
-    /// Whether entries are being taken: not before the first segment, nor after a loss.
+    /// Returns true if entries are accepted. They are not before the first segment, nor between a loss and the next
+    /// segment.
     fn is_open(&self) -> bool {
         self.opened.is_some()
     }
 
-    /// Begins a segment by the module's state, as itself has written it, and the settings in force.
+    /// Begins a segment with a checkpoint: the decision module's serialized state and the settings in force.
     pub fn begin(&mut self, now: Millis, module: u64, state: Vec<u8>, in_force: ActiveSettings) {
         self.close_block();
         self.keys = in_force.settings.warm_keys;
@@ -142,7 +149,7 @@
         }
     }
 
-    /// The segment that was begun last is on the disk, with what it tells of a loss.
+    /// Notes that the beginning of the last segment is on the disk, including the loss that it records, if any.
     pub fn begun(&mut self) {
         if std::mem::take(&mut self.telling) {
             self.lost = None;
@@ -161,7 +168,7 @@
 
     fn push(&mut self, at: Millis, record: &Record) {
         self.clock = at;
-        // Only a lack of memory makes this fail, and then there is nobody to tell.
+        // This fails only for lack of memory, and that cannot be reported.
         let _ = self.batch.push(at, record);
         if self.batch.size() >= BLOCK_BYTES {
             self.close_block();
@@ -179,7 +186,7 @@
         });
     }
 
-    /// Closes a block that is old enough; says whether there are jobs to fetch.
+    /// Closes the open block if it is old enough. Returns true if jobs are queued.
     pub fn tick(&mut self, now: Millis) -> bool {
         if self.batch.records() > 0 && now - self.batch.first() >= BLOCK_MS {
             self.close_block();
@@ -187,29 +194,29 @@
         !self.jobs.is_empty()
     }
 
-    /// The next job, in the order of their making.
+    /// Returns the next job, oldest first.
     pub fn next_job(&mut self) -> Option<Job> {
         self.jobs.pop_front()
     }
 
-    /// The segment has so many bytes by now.
+    /// Notes the size of the open segment, in bytes; requests a new segment at the limit.
     pub fn grown(&mut self, bytes: u64) {
         if bytes >= self.limits.bytes {
             self.rotate();
         }
     }
 
-    /// The number of the next segment.
+    /// Returns the number of the next segment.
     pub fn next_segment(&self) -> u64 {
         self.segment
     }
 
-    /// The next step begins another segment.
+    /// Makes the next step begin another segment.
     pub fn rotate(&mut self) {
         self.due = true;
     }
 
-    /// Entries from some time on were not kept. What follows is kept from the next checkpoint on.
+    /// Notes the loss of entries from time `from` on. Recording resumes with the next segment, at its checkpoint.
     pub fn lost(&mut self, now: Millis, from: Millis, records: u64) {
         let waiting = u64::from(self.batch.records());
         self.batch = Batch::default();
@@ -220,12 +227,12 @@
         self.telling = false;
     }
 
-    /// Records that were lost and are not told of in a segment yet.
+    /// Returns the number of lost records that no segment on the disk records yet.
     pub fn untold(&self) -> u64 {
         self.lost.map_or(0, |loss| loss.records)
     }
 
-    /// The recording ends here in good order.
+    /// Ends the recording cleanly.
     pub fn end(&mut self, now: Millis) {
         if self.is_open() {
             self.push(now, &Record::End);
@@ -235,7 +242,7 @@
         }
     }
 
-    /// The events of a step, before the module takes them.
+    /// Converts the events of a step, before the decision module consumes them.
     pub fn events(&mut self, now: Millis, events: &[Event]) -> Step {
         let keys = self.keys;
         let mut step = Step { events: Vec::with_capacity(events.len()), actions: Vec::new() };
@@ -246,7 +253,7 @@
         step
     }
 
-    /// A step of the module: its events as they were noted, and its actions.
+    /// Records a step of the decision module: its events, as [`TraceWriter::events`] converted them, and its actions.
     pub fn step(&mut self, now: Millis, mut step: Step, actions: &[Action]) {
         if self.is_open() {
             step.actions
@@ -257,7 +264,7 @@
         }
     }
 
-    /// A record is lost, as no segment is open after a loss.
+    /// Counts a record that is lost because no segment is open after a loss.
     fn miss(&mut self) {
         if let Some(loss) = &mut self.lost {
             loss.records += 1;
@@ -273,7 +280,7 @@
         }
     }
 
-    /// Other settings.
+    /// Records new settings.
     pub fn settings(&mut self, in_force: ActiveSettings) {
         self.keys = in_force.settings.warm_keys;
         if self.is_open() {
@@ -282,7 +289,7 @@
         }
     }
 
-    /// A query was taken: its number and what its client calls it.
+    /// Records that a query was accepted; `called` is the client's id of it.
     pub fn taken(
         &mut self,
         at: Millis,
@@ -304,7 +311,7 @@
         });
     }
 
-    /// A query has its end.
+    /// Records the end of a query.
     pub fn verdict(&mut self, at: Millis, ended: &QueryEnd) {
         self.note(at, |batch| {
             Record::Verdict(Verdict {
@@ -320,28 +327,28 @@
         });
     }
 
-    /// A request was answered with an error before it became a query.
+    /// Records a request that was answered with an error before it became a query.
     pub fn not_taken(&mut self, at: Millis, class: Option<&Arc<str>>) {
         self.note(at, |batch| Record::NotTaken(class.map(|class| batch.name(Kind::Class, class))));
     }
 
-    /// An attempt has got so far.
+    /// Records the progress of an attempt on its connection.
     pub fn wire(&mut self, at: Millis, query: u64, shard: u32, attempt: u32, progress: Progress) {
         self.note(at, |_| Record::Wire(Wire { query, shard, attempt, progress }));
     }
 
-    /// A connection has ended.
+    /// Records the end of a connection.
     pub fn closed(&mut self, at: Millis, kind: &str, peer: &str, code: &str, note: &str) {
         let [kind, peer, code, note] = [kind, peer, code, note].map(str::to_string);
         self.note(at, |_| Record::Closed(Closed { kind, peer, code, note }));
     }
 
-    /// An operator has called.
+    /// Records an operator's request.
     pub fn call(&mut self, at: Millis, call: &str) {
         self.note(at, |_| Record::Call(call.to_string()));
     }
 
-    /// The counts, now and then; always if it is the last time.
+    /// Records the counts if the interval has passed, or if this is the `last` time.
     pub fn counts(&mut self, at: Millis, counters: &Counters, active: usize, last: bool) {
         if !self.is_open() || (at - self.counted < COUNTS_MS && !last) {
             return;
@@ -365,7 +372,7 @@
     }
 }
 
-/// The number of records that a job carries.
+/// Returns the number of records in a job.
 pub fn records_of(job: &Job) -> u64 {
     match job {
         Job::Open(_, batch) | Job::Add(batch) => u64::from(batch.records()),
