--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Exit codes: 0, 1 where something is at fault or was found, 2 where the call is.
+//! The command line. Exit codes: 0 for success, 1 if the command failed or found a problem, 2 for wrong arguments.
 
 mod trace;
 
@@ -27,47 +27,47 @@
     command: Option<Command>,
 }
 
-/// What serving takes.
+/// The arguments of serving.
 #[derive(Debug, Args)]
 struct Serve {
-    /// The configuration file; without it the one that GW_CONFIG names.
+    /// The configuration file; defaults to the one that GW_CONFIG names.
     config: Option<PathBuf>,
-    /// How the log is written.
+    /// The format of the log.
     #[arg(long, value_enum, default_value = "text")]
     log_format: Format,
-    /// What is logged: a level, and levels of targets, as info,ironpaddle::query=debug.
+    /// The log filter: a level, and levels of single targets, for example info,ironpaddle::query=debug.
     #[arg(long, default_value = "info")]
     log_filter: String,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve, as without any command.
+    /// Serve; the same as without a command.
     Run(Serve),
-    /// Read and check a configuration file.
+    /// Read and check a configuration file without serving.
     Check {
-        /// The file.
+        /// The configuration file.
         config: PathBuf,
     },
-    /// Look at, cut, merge, replay recordings.
+    /// Inspect, cut, merge and replay recordings.
     #[command(subcommand)]
     Trace(trace::Command),
-    /// Print completions for a shell.
+    /// Print the completion script of a shell.
     Completions {
         /// The shell.
         shell: Shell,
     },
 }
 
-/// What a command found.
+/// The result of a command that ran to its end.
 pub enum Found {
-    /// All is well.
+    /// The command found no problem.
     Well,
-    /// Something that its caller has to know.
+    /// The command found a problem, such as damage or a difference.
     Fault,
 }
 
-/// Runs the program by its arguments.
+/// Parses the arguments and runs the program.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
     let done = match cli.command {
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -1,4 +1,4 @@
-//! `ironpaddle trace`: what on-call staff do with recordings.
+//! `ironpaddle trace`: the commands that on-call staff run on recordings.
 
 use std::fs::File;
 use std::io::{self, BufWriter, IsTerminal, Write};
@@ -19,10 +19,10 @@
 use crate::settings::SiteSettings;
 use crate::trace::replay::{Replay, Report};
 
-/// What to do.
+/// The subcommands of `ironpaddle trace`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Tell what segments there are, whether they are whole, and what they span.
+    /// List the segments, whether they are complete, and the time that they span.
     #[command(after_help = "Example: ironpaddle trace info --verify /var/lib/ironpaddle/trace")]
     Info {
         /// Segments, or folders of them.
@@ -35,7 +35,7 @@
         #[arg(long)]
         json: bool,
     },
-    /// Print entries, a line each, in the order of their times.
+    /// Print entries, one per line, in order of time.
     #[command(
         after_help = "Example: ironpaddle trace cat --from 02:10 --to 02:11 --run-store s-5be2a07c trace/"
     )]
@@ -45,14 +45,14 @@
         paths: Vec<PathBuf>,
         #[command(flatten)]
         which: Which,
-        /// Print steps too in which nothing happened.
+        /// Also print steps in which nothing happened.
         #[arg(long)]
         all: bool,
-        /// Print JSON, an object a line.
+        /// Print JSON, one object per line.
         #[arg(long)]
         json: bool,
     },
-    /// Count service by class, group and run store.
+    /// Summarize the service by class, group and run store.
     #[command(after_help = "Example: ironpaddle trace summary --from 02:00 --to 03:00 --json trace/")]
     Summary {
         /// Segments, or folders of them.
@@ -70,10 +70,10 @@
         #[arg(long)]
         json: bool,
     },
-    /// Write a part of a trace as a trace.
+    /// Write a part of a trace to a new trace.
     #[command(
-        after_help = "A cut by time alone begins with the last checkpoint before it and can be replayed; one of \
-                            picked queries can not.\n\nExample: ironpaddle trace cut --from 02:10 --to 02:15 -o night.iptrace trace/"
+        after_help = "A cut by time alone begins with the last checkpoint before it and can be replayed; a cut of \
+                            selected queries cannot.\n\nExample: ironpaddle trace cut --from 02:10 --to 02:15 -o night.iptrace trace/"
     )]
     Cut {
         /// Segments, or folders of them.
@@ -85,7 +85,7 @@
         #[arg(short, long)]
         output: PathBuf,
     },
-    /// Write traces of several aggregators or versions as one, in order of time.
+    /// Merge traces of several aggregators or versions into one, in order of time.
     #[command(after_help = "Example: ironpaddle trace merge -o night.iptrace n0/ n1/ n2/")]
     Merge {
         /// Segments, or folders of them.
@@ -95,7 +95,7 @@
         #[arg(short, long)]
         output: PathBuf,
     },
-    /// Write a trace in which names of groups and queries are replaced; the same key gives the same names.
+    /// Write a trace in which the names of groups and queries are replaced; the same key gives the same names.
     #[command(
         after_help = "Example: ironpaddle trace anonymise --key site.key -o given-away.iptrace night.iptrace"
     )]
@@ -103,30 +103,30 @@
         /// Segments, or folders of them.
         #[arg(required = true)]
         paths: Vec<PathBuf>,
-        /// A file that holds a secret of any kind.
+        /// A file that holds the secret from which the new names are derived; any non-empty content will do.
         #[arg(long)]
         key: PathBuf,
         /// The new file.
         #[arg(short, long)]
         output: PathBuf,
     },
-    /// Feed the recorded events to the decision module again and compare what it says.
+    /// Feed the recorded events to the decision module again and compare its actions.
     #[command(after_help = "Example: ironpaddle trace replay --settings tried.json night.iptrace")]
     Replay {
         /// Segments, or folders of them.
         #[arg(required = true)]
         paths: Vec<PathBuf>,
-        /// Replay with the settings object of this file, and tell how the ends of queries differ.
+        /// Replay with the settings object of this file, and print how the ends of queries differ.
         #[arg(long)]
         settings: Option<PathBuf>,
         /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Tell what came of a query and why, part by part.
+    /// Print how a query ended and why, part by part.
     #[command(after_help = "Example: ironpaddle trace why 9b1f03aa5c7e2d41 trace/")]
     Why {
-        /// The client's id of it, or its number (q123).
+        /// The client's id of the query, or its number (q123).
         query: String,
         /// Segments, or folders of them.
         #[arg(required = true)]
@@ -137,7 +137,7 @@
     },
 }
 
-/// A span of time.
+/// The time span to which a command is limited.
 #[derive(Debug, Args)]
 pub struct Span {
     /// From this time on: RFC 3339, Unix milliseconds, HH:MM[:SS] of the trace's first day (UTC), or +30s after its
@@ -149,21 +149,21 @@
     to: Option<String>,
 }
 
-/// Which entries.
+/// Selects entries.
 #[derive(Debug, Args)]
 pub struct Which {
     #[command(flatten)]
     span: Span,
-    /// Only what is about queries of this class.
+    /// Only entries about queries of this class.
     #[arg(long)]
     class: Option<String>,
-    /// Only what is about queries of this group.
+    /// Only entries about queries of this group.
     #[arg(long)]
     group: Option<String>,
-    /// Only what is about this query, by its client's id or number.
+    /// Only entries about this query, given by the client's id of it or its number.
     #[arg(long)]
     query: Option<String>,
-    /// Only what is about queries of which an attempt went to this run store.
+    /// Only entries about queries with an attempt at this run store.
     #[arg(long)]
     run_store: Option<String>,
 }
@@ -180,16 +180,17 @@
 
 impl Span {
     fn read(&self, set: &Set) -> Result<(f64, f64), String> {
-        let (first, _) = set.span().ok_or("the trace holds no entry")?;
+        let (first, _) = set.span().ok_or("the trace holds no entries")?;
         let time = |text: &Option<String>, open| text.as_ref().map_or(Ok(open), |text| time(text, first));
         Ok((time(&self.from, f64::NEG_INFINITY)?, time(&self.to, f64::INFINITY)?))
     }
 }
 
-/// A time as people write it, in Unix milliseconds.
+/// Parses a time as `--from` and `--to` accept it, and returns Unix milliseconds. `first` is the time of the trace's
+/// first entry.
 fn time(text: &str, first: f64) -> Result<f64, String> {
     const DAY: f64 = 86_400_000.0;
-    let wrong = || format!("{text}: is no time; see --help");
+    let wrong = || format!("{text}: not a valid time; see --help");
     if let Some(after) = text.strip_prefix('+') {
         let span = humantime::parse_duration(after).map_err(|_| wrong())?;
         return Ok(first + span.as_secs_f64() * 1000.0);
@@ -211,13 +212,13 @@
     Ok(at.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0)
 }
 
-/// A time as people read it.
+/// Formats Unix milliseconds as RFC 3339.
 fn show(at: f64) -> String {
     let time = Duration::try_from_secs_f64(at / 1000.0).ok().and_then(|since| UNIX_EPOCH.checked_add(since));
     humantime::format_rfc3339_millis(time.unwrap_or(SystemTime::UNIX_EPOCH)).to_string()
 }
 
-/// Says on standard error how far a walk has come.
+/// Returns a callback that prints the progress of reading on standard error, in percent.
 fn tell_progress() -> ironpaddle_trace::set::Progress {
     let mut told = 0;
     Box::new(move |read, all| {
@@ -236,7 +237,7 @@
 /// Runs a command.
 ///
 /// # Errors
-/// If files cannot be read or written, or what was asked for is none.
+/// If files cannot be read or written, or an argument is not valid.
 pub fn run(command: Command) -> Result<Found, String> {
     match command {
         Command::Info { paths, verify, json } => info(&paths, verify, json),
@@ -286,7 +287,7 @@
     Ok(set)
 }
 
-/// Says what could not be read; that is something its caller has to know.
+/// Prints what could not be read on standard error. A missing index alone does not count as a problem.
 fn troubled(set: &Set) -> Found {
     for (path, why) in &set.troubles {
         eprintln!("ironpaddle: {}: {why}", path.display());
@@ -299,7 +300,8 @@
     }
 }
 
-/// Makes a file whole, or not at all.
+/// Creates a file atomically: writes to a temporary file and renames it, so that no incomplete file is left under the
+/// name.
 fn make(
     path: &Path,
     write: impl FnOnce(BufWriter<File>) -> Result<BufWriter<File>, Error>,
@@ -333,7 +335,7 @@
         let header = reader.header().cloned().unwrap_or_default();
         let mut versions: Vec<u8> = Vec::new();
         let mut bad = 0;
-        // The version stands in each block; the first one tells unless all are read.
+        // Each block has a version; unless all blocks are read, only that of the first one is.
         for no in 0..if verify { blocks.len() } else { blocks.len().min(1) } {
             match reader.block(no) {
                 Ok(block) if !versions.contains(&block.version) => versions.push(block.version),
@@ -409,7 +411,7 @@
     Ok(troubled(&set))
 }
 
-/// Whether a step says nothing but that time has passed.
+/// Returns true for a step that consists of nothing but wakes.
 fn is_empty(record: &Record) -> bool {
     match record {
         Record::Step(step) => {
@@ -450,7 +452,7 @@
         }
     });
     match failed.or_else(|| out.flush().err()) {
-        // Who reads no further has seen enough.
+        // The reader closed the pipe, as `head` does; that is not an error.
         Some(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(Found::Well),
         Some(error) => Err(error.to_string()),
         None => Ok(troubled(&set)),
@@ -566,7 +568,7 @@
     Ok(if differs { Found::Fault } else { Found::Well })
 }
 
-/// A settings object from a file of its own, or from a configuration file.
+/// Reads a settings object from a file that holds only this object, or from a configuration file.
 fn read_settings(path: &Path) -> Result<SiteSettings, String> {
     let failed = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
     let text = std::fs::read_to_string(path).map_err(|error| failed(&error))?;
