--- a/src/bin/ironpaddle-simhost/main.rs
+++ b/src/bin/ironpaddle-simhost/main.rs
@@ -1,5 +1,5 @@
-//! The bench's adapter: batches of events on standard input, a reply of
-//! commands for each on standard output. It translates and decides nothing.
+//! Hosts the decision module for a simulator. Reads batches of events on standard input, one per line, and writes a
+//! reply with commands for each on standard output. It only translates between the simulator's protocol and the module.
 
 mod wire;
 
@@ -13,36 +13,43 @@
 use ironpaddle::Router;
 use wire::{Batch, Command, Member, Reply, WireEvent};
 
-/// One instance of the module with the names of its settings.
+/// An instance of the decision module, with the indexes of the class and tenant names in its settings.
 struct Instance {
     router: Router,
     names: Names,
-    /// Events of the batch in hand.
+    /// The events of the current batch.
     inbox: Vec<Event>,
+    /// True if the current batch has an event for this instance, so that it has to take a step.
     touched: bool,
 }
 
+/// The hosted instances and the lists that the simulator has registered.
 #[derive(Default)]
 struct Host {
+    /// The instances by their number (`co-ordinator` in the protocol).
     instances: BTreeMap<u64, Instance>,
+    /// The registered lists by their number; a later registration replaces an earlier one.
     sheets: BTreeMap<u32, Vec<Member>>,
 }
 
 impl Host {
+    /// Returns an instance and marks it for a step in this batch.
     fn instance(&mut self, number: u64) -> Result<&mut Instance, String> {
         let instance = self
             .instances
             .get_mut(&number)
-            .ok_or_else(|| format!("co-ordinator {number} has had no HELLO"))?;
+            .ok_or_else(|| format!("co-ordinator {number} has not sent HELLO"))?;
         instance.touched = true;
         Ok(instance)
     }
 
+    /// Queues an event for an instance.
     fn push(&mut self, number: u64, event: Event) -> Result<(), String> {
         self.instance(number)?.inbox.push(event);
         Ok(())
     }
 
+    /// Applies one event of the protocol.
     fn take(&mut self, now: f64, event: WireEvent) -> Result<(), String> {
         match event {
             WireEvent::Hello { instance, entropy, site } => {
@@ -111,6 +118,7 @@
         }
     }
 
+    /// Applies a batch and steps each instance that it addresses. A panic of the module becomes an `INTERNAL_ERROR`.
     fn batch(&mut self, batch: Batch) -> Result<Reply, String> {
         for event in batch.events {
             self.take(batch.now_ms, event)?;
@@ -141,6 +149,7 @@
     }
 }
 
+/// Answers each line of standard input until it ends or a batch is not valid.
 fn run() -> Result<(), String> {
     let mut host = Host::default();
     let mut out = io::stdout().lock();
--- a/src/bin/ironpaddle-simhost/wire.rs
+++ b/src/bin/ironpaddle-simhost/wire.rs
@@ -1,5 +1,4 @@
-//! The bench's wire, as plain serde types, and its translation to the
-//! router's interface. Nothing here decides anything.
+//! The simulator's line protocol as serde types, and its translation to the router's interface.
 
 use std::sync::Arc;
 
@@ -8,6 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
+/// One line of input: the events that occur at one time.
 #[derive(Deserialize)]
 pub struct Batch {
     pub now_ms: f64,
@@ -16,12 +16,14 @@
     pub events: Vec<WireEvent>,
 }
 
+/// One line of output: the commands of one batch.
 #[derive(Serialize)]
 pub struct Reply {
     pub seq: Option<Value>,
     pub cmds: Vec<Command>,
 }
 
+/// An event of the simulator.
 #[derive(Deserialize)]
 #[serde(tag = "type", rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum WireEvent {
@@ -86,6 +88,7 @@
     },
 }
 
+/// An accepted query, or one part of a query.
 #[derive(Deserialize)]
 pub struct Accept {
     #[serde(rename = "co-ordinator")]
@@ -107,6 +110,7 @@
     pub repeat: Option<bool>,
 }
 
+/// The kind of a list: changed lines, a full list, a cached list, or none because discovery failed.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum ListKind {
@@ -116,6 +120,7 @@
     Broken,
 }
 
+/// One run store in a list.
 #[derive(Deserialize, Clone)]
 pub struct Member {
     pub replica: String,
@@ -130,6 +135,7 @@
     pub boot_time_ms: Option<f64>,
 }
 
+/// The state of a run store in a list.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum StageState {
@@ -138,6 +144,7 @@
     Terminated,
 }
 
+/// The outcome of an attempt or a probe.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
@@ -151,6 +158,7 @@
     Superseded,
 }
 
+/// The load report of a run store.
 #[derive(Deserialize, Clone, Copy)]
 pub struct Report {
     #[serde(default)]
@@ -163,6 +171,7 @@
     pub throughput: Option<f64>,
 }
 
+/// A command to the simulator.
 #[derive(Serialize)]
 #[serde(tag = "type", rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Command {
@@ -246,6 +255,7 @@
     }
 }
 
+/// Translates a list; returns `None` if the kind needs lines and there are none.
 pub fn list_news(kind: ListKind, sheet: Option<&Vec<Member>>) -> Option<api::ListUpdate> {
     let lines = || Some(sheet?.iter().map(Member::to_replica).collect());
     Some(match kind {
@@ -283,7 +293,8 @@
 }
 
 impl Accept {
-    /// A query or a part, as `slab` tells; an error names what is unknown.
+    /// Translates to a query if `slab` is negative, and otherwise to a part of shard `slab`. Fails if the class is not
+    /// in the settings.
     pub fn event(&self, names: &Names, now: api::Millis) -> Result<api::Event, String> {
         let key = self.partition_key.as_deref().map(Arc::from);
         if self.slab >= 0.0 {
@@ -318,6 +329,7 @@
     }
 }
 
+/// Translates an action of the module to a command.
 pub fn command(instance: u64, action: api::Action) -> Command {
     use api::Action;
     match action {
