--- a/benches/list.rs
+++ b/benches/list.rs
@@ -1,7 +1,8 @@
-//! The cost of taking in a whole list: from the bytes of discovery's answer to what the core tells the router, by the
-//! number of lines, in time and in memory at the most.
+//! Measures the time and peak memory of applying a whole list, by its number of lines: from the bytes of discovery's
+//! answer to the core's event for the router.
 //!
-//! `cargo bench --bench list`; the column "max alloc" has the most that was held at once, beside the answer's bytes.
+//! Run `cargo bench --bench list`. The column "max alloc" shows the peak of allocated memory; it does not include the
+//! bytes of the answer.
 
 use divan::{AllocProfiler, Bencher};
 use ironpaddle::core::{Core, DirectoryUpdate};
@@ -19,7 +20,7 @@
     divan::main();
 }
 
-/// An answer of discovery with a whole list, as it comes over a connection.
+/// Returns the HTTP response of discovery with a whole list.
 fn answer(lines: usize) -> Vec<u8> {
     let line = |no: usize| {
         format!(
@@ -38,16 +39,16 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Reads an answer as the client does, piece by piece.
+/// Parses a response in chunks, as the client reads it.
 fn read(answer: &[u8]) -> Message {
     let mut parser = Parser::new(Kind::Response(answer.len()));
     for bytes in answer.chunks(8192) {
         parser.push(bytes);
-        if let Some(message) = parser.next_message().expect("an answer of HTTP") {
+        if let Some(message) = parser.next_message().expect("a valid HTTP response") {
             return message;
         }
     }
-    panic!("the answer is whole")
+    panic!("the response is incomplete")
 }
 
 fn news(message: Message) -> DirectoryUpdate {
@@ -64,10 +65,10 @@
         "tick_ms": 5.0,
     }))
     .expect("settings");
-    Core::new(&site, 7).expect("sound settings")
+    Core::new(&site, 7).expect("valid settings")
 }
 
-/// Bytes to lines: all that the watch does by itself.
+/// From bytes to lines: the work of the directory watch alone.
 #[divan::bench(args = LINES)]
 fn read_and_parse(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
@@ -75,7 +76,7 @@
     bencher.bench_local(|| news(read(&answer)));
 }
 
-/// Lines to the router's event and the transport's orders, at a start.
+/// From lines to the router's event and the transport's commands, for the first list after a start.
 #[divan::bench(args = LINES, max_time = 20)]
 fn take_a_first_list(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
@@ -85,7 +86,7 @@
     });
 }
 
-/// The same where all lines were known, as after a watch that broke.
+/// The same with a list whose lines are all known, as after a broken watch.
 #[divan::bench(args = LINES, max_time = 20)]
 fn take_the_same_list_again(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
@@ -101,7 +102,8 @@
     });
 }
 
-/// Bytes to events and orders, at a start: what the serving thread is held for, and its memory.
+/// From bytes to events and commands, for the first list after a start: how long the serving thread is blocked, and
+/// the memory that it needs.
 #[divan::bench(args = LINES, max_time = 20)]
 fn bytes_to_events(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet under load for the benchmarks, which turns over as it would: each part is completed after the same time, and
-//! the clock goes on by so much that what is in flight stays the same (Little's law).
+//! Simulates a fleet under a steady load for the benchmarks. Each part completes after the same time, and the clock
+//! advances between queries so that the number of parts in flight stays the same (Little's law).
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -7,13 +7,14 @@
 use ironpaddle::api::*;
 use ironpaddle::Router;
 
-/// How long each part takes.
+/// The latency of each part, in milliseconds.
 const LATENCY: Millis = 200.0;
-/// Queries that come in one step while the load is built, at most.
+/// The maximum number of queries that arrive in one step while the load is built.
 const CLUMP: usize = 50;
+/// The router's tick, in milliseconds.
 pub const TICK: Millis = 5.0;
 
-/// A fleet and what is out on it.
+/// A fleet and the parts in flight on it.
 pub struct Load {
     router: Router,
     pub now: Millis,
@@ -25,8 +26,8 @@
 }
 
 impl Load {
-    /// So many run stores, each shard held by three of them or by all, with so many parts in flight; `None` if that took
-    /// longer than it may.
+    /// Builds a fleet of `stores` run stores with `flights` parts in flight. Each shard is held by all run stores if `all`
+    /// is true, and otherwise by three. Returns `None` if building takes longer than `within`.
     pub fn new(stores: u32, flights: usize, all: bool, within: Duration) -> Option<Self> {
         let class = |repeat| Class {
             aim: 2000.0,
@@ -61,11 +62,11 @@
             ..Settings::default()
         };
         let begun = Instant::now();
-        let router = Router::new(settings, 7).expect("sound");
+        let router = Router::new(settings, 7).expect("valid settings");
         let mut load = Load { router, now: 0.0, next: 0, stores, cells, flights, out: VecDeque::new() };
         load.list(load.lines());
-        // It turns over once in full, so that reports, rates and paces are known, and what was refused meanwhile, as the
-        // first parts tell of paces under no load, is made up for.
+        // Every part in flight is replaced once, so that the router knows load reports, rates and paces. Some queries
+        // are refused meanwhile, as the first parts show the pace without load; more are sent in their place.
         let clump = (flights / 20).clamp(1, CLUMP);
         let mut turns = 0;
         while turns < flights || load.out.len() < flights {
@@ -83,21 +84,23 @@
         Some(load)
     }
 
-    /// The whole list.
+    /// Returns the whole list.
     pub fn lines(&self) -> Vec<Replica> {
         (0..self.stores).map(|no| self.line(no, ReplicaState::Active)).collect()
     }
 
+    /// Returns one line of the list.
     pub fn line(&self, no: u32, state: ReplicaState) -> Replica {
         let id = format!("s-{no}").as_str().into();
         Replica { id, cell: no % self.cells, weight: 1.0, state, ..Replica::default() }
     }
 
-    /// Takes in a whole list.
+    /// Applies a whole list.
     pub fn list(&mut self, lines: Vec<Replica>) {
         self.play(vec![Event::List(ListUpdate::Full(lines))]);
     }
 
+    /// Returns the events of a new query of one part.
     fn query(&mut self) -> [Event; 2] {
         self.next += 1;
         self.now += LATENCY / self.flights as f64;
@@ -120,7 +123,7 @@
         ]
     }
 
-    /// A query of one part comes, and the part that is out longest is completed.
+    /// Returns the events of one turnover: a query of one part arrives, and the part longest in flight completes.
     pub fn turn(&mut self) -> Vec<Event> {
         let mut events = self.query().to_vec();
         if let Some((part, replica, sent)) = self.out.pop_front() {
@@ -140,6 +143,7 @@
         events
     }
 
+    /// Steps the router with some events and notes the parts that it sends.
     pub fn play(&mut self, events: Vec<Event>) {
         for action in self.router.step(self.now, events) {
             if let Action::Send { part, replica, .. } = action {
--- a/benches/module.rs
+++ b/benches/module.rs
@@ -1,7 +1,7 @@
-//! The cost of a step of the decision module, by the size of the fleet and by what is in flight: in each step one query of
-//! one part comes and one part that is out is completed.
+//! Measures the cost of a step of the decision module, by the size of the fleet and the number of parts in flight. In
+//! each step one query of one part arrives and one part in flight completes.
 //!
-//! `cargo bench --bench module`; the whole grid, with figures, is `benches/scale.rs`.
+//! Run `cargo bench --bench module`. `benches/scale.rs` measures the whole grid.
 
 mod load;
 
@@ -15,7 +15,7 @@
 }
 
 fn steps(bencher: Bencher, stores: u32, flights: usize, all: bool) {
-    let mut load = Load::new(stores, flights, all, Duration::MAX).expect("there is time enough");
+    let mut load = Load::new(stores, flights, all, Duration::MAX).expect("no time limit");
     let events = load.turn();
     load.play(events);
     bencher.bench_local(move || {
@@ -24,19 +24,19 @@
     });
 }
 
-/// In flight: 100 to 10,000 at 60 run stores, of which three hold a shard.
+/// 100 to 10,000 parts in flight on 60 run stores, three of which hold each shard.
 #[divan::bench(args = [100, 1000, 4000, 10_000])]
 fn in_flight_at_60(bencher: Bencher, flights: usize) {
     steps(bencher, 60, flights, false);
 }
 
-/// The fleet: 60 to 57,000 run stores with 1000 in flight, of which three hold a shard.
+/// 60 to 57,000 run stores, three of which hold each shard, with 1000 parts in flight.
 #[divan::bench(args = [60, 600, 6000, 57_000])]
 fn stores_of_which_three_hold(bencher: Bencher, stores: u32) {
     steps(bencher, stores, 1000, false);
 }
 
-/// The fleet where all hold each shard: 60 to 600 run stores with 1000 in flight.
+/// 60 to 600 run stores, all of which hold each shard, with 1000 parts in flight.
 #[divan::bench(args = [60, 600])]
 fn stores_of_which_all_hold(bencher: Bencher, stores: u32) {
     steps(bencher, stores, 1000, true);
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -1,8 +1,9 @@
-//! The cost of a step of the decision module, and the memory of its state, over a grid of run stores and parts in flight.
+//! Measures the cost of a step of the decision module, and the memory of its state, over a grid of run stores and parts
+//! in flight.
 //!
-//! `cargo bench --bench scale -- [--stores 60,600] [--in-flight 100,1000] [--limit SECONDS] [--series FILE]` prints a table; the
-//! file is for fitting slopes. A cell whose load is not built within the limit is named and left out. Figures are in
-//! `docs/measurements/scale.md`.
+//! `cargo bench --bench scale -- [--stores 60,600] [--in-flight 100,1000] [--limit SECONDS] [--series FILE]` prints a
+//! table; the file holds the series from which slopes are fitted. A grid cell whose load is not built within the limit
+//! is printed as such and skipped. Figures are in `docs/measurements/scale.md`.
 
 mod load;
 
@@ -14,12 +15,13 @@
 use ironpaddle::api::{Event, ListUpdate, ReplicaState};
 use load::{Load, TICK};
 
-/// Bytes that are allocated.
+/// The number of bytes that are allocated.
 static HELD: AtomicUsize = AtomicUsize::new(0);
 
+/// The system's allocator with a count of the allocated bytes.
 struct Counting;
 
-// SAFETY: all is handed to the system's allocator as it came.
+// SAFETY: every call is forwarded unchanged to the system's allocator.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         HELD.fetch_add(layout.size(), Relaxed);
@@ -35,15 +37,17 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
+/// The name and unit of each measure.
 const MEASURES: [(&str, &str); 5] =
     [("quiet_tick", "us"), ("step", "us"), ("changed_line", "us"), ("whole_list", "us"), ("state", "bytes")];
-/// Samples of each measure, and the time that they may take, from which no more are begun once there are three.
+/// The maximum number of samples of each measure.
 const SAMPLES: usize = 300;
+/// The time after which sampling stops, if there are at least three samples.
 const SAMPLING: Duration = Duration::from_millis(800);
-/// Quiet ticks at most: no part may be out for so long that it counts as silent.
+/// The maximum number of quiet ticks. With more, a part would be in flight for so long that it counts as silent.
 const QUIET: usize = 30;
 
-/// The median time of a play in us; the events are made outside of it.
+/// Returns the median time of a step in us, without the time to create its events.
 fn median(load: &mut Load, samples: usize, make: impl Fn(&mut Load) -> Vec<Event>) -> f64 {
     let (begun, mut took) = (Instant::now(), Vec::new());
     while took.len() < samples && (took.len() < 3 || begun.elapsed() < SAMPLING) {
@@ -56,13 +60,13 @@
     took[took.len() / 2]
 }
 
-/// A tick in which nothing happens.
+/// Returns the events of a tick in which nothing happens.
 fn tick(load: &mut Load) -> Vec<Event> {
     load.now += TICK;
     vec![Event::Wake]
 }
 
-/// One line that changed: a run store drains, and is back in the next one.
+/// Returns a list with one changed line: alternately a run store starts to drain and becomes active again.
 fn changed(load: &mut Load) -> Vec<Event> {
     load.next += 1;
     let state = if load.next.is_multiple_of(2) { ReplicaState::Active } else { ReplicaState::Draining };
@@ -70,7 +74,8 @@
     vec![Event::List(ListUpdate::Changes(vec![load.line(no as u32, state)]))]
 }
 
-/// The figures of one cell, in the order of [`MEASURES`].
+/// Measures one grid cell; the figures are in the order of [`MEASURES`]. Returns `None` if the load is not built in
+/// time.
 fn cell(stores: u32, flights: usize, limit: Duration) -> Option<[f64; 5]> {
     let before = HELD.load(Relaxed);
     let mut load = Load::new(stores, flights, false, limit)?;
@@ -83,7 +88,7 @@
 }
 
 fn numbers(text: &str) -> Vec<u32> {
-    text.split(',').map(|number| number.parse().expect("whole numbers, with commas between")).collect()
+    text.split(',').map(|number| number.parse().expect("whole numbers separated by commas")).collect()
 }
 
 fn main() {
@@ -97,9 +102,9 @@
             "--in-flight" => flights = numbers(&value()),
             "--limit" => limit = Duration::from_secs(value().parse().expect("whole seconds")),
             "--series" => series = Some(value()),
-            // Cargo's own.
+            // Passed by `cargo bench`.
             "--bench" => {}
-            _ => panic!("unknown: {word}"),
+            _ => panic!("unknown argument: {word}"),
         }
     }
     println!("| run stores | in flight | quiet tick, us | step, us | changed line, us | whole list, ms | state, MB |");
@@ -122,7 +127,7 @@
     }
 }
 
-/// The figures along each axis with the other one held, as TOML.
+/// Formats the figures as TOML series along each axis, with the other axis fixed.
 fn slopes(cells: &[(u32, u32, [f64; 5])], stores: &[u32], flights: &[u32]) -> String {
     let mut text = String::new();
     for (at, (measure, unit)) in MEASURES.iter().enumerate() {
