--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter end to end, on hand-written batches.
+//! Tests `ironpaddle-simhost` end to end with hand-written batches.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -142,7 +142,8 @@
     let tick = json!({"type": "TICK_DUE", "co-ordinator": 3, "cookie": "wake"});
     let mut input = batch(5.0, 1, &[hello, register, registry]);
     let (mut now, mut seq) = (10.0, 2);
-    // Served at first; then what is sent after more than an aim of idleness is lost at once each time.
+    // The first part is served. Each later one is sent after the connection was idle for longer than the aim, and its
+    // connection fails at once.
     for (job, status) in (1u64..).zip(["completed", "severed", "severed", "severed"]) {
         let (query, id) = (format!("q{job}"), format!("p{job}"));
         input += &batch(now, seq, &[part(&query, job, -1, now), part(&id, job, 0, now)]);
@@ -154,7 +155,7 @@
             again["attempt"] = json!(1);
             input += &batch(now + 12.0, seq + 3, &[again]);
         }
-        // The wakes that it asks for come in time: it has not stood still itself.
+        // The requested wakes arrive in time, so the module does not conclude that it was stalled itself.
         let wakes = (2..24).map(|n| now + 25.0 * f64::from(n));
         for wake in wakes {
             input += &batch(wake, seq + 4, std::slice::from_ref(&tick));
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,4 +1,4 @@
-//! A recording replays to the same actions, whatever happened in it, and a summary of it equals the counts.
+//! Tests that a recording replays to the same actions, whatever happened in it, and that its summary equals the counts.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -20,7 +20,7 @@
 use ironpaddle_trace::summary::{summarise, Only, Summary};
 use serde_json::json;
 
-/// Unix milliseconds at which these days begin.
+/// The time at which each simulated day begins, in Unix milliseconds.
 const BEGIN: f64 = 1_764_608_400_000.0;
 const STORES: usize = 8;
 
@@ -51,7 +51,7 @@
     (0..STORES).map(line).collect()
 }
 
-/// Plays a day of some trouble against a core, of which a tape is kept; gives back the jobs and the core.
+/// Plays a day with faults against a core that is recorded, and returns the recorded jobs and the core.
 fn day(seed: u64, limits: Limits, mut meddle: impl FnMut(&mut Core, f64)) -> (Vec<Job>, Core) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut core = Core::new(&site(1000.0), seed).unwrap();
@@ -96,7 +96,7 @@
             }
         }
         for call in calls(&commands) {
-            // Two run stores fail much, one is slow.
+            // Two run stores fail often, and one is slow.
             let slow = if &*call.replica.0 == "s-2" { 900.0 } else { 60.0 };
             out.push((now + random.f64() * slow, call));
         }
@@ -137,7 +137,7 @@
     std::iter::from_fn(|| trace_writer.next_job()).collect()
 }
 
-/// The segments that some jobs make.
+/// Writes jobs to segments, and returns their bytes.
 fn segments(jobs: Vec<Job>) -> Vec<Vec<u8>> {
     let (mut made, mut writer): (Vec<Vec<u8>>, Option<Writer<Vec<u8>>>) = (Vec::new(), None);
     for job in jobs {
@@ -173,7 +173,7 @@
 
 const LONG: Limits = Limits { bytes: u64::MAX, age: f64::INFINITY };
 
-/// Segments in a folder of their own, read as a set.
+/// Writes segments to a folder of their own, and summarizes them as a set.
 fn summary(segments: &[Vec<u8>]) -> Summary {
     static MADE: AtomicUsize = AtomicUsize::new(0);
     let no = MADE.fetch_add(1, Ordering::Relaxed);
@@ -199,7 +199,7 @@
         assert_eq!(report.difference, None, "seed {seed}");
         assert_eq!((report.checkpoints, report.steps, report.skipped), (1, 4000, 0));
         assert!(report.actions > 5000, "{report:?}");
-        // The day was one that tries the module.
+        // The day has failures of each kind.
         let ends = core.counters.ends;
         assert!(ends[1] > 10 && ends[2] > 10 && ends[5] > 10 && ends[6] > 10, "{ends:?}");
     }
@@ -218,7 +218,7 @@
         steps += report.steps;
     }
     assert_eq!(steps, 4000);
-    // Most begin in the middle of things.
+    // Later segments begin with queries in flight.
     let mut open = 0;
     each(&segments[1..], |block, entry| {
         if let (Record::Step(step), 0) = (&entry.record, open) {
@@ -264,7 +264,7 @@
     let [loss] = lost[..] else { panic!("{lost:?}") };
     assert!(loss.records > 40 && loss.records < 2000, "{loss:?}");
     assert!(report.steps < 4000 && report.steps > 3500, "{}", report.steps);
-    // The summary says how much of what was counted the trace lacks.
+    // The summary shows how many of the counted queries are missing from the trace.
     let summary = summary(&segments);
     let counted = &core.counters.classes["search"];
     let (told, missing) = (&summary.classes["search"], summary.processes[0].missing["search"]);
