--- a/src/trace/convert.rs
+++ b/src/trace/convert.rs
@@ -1,4 +1,4 @@
-//! Converts between the interface of the decision module and the records of a trace, in both directions without loss.
+//! Converts between the interface of the decision module and the records of a trace, without loss in both directions.
 //!
 //! The core names queries `qN` and parts `qN.SHARD`, so records hold only the numbers; see [`query_id`] and [`part_id`].
 
