--- a/src/config.rs
+++ b/src/config.rs
@@ -13,7 +13,7 @@
 
 use crate::directory::list::List;
 use crate::settings::SiteSettings;
-use crate::trace::recorder::Keep;
+use crate::trace::recorder::Retention;
 use crate::trace::writer;
 
 /// Descriptors kept for everything else: standard streams, the reactor, listeners, discovery, operators' calls.
@@ -132,10 +132,10 @@
 
 impl Trace {
     /// The same, for a recorder.
-    pub fn keep(&self) -> Keep {
+    pub fn keep(&self) -> Retention {
         let bytes = |mb: f64| (mb * 1_048_576.0) as u64;
         let limits = writer::Limits { bytes: bytes(self.segment_mb), age: self.segment_s * 1000.0 };
-        Keep { dir: self.dir.clone(), limits, most: bytes(self.keep_mb) }
+        Retention { dir: self.dir.clone(), limits, max_bytes: bytes(self.keep_mb) }
     }
 }
 
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -83,7 +83,7 @@
         if let Err(why) = act(&self.driver) {
             return Response::text(500, &why);
         }
-        match serde_json::to_vec(&control.standing()) {
+        match serde_json::to_vec(&control.status()) {
             Ok(body) => Response::new(200, "application/json", body),
             Err(why) => Response::text(500, &why.to_string()),
         }
--- a/src/trace/control.rs
+++ b/src/trace/control.rs
@@ -6,44 +6,44 @@
 use ironpaddle_trace::file::Source;
 use ironpaddle_trace::keep::Job;
 
-use super::recorder::{Keep, Recorder, Standing};
+use super::recorder::{Recorder, RecordingStatus, Retention};
 use super::writer::TraceWriter;
 use crate::api::Millis;
 use crate::core::Core;
 use crate::log;
 
 /// The maximum number of connection ends that wait to be recorded; further ones are discarded.
-const MOST_CLOSED: usize = 4096;
+const MAX_PENDING_ENDS: usize = 4096;
 
 /// The end of a connection: its time, the kind of connection, the peer's address, the reason code, and a note.
-type Closed = (Millis, String, String, String, String);
+type ConnectionEnd = (Millis, String, String, String, String);
 
 /// Controls the recording of one process.
 pub struct Control {
-    keep: Keep,
+    retention: Retention,
     source: Source,
     recorder: RefCell<Option<Recorder>>,
     /// Ends of connections that are not recorded yet.
-    closed: Rc<RefCell<Vec<Closed>>>,
+    closed: Rc<RefCell<Vec<ConnectionEnd>>>,
     /// The number of the next segment.
     segment: Cell<u64>,
     /// The number of records that were lost.
     lost: Cell<u64>,
     /// The number of lost records that no segment on the disk records yet.
-    untold: Cell<u64>,
+    unrecorded: Cell<u64>,
 }
 
 impl Control {
     /// Creates the control of one process, with the recording switched off.
-    pub fn new(keep: Keep, source: Source) -> Self {
+    pub fn new(retention: Retention, source: Source) -> Self {
         let (recorder, closed) = (RefCell::default(), Rc::default());
-        let (segment, lost, untold) = (Cell::new(0), Cell::new(0), Cell::new(0));
-        Control { keep, source, recorder, closed, segment, lost, untold }
+        let (segment, lost, unrecorded) = (Cell::new(0), Cell::new(0), Cell::new(0));
+        Control { retention, source, recorder, closed, segment, lost, unrecorded }
     }
 
     /// Returns true if the recording is on.
     pub fn is_on(&self) -> bool {
-        self.recorder.borrow().as_ref().is_some_and(|recorder| recorder.standing().recording)
+        self.recorder.borrow().as_ref().is_some_and(|recorder| recorder.status().recording)
     }
 
     /// Switches the recording on. Does nothing if it is on already.
@@ -54,8 +54,8 @@
         if self.is_on() {
             return Ok(());
         }
-        let recorder =
-            Recorder::start(&self.keep).map_err(|why| format!("{}: {why}", self.keep.dir.display()))?;
+        let recorder = Recorder::start(&self.retention)
+            .map_err(|why| format!("{}: {why}", self.retention.dir.display()))?;
         self.begin(recorder, core, clock);
         Ok(())
     }
@@ -63,12 +63,12 @@
     /// Attaches a recorder to the core, which is recorded from now on.
     pub fn begin(&self, recorder: Recorder, core: &mut Core, clock: impl Fn() -> Millis + 'static) {
         *self.recorder.borrow_mut() = Some(recorder);
-        let trace_writer = TraceWriter::new(self.source.clone(), self.keep.limits, self.segment.get());
+        let trace_writer = TraceWriter::new(self.source.clone(), self.retention.limits, self.segment.get());
         core.record(clock(), Some(trace_writer));
         let closed = self.closed.clone();
         log::watch(Some(Box::new(move |kind, peer, code, note| {
             let mut closed = closed.borrow_mut();
-            if closed.len() < MOST_CLOSED {
+            if closed.len() < MAX_PENDING_ENDS {
                 closed.push((clock(), kind.into(), peer.into(), code.into(), note.into()));
             }
         })));
@@ -108,34 +108,34 @@
         }
         let mut recorder = self.recorder.borrow_mut();
         let Some(recorder) = &mut *recorder else { return };
-        if recorder.is_begun() {
-            trace_writer.begun();
-            self.untold.set(trace_writer.untold());
+        if recorder.is_segment_begun() {
+            trace_writer.segment_written();
+            self.unrecorded.set(trace_writer.unrecorded_losses());
         }
-        if let Some(records) = recorder.failed() {
+        if let Some(records) = recorder.take_failure() {
             trace_writer.lost(now, now, records);
         }
         while let Some(job) = trace_writer.next_job() {
-            let from = first(&job).unwrap_or(now);
-            let records = recorder.take(job);
+            let from = first_entry_at(&job).unwrap_or(now);
+            let records = recorder.submit(job);
             if records > 0 {
                 trace_writer.lost(now, from, records);
             }
         }
         self.count_lost(trace_writer);
-        trace_writer.grown(recorder.size());
+        trace_writer.set_segment_size(recorder.size());
     }
 
     /// Adds the records lost since the last call to the total.
     fn count_lost(&self, trace_writer: &TraceWriter) {
-        let before = self.untold.replace(trace_writer.untold());
-        self.lost.set(self.lost.get() + trace_writer.untold().saturating_sub(before));
+        let before = self.unrecorded.replace(trace_writer.unrecorded_losses());
+        self.lost.set(self.lost.get() + trace_writer.unrecorded_losses().saturating_sub(before));
     }
 
     /// Returns the status of the recording.
-    pub fn standing(&self) -> Standing {
-        let standing = self.recorder.borrow().as_ref().map(Recorder::standing).unwrap_or_default();
-        Standing { lost: self.lost.get(), ..standing }
+    pub fn status(&self) -> RecordingStatus {
+        let status = self.recorder.borrow().as_ref().map(Recorder::status).unwrap_or_default();
+        RecordingStatus { lost: self.lost.get(), ..status }
     }
 
     /// Returns true once everything is written after [`Control::stop`].
@@ -145,7 +145,7 @@
 }
 
 /// Returns the time of the first entry in a job.
-fn first(job: &Job) -> Option<Millis> {
+fn first_entry_at(job: &Job) -> Option<Millis> {
     match job {
         Job::Open(_, batch) | Job::Add(batch) => Some(batch.first()),
         Job::Close => None,
--- a/src/trace/convert.rs
+++ b/src/trace/convert.rs
@@ -1,6 +1,7 @@
 //! Converts between the interface of the decision module and the records of a trace, without loss in both directions.
 //!
-//! The core names queries `qN` and parts `qN.SHARD`, so records hold only the numbers; see [`query_id`] and [`part_id`].
+//! The core names queries `qN` and parts `qN.SHARD`, so records hold only the numbers; see [`query_id`] and
+//! [`part_id`].
 
 use std::sync::Arc;
 
@@ -25,17 +26,17 @@
 }
 
 /// Returns the number of a query, given the module's id of it.
-fn number(id: &QueryId) -> u64 {
+fn query_number(id: &QueryId) -> u64 {
     id.0.get(1..).and_then(|no| no.parse().ok()).unwrap_or(0)
 }
 
 /// Returns the query and shard of a part, given the module's id of it.
-fn place(id: &PartId) -> (u64, u32) {
-    let words = id.0.get(1..).and_then(|text| text.split_once('.'));
-    words.and_then(|(no, shard)| Some((no.parse().ok()?, shard.parse().ok()?))).unwrap_or((0, 0))
+fn part_numbers(id: &PartId) -> (u64, u32) {
+    let numbers = id.0.get(1..).and_then(|text| text.split_once('.'));
+    numbers.and_then(|(no, shard)| Some((no.parse().ok()?, shard.parse().ok()?))).unwrap_or((0, 0))
 }
 
-fn outcome_out(outcome: Outcome) -> record::Outcome {
+fn outcome_to_record(outcome: Outcome) -> record::Outcome {
     match outcome {
         Outcome::Completed => record::Outcome::Completed,
         Outcome::Errored => record::Outcome::Errored,
@@ -48,7 +49,7 @@
     }
 }
 
-fn outcome_in(outcome: record::Outcome) -> Outcome {
+fn outcome_from_record(outcome: record::Outcome) -> Outcome {
     match outcome {
         record::Outcome::Completed => Outcome::Completed,
         record::Outcome::Errored => Outcome::Errored,
@@ -61,10 +62,10 @@
     }
 }
 
-fn reason_out(reason: AttemptReason) -> record::Why {
+fn reason_to_record(reason: AttemptReason) -> record::Why {
     match reason {
         AttemptReason::First => record::Why::First,
-        AttemptReason::After(outcome) => record::Why::After(outcome_out(outcome)),
+        AttemptReason::After(outcome) => record::Why::After(outcome_to_record(outcome)),
         AttemptReason::Silent => record::Why::Silent,
         AttemptReason::Overtaken => record::Why::Overtaken,
         AttemptReason::Dropped => record::Why::Dropped,
@@ -73,7 +74,7 @@
 }
 
 /// Converts a cause to a record.
-pub fn cause_out(cause: Cause) -> record::Cause {
+pub fn cause_to_record(cause: Cause) -> record::Cause {
     match cause {
         Cause::NoList => record::Cause::NoList,
         Cause::NoHolder(shard) => record::Cause::NoHolder(shard.0),
@@ -91,7 +92,7 @@
     }
 }
 
-fn load_out(load: &LoadReport) -> Load {
+fn load_to_record(load: &LoadReport) -> Load {
     Load {
         queue: load.queue.map(Num::of),
         in_flight: load.in_flight.map(Num::of),
@@ -100,7 +101,7 @@
     }
 }
 
-fn load_in(load: &Load) -> LoadReport {
+fn load_from_record(load: &Load) -> LoadReport {
     LoadReport {
         queue: load.queue.map(Num::value),
         in_flight: load.in_flight.map(Num::value),
@@ -109,7 +110,7 @@
     }
 }
 
-fn line_out(batch: &mut Batch, line: &Replica) -> Line {
+fn line_to_record(batch: &mut Batch, line: &Replica) -> Line {
     Line {
         run_store: batch.name(Kind::RunStore, &line.id.0),
         zone: line.zone.to_string(),
@@ -124,7 +125,7 @@
     }
 }
 
-fn line_in(block: &Block, line: &Line) -> Replica {
+fn line_from_record(block: &Block, line: &Line) -> Replica {
     Replica {
         id: ReplicaId::from(block.text(line.run_store)),
         zone: line.zone.as_str().into(),
@@ -140,19 +141,19 @@
 }
 
 /// Converts an event to a record. Keys are recorded only if `keys` is true, that is, if the module routes by them.
-pub fn event_out(batch: &mut Batch, now: Millis, event: &Event, keys: bool) -> record::Event {
+pub fn event_to_record(batch: &mut Batch, now: Millis, event: &Event, keys: bool) -> record::Event {
     let key = |batch: &mut Batch, key: &Option<Arc<str>>| {
         key.as_ref().filter(|_| keys).map(|key| batch.name(Kind::Key, key))
     };
     match event {
-        Event::List(news) => {
-            let (kind, lines) = match news {
+        Event::List(update) => {
+            let (kind, lines) = match update {
                 ListUpdate::Cached(lines) => (ListKind::Cached, lines.as_slice()),
                 ListUpdate::Full(lines) => (ListKind::Full, lines.as_slice()),
                 ListUpdate::Changes(lines) => (ListKind::Changes, lines.as_slice()),
                 ListUpdate::Failed => (ListKind::Broken, &[][..]),
             };
-            record::Event::List(kind, lines.iter().map(|line| line_out(batch, line)).collect())
+            record::Event::List(kind, lines.iter().map(|line| line_to_record(batch, line)).collect())
         }
         Event::Query(new) => record::Event::Query {
             query: new.number,
@@ -172,33 +173,33 @@
             key: key(batch, &new.key),
         },
         Event::AttemptEnded(end) => {
-            let (query, shard) = place(&end.part);
+            let (query, shard) = part_numbers(&end.part);
             record::Event::Ended {
                 query,
                 shard,
                 attempt: end.attempt.0,
                 run_store: batch.name(Kind::RunStore, &end.replica.0),
-                outcome: outcome_out(end.outcome),
+                outcome: outcome_to_record(end.outcome),
                 latency: Num::of(end.latency),
-                load: end.load.as_ref().map(load_out),
+                load: end.load.as_ref().map(load_to_record),
             }
         }
         Event::ProbeEnded { replica, ok, load } => record::Event::Probe {
             run_store: batch.name(Kind::RunStore, &replica.0),
             ok: *ok,
-            load: load.as_ref().map(load_out),
+            load: load.as_ref().map(load_to_record),
         },
-        Event::ClientGone(id) => record::Event::Gone(number(id)),
+        Event::ClientGone(id) => record::Event::Gone(query_number(id)),
         Event::Wake => record::Event::Wake,
     }
 }
 
 /// Converts a record back to the event.
-pub fn event_in(block: &Block, now: Millis, event: &record::Event) -> Event {
+pub fn event_from_record(block: &Block, now: Millis, event: &record::Event) -> Event {
     let text = |name: &record::Name| Arc::from(block.text(*name));
     match event {
         record::Event::List(kind, lines) => {
-            let lines = lines.iter().map(|line| line_in(block, line)).collect();
+            let lines = lines.iter().map(|line| line_from_record(block, line)).collect();
             Event::List(match kind {
                 ListKind::Cached => ListUpdate::Cached(lines),
                 ListKind::Full => ListUpdate::Full(lines),
@@ -232,15 +233,15 @@
                 part: part_id(*query, *shard),
                 attempt: Attempt(*attempt),
                 replica: ReplicaId::from(block.text(*run_store)),
-                outcome: outcome_in(*outcome),
+                outcome: outcome_from_record(*outcome),
                 latency: latency.value(),
-                load: load.as_ref().map(load_in),
+                load: load.as_ref().map(load_from_record),
             })
         }
         record::Event::Probe { run_store, ok, load } => Event::ProbeEnded {
             replica: ReplicaId::from(block.text(*run_store)),
             ok: *ok,
-            load: load.as_ref().map(load_in),
+            load: load.as_ref().map(load_from_record),
         },
         record::Event::Gone(query) => Event::ClientGone(query_id(*query)),
         record::Event::Wake => Event::Wake,
@@ -248,30 +249,34 @@
 }
 
 /// Converts an action to a record.
-pub fn action_out(batch: &mut Batch, now: Millis, action: &Action) -> record::Action {
+pub fn action_to_record(batch: &mut Batch, now: Millis, action: &Action) -> record::Action {
     match action {
         Action::Send { part, replica, timeout, reason, choice } => {
-            let (query, shard) = place(part);
+            let (query, shard) = part_numbers(part);
             let run_store = batch.name(Kind::RunStore, &replica.0);
             let choice = match choice {
                 ReplicaChoice::LeastFinish => record::Choice::Least,
                 ReplicaChoice::OnlyCandidate => record::Choice::Only,
                 ReplicaChoice::BestParked => record::Choice::BestParked,
             };
-            let (timeout, why) = (Num::of(*timeout), reason_out(*reason));
+            let (timeout, why) = (Num::of(*timeout), reason_to_record(*reason));
             record::Action::Send { query, shard, run_store, timeout, why, choice }
         }
         Action::Cancel { part, attempt, reason } => {
-            let (query, shard) = place(part);
-            record::Action::Cancel { query, shard, attempt: attempt.0, why: reason_out(*reason) }
+            let (query, shard) = part_numbers(part);
+            record::Action::Cancel { query, shard, attempt: attempt.0, why: reason_to_record(*reason) }
+        }
+        Action::Answer { query, whole } => {
+            record::Action::Answer { query: query_number(query), whole: *whole }
         }
-        Action::Answer { query, whole } => record::Action::Answer { query: number(query), whole: *whole },
         Action::Refuse { query, retry_after, cause } => {
-            let (query, retry_after, cause) = (number(query), Num::of(*retry_after), cause_out(*cause));
+            let (query, retry_after, cause) =
+                (query_number(query), Num::of(*retry_after), cause_to_record(*cause));
             record::Action::Refuse { query, retry_after, cause }
         }
         Action::Fail { query, retry_after, cause } => {
-            let (query, retry_after, cause) = (number(query), Num::of(*retry_after), cause_out(*cause));
+            let (query, retry_after, cause) =
+                (query_number(query), Num::of(*retry_after), cause_to_record(*cause));
             record::Action::Fail { query, retry_after, cause }
         }
         Action::Probe { replica } => record::Action::Probe(batch.name(Kind::RunStore, &replica.0)),
@@ -283,6 +288,6 @@
 }
 
 /// Serializes the module's settings for a record.
-pub fn settings_out(settings: &api::Settings) -> Vec<u8> {
+pub fn settings_to_record(settings: &api::Settings) -> Vec<u8> {
     postcard::to_stdvec(settings).unwrap_or_default()
 }
--- a/src/trace/recorder.rs
+++ b/src/trace/recorder.rs
@@ -17,30 +17,30 @@
 use crate::log;
 
 /// The capacity of the queue, in jobs: a few seconds of a busy aggregator, a few MB at most.
-pub const QUEUE: usize = 64;
+pub const QUEUE_CAPACITY: usize = 64;
 /// A file that was written to within this time may belong to a running process.
-const LATELY: Duration = Duration::from_secs(60);
+const ACTIVE_FILE_AGE: Duration = Duration::from_secs(60);
 
 /// Where segments are stored, and how much space they may take up.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Keep {
+pub struct Retention {
     /// The folder.
     pub dir: PathBuf,
     /// The limits of one segment.
     pub limits: Limits,
     /// The maximum total size of the aggregator's segments, in bytes.
-    pub most: u64,
+    pub max_bytes: u64,
 }
 
 /// The state that the thread shares with its [`Recorder`].
 #[derive(Default)]
-struct Told {
+struct WriterStatus {
     /// The size of the segment, in bytes.
     size: AtomicU64,
     /// The number of segments begun.
-    begun: AtomicU64,
+    segments_begun: AtomicU64,
     /// True if the beginning of the last segment was written.
-    sound: AtomicBool,
+    segment_ok: AtomicBool,
     /// The number of records lost to failed writes.
     lost: AtomicU64,
     /// True if a write failed, so that a new segment is needed.
@@ -56,16 +56,16 @@
 /// A handle to the thread that writes segments.
 pub struct Recorder {
     jobs: Option<SyncSender<Job>>,
-    told: Arc<Told>,
+    writer_status: Arc<WriterStatus>,
     ended: Arc<AtomicBool>,
-    said: bool,
+    warned: bool,
     /// The number of segments that the thread was asked to begin.
-    asked: u64,
+    segments_requested: u64,
 }
 
 /// The status of a recording, as the operator interface reports it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, serde::Serialize)]
-pub struct Standing {
+pub struct RecordingStatus {
     /// True if the recording is on.
     pub recording: bool,
     /// The name of the current or last segment.
@@ -81,41 +81,41 @@
 }
 
 impl Recorder {
-    /// Starts the thread, which writes to files in the folder of `keep`.
+    /// Starts the thread, which writes to files in the folder of `retention`.
     ///
     /// # Errors
     /// If the folder cannot be created or the thread cannot be started.
-    pub fn start(keep: &Keep) -> io::Result<Self> {
-        fs::create_dir_all(&keep.dir)?;
-        Recorder::over(Folder(keep.dir.clone()), keep.most)
+    pub fn start(retention: &Retention) -> io::Result<Self> {
+        fs::create_dir_all(&retention.dir)?;
+        Recorder::with_storage(Folder(retention.dir.clone()), retention.max_bytes)
     }
 
-    /// Starts the thread, which writes to `storage`; the segments may take up `most` bytes in total.
+    /// Starts the thread, which writes to `storage`; the segments may take up `max_bytes` bytes in total.
     ///
     /// # Errors
     /// If the thread cannot be started.
-    pub fn over<S: Storage + Send + 'static>(storage: S, most: u64) -> io::Result<Self> {
-        let (jobs, queue) = sync_channel(QUEUE);
-        let (told, ended) = (Arc::new(Told::default()), Arc::new(AtomicBool::new(false)));
-        let (tell, done) = (told.clone(), ended.clone());
+    pub fn with_storage<S: Storage + Send + 'static>(storage: S, max_bytes: u64) -> io::Result<Self> {
+        let (jobs, queue) = sync_channel(QUEUE_CAPACITY);
+        let (writer_status, ended) = (Arc::new(WriterStatus::default()), Arc::new(AtomicBool::new(false)));
+        let (shared, done) = (writer_status.clone(), ended.clone());
         std::thread::Builder::new().name("trace".into()).spawn(move || {
-            write(Keeper::new(storage, most), &queue, &tell);
+            run_writer(Keeper::new(storage, max_bytes), &queue, &shared);
             done.store(true, Ordering::Release);
         })?;
-        Ok(Recorder { jobs: Some(jobs), told, ended, said: false, asked: 0 })
+        Ok(Recorder { jobs: Some(jobs), writer_status, ended, warned: false, segments_requested: 0 })
     }
 
     /// Queues a job for the thread. Returns the number of records that are lost because the queue does not accept it.
-    pub fn take(&mut self, job: Job) -> u64 {
+    pub fn submit(&mut self, job: Job) -> u64 {
         let (records, opens) = (records_of(&job), matches!(job, Job::Open(..)));
         let Some(jobs) = &self.jobs else { return records };
         match jobs.try_send(job) {
             Ok(()) => {
-                self.asked += u64::from(opens);
+                self.segments_requested += u64::from(opens);
                 0
             }
             Err(TrySendError::Full(_)) => {
-                self.say("the disk is too slow; records are dropped until it has caught up");
+                self.warn_once("the disk is too slow; records are dropped until it has caught up");
                 records
             }
             Err(TrySendError::Disconnected(_)) => records,
@@ -123,29 +123,30 @@
     }
 
     /// Logs a warning the first time that it is called.
-    fn say(&mut self, why: &str) {
-        if !std::mem::replace(&mut self.said, true) {
+    fn warn_once(&mut self, why: &str) {
+        if !std::mem::replace(&mut self.warned, true) {
             log::line(&format!("trace: {why}"));
         }
     }
 
     /// Returns the number of records lost to failed writes since the last call, or `None` if no write has failed.
-    pub fn failed(&mut self) -> Option<u64> {
-        let failed = self.told.failed.swap(false, Ordering::AcqRel);
-        failed.then(|| self.told.lost.swap(0, Ordering::AcqRel))
+    pub fn take_failure(&mut self) -> Option<u64> {
+        let failed = self.writer_status.failed.swap(false, Ordering::AcqRel);
+        failed.then(|| self.writer_status.lost.swap(0, Ordering::AcqRel))
     }
 
     /// Returns the current size of the segment, in bytes; 0 while a queued new segment has not been begun.
     pub fn size(&self) -> u64 {
-        if self.told.begun.load(Ordering::Acquire) < self.asked {
+        if self.writer_status.segments_begun.load(Ordering::Acquire) < self.segments_requested {
             return 0;
         }
-        self.told.size.load(Ordering::Acquire)
+        self.writer_status.size.load(Ordering::Acquire)
     }
 
     /// Returns true if the beginning of the last requested segment is on the disk.
-    pub fn is_begun(&self) -> bool {
-        self.told.begun.load(Ordering::Acquire) == self.asked && self.told.sound.load(Ordering::Acquire)
+    pub fn is_segment_begun(&self) -> bool {
+        self.writer_status.segments_begun.load(Ordering::Acquire) == self.segments_requested
+            && self.writer_status.segment_ok.load(Ordering::Acquire)
     }
 
     /// Closes the queue. The thread ends once it has done the queued jobs.
@@ -159,49 +160,49 @@
     }
 
     /// Returns the status of the recording. The losses are counted elsewhere, so `lost` is 0.
-    pub fn standing(&self) -> Standing {
-        Standing {
+    pub fn status(&self) -> RecordingStatus {
+        RecordingStatus {
             recording: self.jobs.is_some(),
-            segment: self.told.name.lock().map(|name| name.clone()).unwrap_or_default(),
+            segment: self.writer_status.name.lock().map(|name| name.clone()).unwrap_or_default(),
             bytes: self.size(),
-            kept: self.told.kept.load(Ordering::Acquire),
+            kept: self.writer_status.kept.load(Ordering::Acquire),
             lost: 0,
-            removed: self.told.removed.load(Ordering::Acquire),
+            removed: self.writer_status.removed.load(Ordering::Acquire),
         }
     }
 }
 
 /// The body of the thread: does jobs until the queue is closed and empty.
-fn write<S: Storage>(mut keeper: Keeper<S>, queue: &Receiver<Job>, told: &Told) {
-    let mut said = false;
+fn run_writer<S: Storage>(mut keeper: Keeper<S>, queue: &Receiver<Job>, status: &WriterStatus) {
+    let mut warned = false;
     while let Ok(job) = queue.recv() {
         let records = records_of(&job);
         let opens = matches!(job, Job::Open(..));
         let done = keeper.take(job);
         if opens {
-            told.sound.store(matches!(done, Done::Kept { .. }), Ordering::Release);
+            status.segment_ok.store(matches!(done, Done::Kept { .. }), Ordering::Release);
         }
         match done {
             Done::Kept { removed } => {
-                told.kept.fetch_add(records, Ordering::AcqRel);
-                told.removed.fetch_add(removed.len() as u64, Ordering::AcqRel);
+                status.kept.fetch_add(records, Ordering::AcqRel);
+                status.removed.fetch_add(removed.len() as u64, Ordering::AcqRel);
                 if opens {
-                    if let Ok(mut name) = told.name.lock() {
+                    if let Ok(mut name) = status.name.lock() {
                         *name = keeper.name().to_string();
                     }
                 }
-                said = false;
+                warned = false;
             }
             Done::Lost { records, why } => {
-                told.lost.fetch_add(records, Ordering::AcqRel);
-                told.failed.store(true, Ordering::Release);
-                if !std::mem::replace(&mut said, true) {
+                status.lost.fetch_add(records, Ordering::AcqRel);
+                status.failed.store(true, Ordering::Release);
+                if !std::mem::replace(&mut warned, true) {
                     log::line(&format!("trace: {why}; records are dropped until writing succeeds again"));
                 }
             }
         }
-        told.size.store(keeper.size().unwrap_or(0), Ordering::Release);
-        told.begun.fetch_add(u64::from(opens), Ordering::AcqRel);
+        status.size.store(keeper.size().unwrap_or(0), Ordering::Release);
+        status.segments_begun.fetch_add(u64::from(opens), Ordering::AcqRel);
     }
 }
 
@@ -220,10 +221,10 @@
         let mut files = Vec::new();
         for entry in fs::read_dir(&self.0)? {
             let entry = entry?;
-            let told = entry.metadata()?;
-            let lately = told.modified()?.elapsed().is_ok_and(|age| age < LATELY);
+            let metadata = entry.metadata()?;
+            let recent = metadata.modified()?.elapsed().is_ok_and(|age| age < ACTIVE_FILE_AGE);
             if let Ok(name) = entry.file_name().into_string() {
-                files.push((name, told.len(), lately));
+                files.push((name, metadata.len(), recent));
             }
         }
         Ok(files)
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -111,7 +111,7 @@
         let Some(router) = &mut self.router else { return };
         let Ok(mut settings) = postcard::from_bytes::<Settings>(&told.module) else { return };
         if let Some(other) = &self.other {
-            settings = in_places(block, told, &settings, other);
+            settings = in_recorded_order(block, told, &settings, other);
         }
         // Recorded settings were checked before they came into force. If the module rejects them all the same, the
         // replayed actions differ, and that is reported.
@@ -123,7 +123,8 @@
             self.report.skipped += 1;
             return;
         };
-        let events: Vec<_> = step.events.iter().map(|event| convert::event_in(block, at, event)).collect();
+        let events: Vec<_> =
+            step.events.iter().map(|event| convert::event_from_record(block, at, event)).collect();
         self.report.steps += 1;
         self.report.events += events.len() as u64;
         let actions = router.step(at, events);
@@ -134,32 +135,32 @@
         self.report.actions += actions.len() as u64;
         // Names are compared as text, since the new name table gives them other indexes.
         let mut table = Batch::default();
-        let again: Vec<_> =
-            actions.iter().map(|action| convert::action_out(&mut table, at, action)).collect();
-        let text = |action: &record::Action| match action {
+        let replayed: Vec<_> =
+            actions.iter().map(|action| convert::action_to_record(&mut table, at, action)).collect();
+        let run_store_name = |action: &record::Action| match action {
             record::Action::Send { run_store, .. } => Some(block.text(*run_store)),
             record::Action::Probe(name) | record::Action::CloseIdle(name) => Some(block.text(*name)),
             _ => None,
         };
-        let same = |recorded: &record::Action, (again, action): (&record::Action, &Action)| {
+        let same = |recorded: &record::Action, (replayed, action): (&record::Action, &Action)| {
             let run_store = match action {
                 Action::Send { replica, .. } | Action::Probe { replica } | Action::CloseIdle { replica } => {
                     Some(&*replica.0)
                 }
                 _ => None,
             };
-            text(recorded) == run_store && bare(recorded) == bare(again)
+            run_store_name(recorded) == run_store && without_name(recorded) == without_name(replayed)
         };
-        let mut pairs = step.actions.iter().zip(again.iter().zip(&actions));
+        let mut pairs = step.actions.iter().zip(replayed.iter().zip(&actions));
         let differs = pairs.position(|(recorded, pair)| !same(recorded, pair));
         let at_end = (step.actions.len() != actions.len()).then(|| step.actions.len().min(actions.len()));
         if let Some(place) = differs.or(at_end) {
             self.report.differing += 1;
             let recorded = step.actions.get(place);
-            let query = recorded.or(again.get(place)).and_then(record::Action::query);
+            let query = recorded.or(replayed.get(place)).and_then(record::Action::query);
             let show = |action: &record::Action| {
-                let words = format!("{:?}", bare(action));
-                text(action).map_or(words.clone(), |name| format!("{words} at {name}"))
+                let text = format!("{:?}", without_name(action));
+                run_store_name(action).map_or(text.clone(), |name| format!("{text} at {name}"))
             };
             let now = actions.get(place).map(|action| format!("{action:?}"));
             let found = Difference { at, query, recorded: recorded.map(show), now };
@@ -175,7 +176,7 @@
         }
         let mut table = Batch::default();
         for action in actions {
-            if let Some((query, end)) = end_of(&convert::action_out(&mut table, 0.0, action)) {
+            if let Some((query, end)) = end_of(&convert::action_to_record(&mut table, 0.0, action)) {
                 self.ends.entry(query).or_default().1 = Some(end);
             }
         }
@@ -193,7 +194,7 @@
 }
 
 /// Returns the action with the index of its name set to 0.
-fn bare(action: &record::Action) -> record::Action {
+fn without_name(action: &record::Action) -> record::Action {
     let mut action = action.clone();
     match &mut action {
         record::Action::Send { run_store: name, .. }
@@ -217,7 +218,7 @@
 
 /// Returns the other settings with classes and groups in the order of the recording. Those that the other settings do
 /// not name keep their recorded settings.
-fn in_places(block: &Block, told: &Told, recorded: &Settings, other: &SiteSettings) -> Settings {
+fn in_recorded_order(block: &Block, told: &Told, recorded: &Settings, other: &SiteSettings) -> Settings {
     let (mut settings, names) = (other.router_settings(), other.names());
     let place = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
     let class = |(at, name): (usize, &record::Name)| {
--- a/src/trace/writer.rs
+++ b/src/trace/writer.rs
@@ -29,7 +29,7 @@
 const COUNTS_MS: Millis = 1000.0;
 /// After a loss, the delay before the next segment is attempted, in milliseconds, so that a full disk is not retried
 /// constantly.
-const AGAIN_MS: Millis = 1000.0;
+const RETRY_MS: Millis = 1000.0;
 
 /// The size and age at which a segment is complete and the next one is begun.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -81,23 +81,23 @@
     /// The number of the next segment.
     segment: u64,
     /// The header of the segment that the next block begins, if that block begins one.
-    opening: Option<Header>,
+    next_header: Option<Header>,
     /// When the open segment was begun; `None` while no segment is open.
-    opened: Option<Millis>,
+    segment_begun_at: Option<Millis>,
     /// True if the next step is to begin another segment, whatever the age of the open one.
-    due: bool,
+    rotate_requested: bool,
     /// When the counts were recorded last in this segment; 0 if they have not been.
-    counted: Millis,
+    counts_recorded_at: Millis,
     /// The time of the last entry.
-    clock: Millis,
+    last_entry_at: Millis,
     /// The loss that no segment on the disk records yet.
     lost: Option<Loss>,
     /// True if the open segment records the loss, but its first block is not confirmed to be on the disk.
-    telling: bool,
+    loss_unconfirmed: bool,
     /// The earliest time at which the next segment may begin.
-    not_before: Millis,
+    next_segment_from: Millis,
     /// True if the module routes by keys; only then are keys recorded.
-    keys: bool,
+    record_keys: bool,
 }
 
 impl TraceWriter {
@@ -109,49 +109,49 @@
             batch: Batch::default(),
             jobs: VecDeque::new(),
             segment,
-            opening: None,
-            opened: None,
-            due: false,
-            counted: 0.0,
-            clock: 0.0,
+            next_header: None,
+            segment_begun_at: None,
+            rotate_requested: false,
+            counts_recorded_at: 0.0,
+            last_entry_at: 0.0,
             lost: None,
-            telling: false,
-            not_before: 0.0,
-            keys: false,
+            loss_unconfirmed: false,
+            next_segment_from: 0.0,
+            record_keys: false,
         }
     }
 
     /// Returns true if a segment has to be begun before the next step.
     pub fn wants_segment(&self, now: Millis) -> bool {
-        let old = self.opened.is_none_or(|at| now - at >= self.limits.age);
-        (old || self.due) && now >= self.not_before
+        let expired = self.segment_begun_at.is_none_or(|at| now - at >= self.limits.age);
+        (expired || self.rotate_requested) && now >= self.next_segment_from
     }
 
     /// Returns true if entries are accepted. They are not before the first segment, nor between a loss and the next
     /// segment.
     fn is_open(&self) -> bool {
-        self.opened.is_some()
+        self.segment_begun_at.is_some()
     }
 
     /// Begins a segment with a checkpoint: the decision module's serialized state and the settings in force.
     pub fn begin(&mut self, now: Millis, module: u64, state: Vec<u8>, in_force: ActiveSettings) {
         self.close_block();
-        self.keys = in_force.settings.warm_keys;
+        self.record_keys = in_force.settings.warm_keys;
         let source = Source { settings: in_force.text.clone(), ..self.source.clone() };
-        self.opening = Some(Header { sources: vec![source], segment: self.segment });
+        self.next_header = Some(Header { sources: vec![source], segment: self.segment });
         self.segment += 1;
-        (self.opened, self.due, self.counted) = (Some(now), false, 0.0);
+        (self.segment_begun_at, self.rotate_requested, self.counts_recorded_at) = (Some(now), false, 0.0);
         let told = self.told(in_force);
         self.push(now, &Record::Checkpoint(Box::new(Checkpoint { module, state, told })));
         if let Some(loss) = self.lost {
             self.push(now, &Record::Loss(loss));
-            self.telling = true;
+            self.loss_unconfirmed = true;
         }
     }
 
     /// Notes that the beginning of the last segment is on the disk, including the loss that it records, if any.
-    pub fn begun(&mut self) {
-        if std::mem::take(&mut self.telling) {
+    pub fn segment_written(&mut self) {
+        if std::mem::take(&mut self.loss_unconfirmed) {
             self.lost = None;
         }
     }
@@ -159,7 +159,7 @@
     fn told(&mut self, in_force: ActiveSettings) -> Told {
         let batch = &mut self.batch;
         Told {
-            module: convert::settings_out(in_force.settings),
+            module: convert::settings_to_record(in_force.settings),
             text: in_force.text,
             classes: in_force.classes.iter().map(|name| batch.name(Kind::Class, name)).collect(),
             groups: in_force.groups.iter().map(|name| batch.name(Kind::Group, name)).collect(),
@@ -167,7 +167,7 @@
     }
 
     fn push(&mut self, at: Millis, record: &Record) {
-        self.clock = at;
+        self.last_entry_at = at;
         // This fails only for lack of memory, and that cannot be reported.
         let _ = self.batch.push(at, record);
         if self.batch.size() >= BLOCK_BYTES {
@@ -180,7 +180,7 @@
             return;
         }
         let batch = std::mem::take(&mut self.batch);
-        self.jobs.push_back(match self.opening.take() {
+        self.jobs.push_back(match self.next_header.take() {
             Some(header) => Job::Open(Box::new(header), batch),
             None => Job::Add(batch),
         });
@@ -200,7 +200,7 @@
     }
 
     /// Notes the size of the open segment, in bytes; requests a new segment at the limit.
-    pub fn grown(&mut self, bytes: u64) {
+    pub fn set_segment_size(&mut self, bytes: u64) {
         if bytes >= self.limits.bytes {
             self.rotate();
         }
@@ -213,7 +213,7 @@
 
     /// Makes the next step begin another segment.
     pub fn rotate(&mut self) {
-        self.due = true;
+        self.rotate_requested = true;
     }
 
     /// Notes the loss of entries from time `from` on. Recording resumes with the next segment, at its checkpoint.
@@ -221,14 +221,14 @@
         let waiting = u64::from(self.batch.records());
         self.batch = Batch::default();
         let queued: u64 = self.jobs.drain(..).map(|job| records_of(&job)).sum();
-        let known = self.lost.unwrap_or(Loss { records: 0, from: Num::of(from) });
-        self.lost = Some(Loss { records: known.records + records + waiting + queued, ..known });
-        (self.opened, self.opening, self.not_before) = (None, None, now + AGAIN_MS);
-        self.telling = false;
+        let loss = self.lost.unwrap_or(Loss { records: 0, from: Num::of(from) });
+        self.lost = Some(Loss { records: loss.records + records + waiting + queued, ..loss });
+        (self.segment_begun_at, self.next_header, self.next_segment_from) = (None, None, now + RETRY_MS);
+        self.loss_unconfirmed = false;
     }
 
     /// Returns the number of lost records that no segment on the disk records yet.
-    pub fn untold(&self) -> u64 {
+    pub fn unrecorded_losses(&self) -> u64 {
         self.lost.map_or(0, |loss| loss.records)
     }
 
@@ -238,17 +238,18 @@
             self.push(now, &Record::End);
             self.close_block();
             self.jobs.push_back(Job::Close);
-            self.opened = None;
+            self.segment_begun_at = None;
         }
     }
 
     /// Converts the events of a step, before the decision module consumes them.
     pub fn events(&mut self, now: Millis, events: &[Event]) -> Step {
-        let keys = self.keys;
+        let keys = self.record_keys;
         let mut step = Step { events: Vec::with_capacity(events.len()), actions: Vec::new() };
         if self.is_open() {
-            step.events
-                .extend(events.iter().map(|event| convert::event_out(&mut self.batch, now, event, keys)));
+            step.events.extend(
+                events.iter().map(|event| convert::event_to_record(&mut self.batch, now, event, keys)),
+            );
         }
         step
     }
@@ -257,34 +258,34 @@
     pub fn step(&mut self, now: Millis, mut step: Step, actions: &[Action]) {
         if self.is_open() {
             step.actions
-                .extend(actions.iter().map(|action| convert::action_out(&mut self.batch, now, action)));
+                .extend(actions.iter().map(|action| convert::action_to_record(&mut self.batch, now, action)));
             self.push(now, &Record::Step(step));
         } else {
-            self.miss();
+            self.count_missed();
         }
     }
 
     /// Counts a record that is lost because no segment is open after a loss.
-    fn miss(&mut self) {
+    fn count_missed(&mut self) {
         if let Some(loss) = &mut self.lost {
             loss.records += 1;
         }
     }
 
-    fn note(&mut self, at: Millis, record: impl FnOnce(&mut Batch) -> Record) {
+    fn record(&mut self, at: Millis, record: impl FnOnce(&mut Batch) -> Record) {
         if self.is_open() {
             let record = record(&mut self.batch);
             self.push(at, &record);
         } else {
-            self.miss();
+            self.count_missed();
         }
     }
 
     /// Records new settings.
     pub fn settings(&mut self, in_force: ActiveSettings) {
-        self.keys = in_force.settings.warm_keys;
+        self.record_keys = in_force.settings.warm_keys;
         if self.is_open() {
-            let (at, told) = (self.clock, self.told(in_force));
+            let (at, told) = (self.last_entry_at, self.told(in_force));
             self.push(at, &Record::Settings(Box::new(told)));
         }
     }
@@ -298,7 +299,7 @@
         group: Option<&Arc<str>>,
         (parts, timeout, retry): (usize, Millis, bool),
     ) {
-        self.note(at, |batch| {
+        self.record(at, |batch| {
             Record::Taken(Taken {
                 query,
                 name: batch.name(Kind::Query, &Arc::from(called)),
@@ -313,14 +314,14 @@
 
     /// Records the end of a query.
     pub fn verdict(&mut self, at: Millis, ended: &QueryEnd) {
-        self.note(at, |batch| {
+        self.record(at, |batch| {
             Record::Verdict(Verdict {
                 query: ended.query,
                 class: batch.name(Kind::Class, ended.class),
                 group: ended.group.map(|group| batch.name(Kind::Group, group)),
                 took: Num::of(at - ended.taken),
                 how: ended.how,
-                cause: ended.cause.map(convert::cause_out),
+                cause: ended.cause.map(convert::cause_to_record),
                 parts_in: ended.parts_in as u32,
                 parts: ended.parts as u32,
             })
@@ -329,32 +330,32 @@
 
     /// Records a request that was answered with an error before it became a query.
     pub fn not_taken(&mut self, at: Millis, class: Option<&Arc<str>>) {
-        self.note(at, |batch| Record::NotTaken(class.map(|class| batch.name(Kind::Class, class))));
+        self.record(at, |batch| Record::NotTaken(class.map(|class| batch.name(Kind::Class, class))));
     }
 
     /// Records the progress of an attempt on its connection.
     pub fn wire(&mut self, at: Millis, query: u64, shard: u32, attempt: u32, progress: Progress) {
-        self.note(at, |_| Record::Wire(Wire { query, shard, attempt, progress }));
+        self.record(at, |_| Record::Wire(Wire { query, shard, attempt, progress }));
     }
 
     /// Records the end of a connection.
     pub fn closed(&mut self, at: Millis, kind: &str, peer: &str, code: &str, note: &str) {
         let [kind, peer, code, note] = [kind, peer, code, note].map(str::to_string);
-        self.note(at, |_| Record::Closed(Closed { kind, peer, code, note }));
+        self.record(at, |_| Record::Closed(Closed { kind, peer, code, note }));
     }
 
     /// Records an operator's request.
     pub fn call(&mut self, at: Millis, call: &str) {
-        self.note(at, |_| Record::Call(call.to_string()));
+        self.record(at, |_| Record::Call(call.to_string()));
     }
 
     /// Records the counts if the interval has passed, or if this is the `last` time.
     pub fn counts(&mut self, at: Millis, counters: &Counters, active: usize, last: bool) {
-        if !self.is_open() || (at - self.counted < COUNTS_MS && !last) {
+        if !self.is_open() || (at - self.counts_recorded_at < COUNTS_MS && !last) {
             return;
         }
-        self.counted = at;
-        self.note(at, |batch| {
+        self.counts_recorded_at = at;
+        self.record(at, |batch| {
             let class = |(name, ends): (&Arc<str>, &crate::counters::Ends)| ClassCounts {
                 class: batch.name(Kind::Class, name),
                 ok: ends.ok,
--- a/tests/causes.rs
+++ b/tests/causes.rs
@@ -139,6 +139,6 @@
     assert_eq!((codes.len(), words.len()), (all.len(), all.len()));
     // A trace knows them by the same codes.
     for cause in all {
-        assert_eq!(ironpaddle::trace::convert::cause_out(cause).code(), cause.code());
+        assert_eq!(ironpaddle::trace::convert::cause_to_record(cause).code(), cause.code());
     }
 }
--- a/tests/recorder.rs
+++ b/tests/recorder.rs
@@ -11,7 +11,7 @@
 use ironpaddle::core::{Core, DirectoryUpdate};
 use ironpaddle::settings::SiteSettings;
 use ironpaddle::trace::control::Control;
-use ironpaddle::trace::recorder::{Keep, Recorder, QUEUE};
+use ironpaddle::trace::recorder::{Recorder, Retention, QUEUE_CAPACITY};
 use ironpaddle::trace::replay::Replay;
 use ironpaddle::trace::writer::Limits;
 use ironpaddle_trace::file::{Reader, Source};
@@ -88,9 +88,9 @@
 fn a_slow_disk_costs_records_that_are_counted_and_never_a_wait() {
     let (disk, mut core) = (Disk::default(), core());
     let limits = Limits { bytes: u64::MAX, age: f64::INFINITY };
-    let keep = Keep { dir: "unused".into(), limits, most: u64::MAX };
-    let control = Control::new(keep, Source { aggregator: "n0".into(), ..Source::default() });
-    control.begin(Recorder::over(disk.clone(), u64::MAX).unwrap(), &mut core, || BEGIN);
+    let retention = Retention { dir: "unused".into(), limits, max_bytes: u64::MAX };
+    let control = Control::new(retention, Source { aggregator: "n0".into(), ..Source::default() });
+    control.begin(Recorder::with_storage(disk.clone(), u64::MAX).unwrap(), &mut core, || BEGIN);
     let mut now = BEGIN;
     let mut pass = |core: &mut Core, steps: usize| {
         for _ in 0..steps {
@@ -105,11 +105,11 @@
     };
     disk.hold(true);
     // Far more blocks than the queue holds. If a step waited for the disk, this test would hang.
-    pass(&mut core, QUEUE * 4);
-    let lost = control.standing().lost;
-    assert!(lost > 0, "{:?}", control.standing());
+    pass(&mut core, QUEUE_CAPACITY * 4);
+    let lost = control.status().lost;
+    assert!(lost > 0, "{:?}", control.status());
     disk.hold(false);
-    while control.standing().kept == 0 {
+    while control.status().kept == 0 {
         std::thread::yield_now();
     }
     let now = pass(&mut core, 20);
@@ -117,12 +117,12 @@
     while !control.is_done() {
         std::thread::yield_now();
     }
-    let standing = control.standing();
-    assert!(!standing.recording && standing.lost >= lost && standing.kept > 0, "{standing:?}");
+    let status = control.status();
+    assert!(!status.recording && status.lost >= lost && status.kept > 0, "{status:?}");
     // The segments on the disk record every loss, and replay from each checkpoint.
     let files = disk.0 .0.lock().unwrap().files.clone();
     assert!(files.len() > 1, "a new segment follows a loss");
-    let (mut told, mut replay) = (0, Replay::new(None));
+    let (mut recorded, mut replay) = (0, Replay::new(None));
     for file in &files {
         let mut reader = Reader::open(Cursor::new(file.as_slice())).unwrap();
         assert!(reader.is_complete(), "each segment has its index");
@@ -130,13 +130,13 @@
             let block = reader.block(no).unwrap();
             for entry in &block.entries {
                 if let Record::Loss(loss) = entry.record {
-                    told += loss.records;
+                    recorded += loss.records;
                 }
                 replay.take(&block, entry);
             }
         }
     }
-    assert!(told >= lost && told <= standing.lost, "{told} of {lost} and then {}", standing.lost);
+    assert!(recorded >= lost && recorded <= status.lost, "{recorded} of {lost} and then {}", status.lost);
     let report = replay.report();
     assert_eq!((report.difference, report.checkpoints as usize), (None, files.len()));
 }
