--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -60,32 +60,32 @@
 }
 
 /// The result of a command that ran to its end.
-pub enum Found {
+pub enum Outcome {
     /// The command found no problem.
-    Well,
+    Success,
     /// The command found a problem, such as damage or a difference.
-    Fault,
+    ProblemFound,
 }
 
 /// Parses the arguments and runs the program.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
+    let outcome = match cli.command {
         None => serve(cli.serve),
         Some(Command::Run(command)) => serve(command),
         Some(Command::Check { config }) => Config::load(&config).map(|_| {
             println!("{}: sound", config.display());
-            Found::Well
+            Outcome::Success
         }),
         Some(Command::Trace(command)) => trace::run(command),
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut Cli::command(), "ironpaddle", &mut std::io::stdout());
-            Ok(Found::Well)
+            Ok(Outcome::Success)
         }
     };
-    match done {
-        Ok(Found::Well) => ExitCode::SUCCESS,
-        Ok(Found::Fault) => ExitCode::FAILURE,
+    match outcome {
+        Ok(Outcome::Success) => ExitCode::SUCCESS,
+        Ok(Outcome::ProblemFound) => ExitCode::FAILURE,
         Err(message) => {
             eprintln!("ironpaddle: {message}");
             ExitCode::FAILURE
@@ -93,7 +93,7 @@
     }
 }
 
-fn serve(serve: Serve) -> Result<Found, String> {
+fn serve(serve: Serve) -> Result<Outcome, String> {
     log::begin(serve.log_format, &serve.log_filter)?;
-    config::path(serve.config).and_then(|path| service::run(&path)).map(|()| Found::Well)
+    config::path(serve.config).and_then(|path| service::run(&path)).map(|()| Outcome::Success)
 }
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use serde_json::json;
 
-use super::Found;
+use super::Outcome;
 use crate::settings::SiteSettings;
 use crate::trace::replay::{Replay, Report};
 
@@ -44,7 +44,7 @@
         #[arg(required = true)]
         paths: Vec<PathBuf>,
         #[command(flatten)]
-        which: Which,
+        filter: Filter,
         /// Also print steps in which nothing happened.
         #[arg(long)]
         all: bool,
@@ -80,7 +80,7 @@
         #[arg(required = true)]
         paths: Vec<PathBuf>,
         #[command(flatten)]
-        which: Which,
+        filter: Filter,
         /// The new file.
         #[arg(short, long)]
         output: PathBuf,
@@ -151,7 +151,7 @@
 
 /// Selects entries.
 #[derive(Debug, Args)]
-pub struct Which {
+pub struct Filter {
     #[command(flatten)]
     span: Span,
     /// Only entries about queries of this class.
@@ -168,7 +168,7 @@
     run_store: Option<String>,
 }
 
-impl Which {
+impl Filter {
     fn pick(&self) -> Pick {
         Pick {
             only: Only { class: self.class.clone(), group: self.group.clone() },
@@ -179,58 +179,59 @@
 }
 
 impl Span {
-    fn read(&self, set: &Set) -> Result<(f64, f64), String> {
+    fn resolve(&self, set: &Set) -> Result<(f64, f64), String> {
         let (first, _) = set.span().ok_or("the trace holds no entries")?;
-        let time = |text: &Option<String>, open| text.as_ref().map_or(Ok(open), |text| time(text, first));
+        let time =
+            |text: &Option<String>, open| text.as_ref().map_or(Ok(open), |text| parse_time(text, first));
         Ok((time(&self.from, f64::NEG_INFINITY)?, time(&self.to, f64::INFINITY)?))
     }
 }
 
 /// Parses a time as `--from` and `--to` accept it, and returns Unix milliseconds. `first` is the time of the trace's
 /// first entry.
-fn time(text: &str, first: f64) -> Result<f64, String> {
+fn parse_time(text: &str, first: f64) -> Result<f64, String> {
     const DAY: f64 = 86_400_000.0;
-    let wrong = || format!("{text}: not a valid time; see --help");
+    let invalid = || format!("{text}: not a valid time; see --help");
     if let Some(after) = text.strip_prefix('+') {
-        let span = humantime::parse_duration(after).map_err(|_| wrong())?;
+        let span = humantime::parse_duration(after).map_err(|_| invalid())?;
         return Ok(first + span.as_secs_f64() * 1000.0);
     }
     if let Ok(at) = text.parse::<f64>() {
-        return if at.is_finite() { Ok(at) } else { Err(wrong()) };
+        return if at.is_finite() { Ok(at) } else { Err(invalid()) };
     }
     if text.len() <= 8 && text.contains(':') {
-        let words: Vec<f64> =
-            text.split(':').map(|word| word.parse().map_err(|_| wrong())).collect::<Result<_, _>>()?;
-        let seconds = match words[..] {
+        let numbers: Vec<f64> =
+            text.split(':').map(|number| number.parse().map_err(|_| invalid())).collect::<Result<_, _>>()?;
+        let seconds = match numbers[..] {
             [hours, minutes] => hours * 3600.0 + minutes * 60.0,
             [hours, minutes, seconds] => hours * 3600.0 + minutes * 60.0 + seconds,
-            _ => return Err(wrong()),
+            _ => return Err(invalid()),
         };
         return Ok((first / DAY).floor() * DAY + seconds * 1000.0);
     }
-    let at = humantime::parse_rfc3339_weak(text).map_err(|_| wrong())?;
+    let at = humantime::parse_rfc3339_weak(text).map_err(|_| invalid())?;
     Ok(at.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0)
 }
 
 /// Formats Unix milliseconds as RFC 3339.
-fn show(at: f64) -> String {
+fn format_time(at: f64) -> String {
     let time = Duration::try_from_secs_f64(at / 1000.0).ok().and_then(|since| UNIX_EPOCH.checked_add(since));
     humantime::format_rfc3339_millis(time.unwrap_or(SystemTime::UNIX_EPOCH)).to_string()
 }
 
 /// Returns a callback that prints the progress of reading on standard error, in percent.
-fn tell_progress() -> ironpaddle_trace::set::Progress {
-    let mut told = 0;
+fn print_progress() -> ironpaddle_trace::set::Progress {
+    let mut printed = 0;
     Box::new(move |read, all| {
         let part = read * 100 / all.max(1);
-        if part != told {
-            told = part;
+        if part != printed {
+            printed = part;
             eprint!("\r{part} %{}", if part == 100 { "\r     \r" } else { "" });
         }
     })
 }
 
-fn text(error: Error) -> String {
+fn error_text(error: Error) -> String {
     error.to_string()
 }
 
@@ -238,15 +239,15 @@
 ///
 /// # Errors
 /// If files cannot be read or written, or an argument is not valid.
-pub fn run(command: Command) -> Result<Found, String> {
+pub fn run(command: Command) -> Result<Outcome, String> {
     match command {
         Command::Info { paths, verify, json } => info(&paths, verify, json),
-        Command::Cat { paths, which, all, json } => cat(&paths, &which, all, json),
+        Command::Cat { paths, filter, all, json } => cat(&paths, &filter, all, json),
         Command::Summary { paths, span, class, group, json } => {
             let mut set = open(&paths)?;
-            let span = span.read(&set)?;
+            let span = span.resolve(&set)?;
             let summary = summary::summarise(&mut set, span, &Only { class, group });
-            let found = troubled(&set);
+            let found = report_troubles(&set);
             if json {
                 print_json(&summary)?;
             } else {
@@ -254,16 +255,16 @@
             }
             Ok(found)
         }
-        Command::Cut { paths, which, output } => {
+        Command::Cut { paths, filter, output } => {
             let mut set = open(&paths)?;
-            let span = which.span.read(&set)?;
-            make(&output, |file| edit::cut(&mut set, span, &which.pick(), file))?;
-            Ok(troubled(&set))
+            let span = filter.span.resolve(&set)?;
+            write_atomically(&output, |file| edit::cut(&mut set, span, &filter.pick(), file))?;
+            Ok(report_troubles(&set))
         }
         Command::Merge { paths, output } => {
             let mut set = open(&paths)?;
-            make(&output, |file| edit::merge(&mut set, file))?;
-            Ok(troubled(&set))
+            write_atomically(&output, |file| edit::merge(&mut set, file))?;
+            Ok(report_troubles(&set))
         }
         Command::Anonymise { paths, key, output } => {
             let mut set = open(&paths)?;
@@ -271,8 +272,8 @@
             if secret.is_empty() {
                 return Err(format!("{}: the key is empty", key.display()));
             }
-            make(&output, |file| edit::anonymise(&mut set, &Pseudonyms::new(&secret), file))?;
-            Ok(troubled(&set))
+            write_atomically(&output, |file| edit::anonymise(&mut set, &Pseudonyms::new(&secret), file))?;
+            Ok(report_troubles(&set))
         }
         Command::Replay { paths, settings, json } => replay(&paths, settings.as_deref(), json),
         Command::Why { query, paths, json } => why(&query, &paths, json),
@@ -280,53 +281,53 @@
 }
 
 fn open(paths: &[PathBuf]) -> Result<Set, String> {
-    let mut set = Set::open(paths).map_err(text)?;
+    let mut set = Set::open(paths).map_err(error_text)?;
     if io::stderr().is_terminal() {
-        set.progress = Some(tell_progress());
+        set.progress = Some(print_progress());
     }
     Ok(set)
 }
 
 /// Prints what could not be read on standard error. A missing index alone does not count as a problem.
-fn troubled(set: &Set) -> Found {
+fn report_troubles(set: &Set) -> Outcome {
     for (path, why) in &set.troubles {
         eprintln!("ironpaddle: {}: {why}", path.display());
     }
     let damaged = |(_, why): &(PathBuf, String)| !why.starts_with("it has no index");
     if set.troubles.iter().any(damaged) {
-        Found::Fault
+        Outcome::ProblemFound
     } else {
-        Found::Well
+        Outcome::Success
     }
 }
 
 /// Creates a file atomically: writes to a temporary file and renames it, so that no incomplete file is left under the
 /// name.
-fn make(
+fn write_atomically(
     path: &Path,
     write: impl FnOnce(BufWriter<File>) -> Result<BufWriter<File>, Error>,
 ) -> Result<(), String> {
     let failed = |error: &dyn std::fmt::Display| format!("{}: {error}", path.display());
-    let mut half = path.as_os_str().to_owned();
-    half.push(".half");
-    let half = PathBuf::from(half);
-    let file = File::create(&half).map_err(|error| failed(&error))?;
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".half");
+    let temporary = PathBuf::from(temporary);
+    let file = File::create(&temporary).map_err(|error| failed(&error))?;
     let written = write(BufWriter::new(file)).and_then(|mut file| Ok(file.flush()?));
     if let Err(error) = written {
-        let _ = std::fs::remove_file(&half);
+        let _ = std::fs::remove_file(&temporary);
         return Err(failed(&error));
     }
-    std::fs::rename(&half, path).map_err(|error| failed(&error))
+    std::fs::rename(&temporary, path).map_err(|error| failed(&error))
 }
 
 fn print_json(value: &impl Serialize) -> Result<(), String> {
     let out = io::stdout().lock();
-    let done = serde_json::to_writer(out, value).map_err(|error| error.to_string());
+    let written = serde_json::to_writer(out, value).map_err(|error| error.to_string());
     println!();
-    done
+    written
 }
 
-fn info(paths: &[PathBuf], verify: bool, json: bool) -> Result<Found, String> {
+fn info(paths: &[PathBuf], verify: bool, json: bool) -> Result<Outcome, String> {
     let mut set = open(paths)?;
     let mut rows = Vec::new();
     for segment in &mut set.segments {
@@ -344,7 +345,7 @@
             }
         }
         let index = if verify {
-            reader.index_is_sound().map_err(text)?
+            reader.index_is_sound().map_err(error_text)?
         } else {
             reader.is_complete().then_some(true)
         };
@@ -365,8 +366,8 @@
             "file": segment.path.display().to_string(), "versions": versions, "sources": sources,
             "segment": header.segment, "blocks": blocks.len(), "records": sum(|block| block.records.into()),
             "bytes": sum(|block| block.length.into()), "raw_bytes": sum(|block| block.raw.into()),
-            "from": blocks.first().map(|block| show(block.first)),
-            "to": blocks.iter().map(|block| block.last).reduce(f64::max).map(show),
+            "from": blocks.first().map(|block| format_time(block.first)),
+            "to": blocks.iter().map(|block| block.last).reduce(f64::max).map(format_time),
             "index": index, "damaged_bytes": reader.damage().iter().map(|damage| damage.length).sum::<u64>(),
             "damaged_blocks": bad,
         }));
@@ -408,11 +409,11 @@
             );
         }
     }
-    Ok(troubled(&set))
+    Ok(report_troubles(&set))
 }
 
 /// Returns true for a step that consists of nothing but wakes.
-fn is_empty(record: &Record) -> bool {
+fn is_idle_step(record: &Record) -> bool {
     match record {
         Record::Step(step) => {
             step.events.iter().all(|event| matches!(event, record::Event::Wake))
@@ -422,10 +423,11 @@
     }
 }
 
-fn cat(paths: &[PathBuf], which: &Which, all: bool, json: bool) -> Result<Found, String> {
+fn cat(paths: &[PathBuf], filter: &Filter, all: bool, json: bool) -> Result<Outcome, String> {
     let mut set = open(paths)?;
-    let (span, pick) = (which.span.read(&set)?, which.pick());
-    let picked = if pick.is_all() { None } else { Some(edit::picked(&mut set, span, &pick).map_err(text)?) };
+    let (span, pick) = (filter.span.resolve(&set)?, filter.pick());
+    let picked =
+        if pick.is_all() { None } else { Some(edit::picked(&mut set, span, &pick).map_err(error_text)?) };
     let names: Vec<String> = set.sources.iter().map(|source| source.aggregator.clone()).collect();
     let mut out = BufWriter::new(io::stdout().lock());
     let mut failed = None;
@@ -434,14 +436,14 @@
             None => Some(entry.record.clone()),
             Some(picked) => edit::only_of(&entry.record, &|query| picked.contains(&(source, query))),
         };
-        let Some(record) = kept.filter(|record| all || !is_empty(record)) else { return Ok(()) };
+        let Some(record) = kept.filter(|record| all || !is_idle_step(record)) else { return Ok(()) };
         let value = record::with_names(&block.names, || serde_json::to_value(&record))?;
         if json {
-            let line =
-                json!({"at": entry.at, "time": show(entry.at), "aggregator": names[source], "record": value});
+            let time = format_time(entry.at);
+            let line = json!({"at": entry.at, "time": time, "aggregator": names[source], "record": value});
             writeln!(out, "{line}")
         } else {
-            writeln!(out, "{} {} {value}", show(entry.at), names[source])
+            writeln!(out, "{} {} {value}", format_time(entry.at), names[source])
         }
     };
     set.each(span, |met| {
@@ -453,9 +455,9 @@
     });
     match failed.or_else(|| out.flush().err()) {
         // The reader closed the pipe, as `head` does; that is not an error.
-        Some(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(Found::Well),
+        Some(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(Outcome::Success),
         Some(error) => Err(error.to_string()),
-        None => Ok(troubled(&set)),
+        None => Ok(report_troubles(&set)),
     }
 }
 
@@ -495,9 +497,9 @@
             out,
             "{} started {}: {} to {}, {} attempts written, {end}, {} records lost, {} gaps",
             process.aggregator,
-            show(process.started as f64),
-            show(process.from),
-            show(process.to),
+            format_time(process.started as f64),
+            format_time(process.from),
+            format_time(process.to),
             process.tries,
             process.lost,
             process.gaps,
@@ -513,11 +515,11 @@
     out.flush()
 }
 
-fn replay(paths: &[PathBuf], settings: Option<&Path>, json: bool) -> Result<Found, String> {
+fn replay(paths: &[PathBuf], settings: Option<&Path>, json: bool) -> Result<Outcome, String> {
     let mut set = open(paths)?;
     let other = settings.map(read_settings).transpose()?;
     let mut replays: Vec<Replay> = set.sources.iter().map(|_| Replay::new(other.clone())).collect();
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let span = set.span().unwrap_or_default();
     set.blockwise((f64::NEG_INFINITY, f64::INFINITY), |met| match met {
         Met::Entry(source, block, entry) => {
@@ -525,7 +527,7 @@
         }
         Met::Gap(source) => replays[source].gap(),
     });
-    let took = began.elapsed().as_secs_f64();
+    let elapsed_s = started.elapsed().as_secs_f64();
     let reports: Vec<Report> = replays.into_iter().map(Replay::report).collect();
     let differs = reports.iter().any(|report| report.difference.is_some() || report.checkpoints == 0);
     let names = set.sources.iter().map(|source| source.aggregator.clone());
@@ -533,7 +535,7 @@
         let rows: Vec<_> =
             names.zip(&reports).map(|(name, report)| json!({"aggregator": name, "report": report})).collect();
         print_json(
-            &json!({"seconds": took, "recorded_seconds": (span.1 - span.0) / 1000.0, "processes": rows}),
+            &json!({"seconds": elapsed_s, "recorded_seconds": (span.1 - span.0) / 1000.0, "processes": rows}),
         )?;
     } else {
         for (name, report) in names.zip(&reports) {
@@ -544,7 +546,7 @@
             report.unusable.iter().for_each(|why| println!("  a checkpoint was not used: {why}"));
             if let Some(found) = &report.difference {
                 let query = found.query.map_or(String::new(), |query| format!(", query q{query}"));
-                println!("  first difference at {}{query}", show(found.at));
+                println!("  first difference at {}{query}", format_time(found.at));
                 println!("    recorded: {}", found.recorded.as_deref().unwrap_or("nothing more"));
                 println!("    now:      {}", found.now.as_deref().unwrap_or("nothing more"));
             }
@@ -552,9 +554,9 @@
                 println!("  {count:>8}  {change}");
             }
         }
-        let faster = (span.1 - span.0) / 1000.0 / took.max(1e-9);
+        let speed = (span.1 - span.0) / 1000.0 / elapsed_s.max(1e-9);
         println!(
-            "{:.1} s were replayed in {took:.2} s, {faster:.0} times as fast",
+            "{:.1} s were replayed in {elapsed_s:.2} s, {speed:.0} times as fast",
             (span.1 - span.0) / 1000.0
         );
         if other.is_some() {
@@ -564,8 +566,8 @@
             );
         }
     }
-    troubled(&set);
-    Ok(if differs { Found::Fault } else { Found::Well })
+    report_troubles(&set);
+    Ok(if differs { Outcome::ProblemFound } else { Outcome::Success })
 }
 
 /// Reads a settings object from a file that holds only this object, or from a configuration file.
@@ -579,37 +581,37 @@
     Ok(site)
 }
 
-fn why(query: &str, paths: &[PathBuf], json: bool) -> Result<Found, String> {
+fn why(query: &str, paths: &[PathBuf], json: bool) -> Result<Outcome, String> {
     let mut set = open(paths)?;
-    let found = set.find(query).map_err(text)?;
+    let found = set.find(query).map_err(error_text)?;
     if found.is_empty() {
-        troubled(&set);
+        report_troubles(&set);
         println!("no query of that name is in the trace");
-        return Ok(Found::Fault);
+        return Ok(Outcome::ProblemFound);
     }
     let mut stories = Vec::new();
     for (source, query) in found {
-        stories.push(story::tell(&mut set, source, query).map_err(text)?);
+        stories.push(story::tell(&mut set, source, query).map_err(error_text)?);
     }
     if json {
         print_json(&stories)?;
     } else {
         for story in &stories {
-            let or = |text: &Option<String>| text.clone().unwrap_or_else(|| "?".into());
+            let or_unknown = |text: &Option<String>| text.clone().unwrap_or_else(|| "?".into());
             println!(
                 "{} (q{} at {}), class {}, group {}: {}",
-                or(&story.name),
+                or_unknown(&story.name),
                 story.query,
                 story.aggregator,
-                or(&story.class),
-                or(&story.group),
-                or(&story.end),
+                or_unknown(&story.class),
+                or_unknown(&story.group),
+                or_unknown(&story.end),
             );
             for moment in &story.moments {
                 let part = moment.shard.map_or(String::new(), |shard| format!("part {shard}: "));
-                println!("  {} {:>9.1} ms  {part}{}", show(moment.at), moment.since_ms, moment.what);
+                println!("  {} {:>9.1} ms  {part}{}", format_time(moment.at), moment.since_ms, moment.what);
             }
         }
     }
-    Ok(troubled(&set))
+    Ok(report_troubles(&set))
 }
