--- a/src/bin/ironpaddle-simhost/main.rs
+++ b/src/bin/ironpaddle-simhost/main.rs
@@ -18,9 +18,9 @@
     router: Router,
     names: Names,
     /// The events of the current batch.
-    inbox: Vec<Event>,
+    events: Vec<Event>,
     /// True if the current batch has an event for this instance, so that it has to take a step.
-    touched: bool,
+    has_event: bool,
 }
 
 /// The hosted instances and the lists that the simulator has registered.
@@ -39,25 +39,25 @@
             .instances
             .get_mut(&number)
             .ok_or_else(|| format!("co-ordinator {number} has not sent HELLO"))?;
-        instance.touched = true;
+        instance.has_event = true;
         Ok(instance)
     }
 
     /// Queues an event for an instance.
     fn push(&mut self, number: u64, event: Event) -> Result<(), String> {
-        self.instance(number)?.inbox.push(event);
+        self.instance(number)?.events.push(event);
         Ok(())
     }
 
     /// Applies one event of the protocol.
-    fn take(&mut self, now: f64, event: WireEvent) -> Result<(), String> {
+    fn apply(&mut self, now: f64, event: WireEvent) -> Result<(), String> {
         match event {
             WireEvent::Hello { instance, entropy, site } => {
                 let router = Router::new(site.router_settings(), entropy)
                     .map_err(|error| format!("HELLO of co-ordinator {instance}: {error}"))?;
                 let names = site.names();
-                let fresh = Instance { router, names, inbox: Vec::new(), touched: true };
-                self.instances.insert(instance, fresh);
+                let new_instance = Instance { router, names, events: Vec::new(), has_event: true };
+                self.instances.insert(instance, new_instance);
                 Ok(())
             }
             WireEvent::Register { sheet, members_list } => {
@@ -66,14 +66,14 @@
             }
             WireEvent::Registry { instance, sheet, kind } => {
                 let lines = sheet.and_then(|number| self.sheets.get(&number));
-                let news = wire::list_news(kind, lines)
+                let update = wire::list_update(kind, lines)
                     .ok_or_else(|| format!("REGISTRY: sheet {sheet:?} is not defined"))?;
-                self.push(instance, Event::List(news))
+                self.push(instance, Event::List(update))
             }
             WireEvent::Accept(accept) => {
                 let instance = self.instance(accept.instance)?;
                 let event = accept.event(&instance.names, now).map_err(|e| format!("ACCEPT: {e}"))?;
-                instance.inbox.push(event);
+                instance.events.push(event);
                 Ok(())
             }
             WireEvent::ClosedAttempt {
@@ -119,16 +119,16 @@
     }
 
     /// Applies a batch and steps each instance that it addresses. A panic of the module becomes an `INTERNAL_ERROR`.
-    fn batch(&mut self, batch: Batch) -> Result<Reply, String> {
+    fn apply_batch(&mut self, batch: Batch) -> Result<Reply, String> {
         for event in batch.events {
-            self.take(batch.now_ms, event)?;
+            self.apply(batch.now_ms, event)?;
         }
         let mut cmds = Vec::new();
         for (&number, instance) in &mut self.instances {
-            if !std::mem::take(&mut instance.touched) {
+            if !std::mem::take(&mut instance.has_event) {
                 continue;
             }
-            let events = std::mem::take(&mut instance.inbox);
+            let events = std::mem::take(&mut instance.events);
             let router = &mut instance.router;
             match catch_unwind(AssertUnwindSafe(|| router.step(batch.now_ms, events))) {
                 Ok(actions) => {
@@ -160,7 +160,7 @@
             continue;
         }
         let batch = serde_json::from_str(&line).map_err(|error| at(error.to_string()))?;
-        let reply = host.batch(batch).map_err(at)?;
+        let reply = host.apply_batch(batch).map_err(at)?;
         let text = serde_json::to_string(&reply).map_err(|error| at(error.to_string()))?;
         writeln!(out, "{text}").and_then(|()| out.flush()).map_err(|e| at(e.to_string()))?;
     }
--- a/src/bin/ironpaddle-simhost/wire.rs
+++ b/src/bin/ironpaddle-simhost/wire.rs
@@ -256,7 +256,7 @@
 }
 
 /// Translates a list; returns `None` if the kind needs lines and there are none.
-pub fn list_news(kind: ListKind, sheet: Option<&Vec<Member>>) -> Option<api::ListUpdate> {
+pub fn list_update(kind: ListKind, sheet: Option<&Vec<Member>>) -> Option<api::ListUpdate> {
     let lines = || Some(sheet?.iter().map(Member::to_replica).collect());
     Some(match kind {
         ListKind::Patch => api::ListUpdate::Changes(lines()?),
