--- a/benches/list.rs
+++ b/benches/list.rs
@@ -51,7 +51,7 @@
     panic!("the response is incomplete")
 }
 
-fn news(message: Message) -> DirectoryUpdate {
+fn directory_update(message: Message) -> DirectoryUpdate {
     let list: List = serde_json::from_slice(&message.body).expect("a list");
     list.news()
 }
@@ -73,17 +73,19 @@
 fn read_and_parse(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
     println!("{lines} lines: {} bytes, {:.1} a line", answer.len(), answer.len() as f64 / lines as f64);
-    bencher.bench_local(|| news(read(&answer)));
+    bencher.bench_local(|| directory_update(read(&answer)));
 }
 
 /// From lines to the router's event and the transport's commands, for the first list after a start.
 #[divan::bench(args = LINES, max_time = 20)]
 fn take_a_first_list(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
-    bencher.with_inputs(|| (core(), news(read(&answer)))).bench_local_values(|(mut core, news)| {
-        core.apply_directory_update(news);
-        core
-    });
+    bencher.with_inputs(|| (core(), directory_update(read(&answer)))).bench_local_values(
+        |(mut core, update)| {
+            core.apply_directory_update(update);
+            core
+        },
+    );
 }
 
 /// The same with a list whose lines are all known, as after a broken watch.
@@ -92,12 +94,12 @@
     let answer = answer(lines);
     let known = || {
         let mut core = core();
-        core.apply_directory_update(news(read(&answer)));
+        core.apply_directory_update(directory_update(read(&answer)));
         while core.next_command().is_some() {}
-        (core, news(read(&answer)))
+        (core, directory_update(read(&answer)))
     };
-    bencher.with_inputs(known).bench_local_values(|(mut core, news)| {
-        core.apply_directory_update(news);
+    bencher.with_inputs(known).bench_local_values(|(mut core, update)| {
+        core.apply_directory_update(update);
         core
     });
 }
@@ -108,7 +110,7 @@
 fn bytes_to_events(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
     bencher.with_inputs(core).bench_local_values(|mut core| {
-        core.apply_directory_update(news(read(&answer)));
+        core.apply_directory_update(directory_update(read(&answer)));
         core
     });
 }
--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -10,7 +10,7 @@
 /// The latency of each part, in milliseconds.
 const LATENCY: Millis = 200.0;
 /// The maximum number of queries that arrive in one step while the load is built.
-const CLUMP: usize = 50;
+const MAX_BATCH: usize = 50;
 /// The router's tick, in milliseconds.
 pub const TICK: Millis = 5.0;
 
@@ -19,16 +19,16 @@
     router: Router,
     pub now: Millis,
     pub next: u64,
-    pub stores: u32,
+    pub run_stores: u32,
     cells: u32,
-    flights: usize,
-    out: VecDeque<(PartId, ReplicaId, Millis)>,
+    target_in_flight: usize,
+    in_flight: VecDeque<(PartId, ReplicaId, Millis)>,
 }
 
 impl Load {
-    /// Builds a fleet of `stores` run stores with `flights` parts in flight. Each shard is held by all run stores if `all`
-    /// is true, and otherwise by three. Returns `None` if building takes longer than `within`.
-    pub fn new(stores: u32, flights: usize, all: bool, within: Duration) -> Option<Self> {
+    /// Builds a fleet of `run_stores` run stores with `target_in_flight` parts in flight. Each shard is held by all run
+    /// stores if `all` is true, and otherwise by three. Returns `None` if building takes longer than `within`.
+    pub fn new(run_stores: u32, target_in_flight: usize, all: bool, within: Duration) -> Option<Self> {
         let class = |repeat| Class {
             aim: 2000.0,
             repeat,
@@ -39,7 +39,7 @@
             partial_worth: 0.9,
             second_step_parts: 0,
         };
-        let (cells, width) = if all { (1, 1) } else { (stores, 3.min(stores)) };
+        let (cells, width) = if all { (1, 1) } else { (run_stores, 3.min(run_stores)) };
         let settings = Settings {
             classes: vec![class(RepeatPolicy::Safe), class(RepeatPolicy::Unsafe)],
             over_share_worth: 0.05,
@@ -61,23 +61,31 @@
             tick: TICK,
             ..Settings::default()
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         let router = Router::new(settings, 7).expect("valid settings");
-        let mut load = Load { router, now: 0.0, next: 0, stores, cells, flights, out: VecDeque::new() };
+        let mut load = Load {
+            router,
+            now: 0.0,
+            next: 0,
+            run_stores,
+            cells,
+            target_in_flight,
+            in_flight: VecDeque::new(),
+        };
         load.list(load.lines());
         // Every part in flight is replaced once, so that the router knows load reports, rates and paces. Some queries
         // are refused meanwhile, as the first parts show the pace without load; more are sent in their place.
-        let clump = (flights / 20).clamp(1, CLUMP);
-        let mut turns = 0;
-        while turns < flights || load.out.len() < flights {
-            if begun.elapsed() >= within {
+        let batch = (target_in_flight / 20).clamp(1, MAX_BATCH);
+        let mut turnovers = 0;
+        while turnovers < target_in_flight || load.in_flight.len() < target_in_flight {
+            if started.elapsed() >= within {
                 return None;
             }
-            let lacks = clump.min(flights - load.out.len().min(flights));
-            let mut events: Vec<Event> = (0..lacks).flat_map(|_| load.query()).collect();
-            if turns > 0 || load.out.len() >= flights {
-                (0..clump).for_each(|_| events.extend(load.turn()));
-                turns += clump;
+            let missing = batch.min(target_in_flight - load.in_flight.len().min(target_in_flight));
+            let mut events: Vec<Event> = (0..missing).flat_map(|_| load.query()).collect();
+            if turnovers > 0 || load.in_flight.len() >= target_in_flight {
+                (0..batch).for_each(|_| events.extend(load.turnover()));
+                turnovers += batch;
             }
             load.play(events);
         }
@@ -86,7 +94,7 @@
 
     /// Returns the whole list.
     pub fn lines(&self) -> Vec<Replica> {
-        (0..self.stores).map(|no| self.line(no, ReplicaState::Active)).collect()
+        (0..self.run_stores).map(|no| self.line(no, ReplicaState::Active)).collect()
     }
 
     /// Returns one line of the list.
@@ -103,10 +111,10 @@
     /// Returns the events of a new query of one part.
     fn query(&mut self) -> [Event; 2] {
         self.next += 1;
-        self.now += LATENCY / self.flights as f64;
+        self.now += LATENCY / self.target_in_flight as f64;
         let (number, class) = (self.next, ClassIndex((self.next % 2) as usize));
         let id = PartId::from(format!("q{number}.0").as_str());
-        let shard = Shard((number.wrapping_mul(0x9e37_79b9) % u64::from(self.stores * 2)) as u32);
+        let shard = Shard((number.wrapping_mul(0x9e37_79b9) % u64::from(self.run_stores * 2)) as u32);
         [
             Event::Query(NewQuery {
                 id: format!("q{number}").as_str().into(),
@@ -124,9 +132,9 @@
     }
 
     /// Returns the events of one turnover: a query of one part arrives, and the part longest in flight completes.
-    pub fn turn(&mut self) -> Vec<Event> {
+    pub fn turnover(&mut self) -> Vec<Event> {
         let mut events = self.query().to_vec();
-        if let Some((part, replica, sent)) = self.out.pop_front() {
+        if let Some((part, replica, sent)) = self.in_flight.pop_front() {
             events.push(Event::AttemptEnded(AttemptEnded {
                 part,
                 attempt: Attempt(0),
@@ -147,7 +155,7 @@
     pub fn play(&mut self, events: Vec<Event>) {
         for action in self.router.step(self.now, events) {
             if let Action::Send { part, replica, .. } = action {
-                self.out.push_back((part, replica, self.now));
+                self.in_flight.push_back((part, replica, self.now));
             }
         }
     }
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -16,26 +16,26 @@
 use load::{Load, TICK};
 
 /// The number of bytes that are allocated.
-static HELD: AtomicUsize = AtomicUsize::new(0);
+static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 
 /// The system's allocator with a count of the allocated bytes.
-struct Counting;
+struct CountingAllocator;
 
 // SAFETY: every call is forwarded unchanged to the system's allocator.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Relaxed);
+        ALLOCATED.fetch_add(layout.size(), Relaxed);
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Relaxed);
+        ALLOCATED.fetch_sub(layout.size(), Relaxed);
         unsafe { System.dealloc(at, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 /// The name and unit of each measure.
 const MEASURES: [(&str, &str); 5] =
@@ -43,68 +43,68 @@
 /// The maximum number of samples of each measure.
 const SAMPLES: usize = 300;
 /// The time after which sampling stops, if there are at least three samples.
-const SAMPLING: Duration = Duration::from_millis(800);
+const SAMPLING_TIME: Duration = Duration::from_millis(800);
 /// The maximum number of quiet ticks. With more, a part would be in flight for so long that it counts as silent.
-const QUIET: usize = 30;
+const MAX_QUIET_TICKS: usize = 30;
 
 /// Returns the median time of a step in us, without the time to create its events.
 fn median(load: &mut Load, samples: usize, make: impl Fn(&mut Load) -> Vec<Event>) -> f64 {
-    let (begun, mut took) = (Instant::now(), Vec::new());
-    while took.len() < samples && (took.len() < 3 || begun.elapsed() < SAMPLING) {
+    let (started, mut durations) = (Instant::now(), Vec::new());
+    while durations.len() < samples && (durations.len() < 3 || started.elapsed() < SAMPLING_TIME) {
         let events = make(load);
-        let at = Instant::now();
+        let step_started = Instant::now();
         load.play(events);
-        took.push(at.elapsed().as_secs_f64() * 1e6);
+        durations.push(step_started.elapsed().as_secs_f64() * 1e6);
     }
-    took.sort_by(f64::total_cmp);
-    took[took.len() / 2]
+    durations.sort_by(f64::total_cmp);
+    durations[durations.len() / 2]
 }
 
 /// Returns the events of a tick in which nothing happens.
-fn tick(load: &mut Load) -> Vec<Event> {
+fn quiet_tick(load: &mut Load) -> Vec<Event> {
     load.now += TICK;
     vec![Event::Wake]
 }
 
 /// Returns a list with one changed line: alternately a run store starts to drain and becomes active again.
-fn changed(load: &mut Load) -> Vec<Event> {
+fn changed_line(load: &mut Load) -> Vec<Event> {
     load.next += 1;
     let state = if load.next.is_multiple_of(2) { ReplicaState::Active } else { ReplicaState::Draining };
-    let no = (load.next / 2 * 7919) % u64::from(load.stores);
+    let no = (load.next / 2 * 7919) % u64::from(load.run_stores);
     vec![Event::List(ListUpdate::Changes(vec![load.line(no as u32, state)]))]
 }
 
 /// Measures one grid cell; the figures are in the order of [`MEASURES`]. Returns `None` if the load is not built in
 /// time.
-fn cell(stores: u32, flights: usize, limit: Duration) -> Option<[f64; 5]> {
-    let before = HELD.load(Relaxed);
-    let mut load = Load::new(stores, flights, false, limit)?;
-    let held = HELD.load(Relaxed) - before;
-    let step = median(&mut load, SAMPLES, Load::turn);
-    let tick = median(&mut load, QUIET, tick);
-    let line = median(&mut load, SAMPLES, changed);
+fn measure_cell(run_stores: u32, in_flight: usize, limit: Duration) -> Option<[f64; 5]> {
+    let before = ALLOCATED.load(Relaxed);
+    let mut load = Load::new(run_stores, in_flight, false, limit)?;
+    let held = ALLOCATED.load(Relaxed) - before;
+    let step = median(&mut load, SAMPLES, Load::turnover);
+    let tick = median(&mut load, MAX_QUIET_TICKS, quiet_tick);
+    let line = median(&mut load, SAMPLES, changed_line);
     let list = median(&mut load, 9, |load| vec![Event::List(ListUpdate::Full(load.lines()))]);
     Some([tick, step, line, list, held as f64])
 }
 
-fn numbers(text: &str) -> Vec<u32> {
+fn parse_numbers(text: &str) -> Vec<u32> {
     text.split(',').map(|number| number.parse().expect("whole numbers separated by commas")).collect()
 }
 
 fn main() {
     let (mut stores, mut flights) = (vec![60, 600, 6000, 57_000], vec![100, 1000, 5600, 10_000]);
     let (mut limit, mut series) = (Duration::from_secs(20), None);
-    let mut words = std::env::args().skip(1);
-    while let Some(word) = words.next() {
-        let mut value = || words.next().unwrap_or_else(|| panic!("{word} needs a value"));
-        match word.as_str() {
-            "--stores" => stores = numbers(&value()),
-            "--in-flight" => flights = numbers(&value()),
+    let mut args = std::env::args().skip(1);
+    while let Some(arg) = args.next() {
+        let mut value = || args.next().unwrap_or_else(|| panic!("{arg} needs a value"));
+        match arg.as_str() {
+            "--stores" => stores = parse_numbers(&value()),
+            "--in-flight" => flights = parse_numbers(&value()),
             "--limit" => limit = Duration::from_secs(value().parse().expect("whole seconds")),
             "--series" => series = Some(value()),
             // Passed by `cargo bench`.
             "--bench" => {}
-            _ => panic!("unknown argument: {word}"),
+            _ => panic!("unknown argument: {arg}"),
         }
     }
     println!("| run stores | in flight | quiet tick, us | step, us | changed line, us | whole list, ms | state, MB |");
@@ -112,7 +112,7 @@
     let mut cells = Vec::new();
     for &store in &stores {
         for &flight in &flights {
-            let Some(figures) = cell(store, flight as usize, limit) else {
+            let Some(figures) = measure_cell(store, flight as usize, limit) else {
                 println!("| {store} | {flight} | not built within {} s | | | | |", limit.as_secs());
                 continue;
             };
@@ -123,12 +123,12 @@
         }
     }
     if let Some(file) = series {
-        std::fs::write(&file, slopes(&cells, &stores, &flights)).expect("the file can be written");
+        std::fs::write(&file, format_series(&cells, &stores, &flights)).expect("the file can be written");
     }
 }
 
 /// Formats the figures as TOML series along each axis, with the other axis fixed.
-fn slopes(cells: &[(u32, u32, [f64; 5])], stores: &[u32], flights: &[u32]) -> String {
+fn format_series(cells: &[(u32, u32, [f64; 5])], stores: &[u32], flights: &[u32]) -> String {
     let mut text = String::new();
     for (at, (measure, unit)) in MEASURES.iter().enumerate() {
         let mut put = |axis: &str, x: &str, fixed: String, points: Vec<(u32, f64)>| {
