--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -17,11 +17,16 @@
 /// A fleet and the parts in flight on it.
 pub struct Load {
     router: Router,
+    /// The current time, in milliseconds.
     pub now: Millis,
+    /// The number of the last query; `benches/scale.rs` also counts changed lines with it.
     pub next: u64,
+    /// The number of run stores.
     pub run_stores: u32,
     cells: u32,
+    /// The number of parts that are kept in flight.
     target_in_flight: usize,
+    /// The parts in flight, oldest first: the part, its run store, and when it was sent.
     in_flight: VecDeque<(PartId, ReplicaId, Millis)>,
 }
 
--- a/benches/module.rs
+++ b/benches/module.rs
@@ -14,7 +14,7 @@
     divan::main();
 }
 
-fn steps(bencher: Bencher, run_stores: u32, in_flight: usize, all: bool) {
+fn bench_steps(bencher: Bencher, run_stores: u32, in_flight: usize, all: bool) {
     let mut load = Load::new(run_stores, in_flight, all, Duration::MAX).expect("no time limit");
     let events = load.turnover();
     load.play(events);
@@ -27,17 +27,17 @@
 /// 100 to 10,000 parts in flight on 60 run stores, three of which hold each shard.
 #[divan::bench(args = [100, 1000, 4000, 10_000])]
 fn in_flight_at_60(bencher: Bencher, in_flight: usize) {
-    steps(bencher, 60, in_flight, false);
+    bench_steps(bencher, 60, in_flight, false);
 }
 
 /// 60 to 57,000 run stores, three of which hold each shard, with 1000 parts in flight.
 #[divan::bench(args = [60, 600, 6000, 57_000])]
 fn stores_of_which_three_hold(bencher: Bencher, run_stores: u32) {
-    steps(bencher, run_stores, 1000, false);
+    bench_steps(bencher, run_stores, 1000, false);
 }
 
 /// 60 to 600 run stores, all of which hold each shard, with 1000 parts in flight.
 #[divan::bench(args = [60, 600])]
 fn stores_of_which_all_hold(bencher: Bencher, run_stores: u32) {
-    steps(bencher, run_stores, 1000, true);
+    bench_steps(bencher, run_stores, 1000, true);
 }
--- a/benches/scale.rs
+++ b/benches/scale.rs
@@ -79,12 +79,12 @@
 fn measure_cell(run_stores: u32, in_flight: usize, limit: Duration) -> Option<[f64; 5]> {
     let before = ALLOCATED.load(Relaxed);
     let mut load = Load::new(run_stores, in_flight, false, limit)?;
-    let held = ALLOCATED.load(Relaxed) - before;
+    let state_bytes = ALLOCATED.load(Relaxed) - before;
     let step = median(&mut load, SAMPLES, Load::turnover);
     let tick = median(&mut load, MAX_QUIET_TICKS, quiet_tick);
     let line = median(&mut load, SAMPLES, changed_line);
     let list = median(&mut load, 9, |load| vec![Event::List(ListUpdate::Full(load.lines()))]);
-    Some([tick, step, line, list, held as f64])
+    Some([tick, step, line, list, state_bytes as f64])
 }
 
 fn parse_numbers(text: &str) -> Vec<u32> {
@@ -116,9 +116,11 @@
                 println!("| {store} | {flight} | not built within {} s | | | | |", limit.as_secs());
                 continue;
             };
-            let [tick, step, line, list, held] = figures;
-            let (list, held) = (list / 1e3, held / 1e6);
-            println!("| {store} | {flight} | {tick:.1} | {step:.1} | {line:.1} | {list:.2} | {held:.2} |");
+            let [tick, step, line, list, state_bytes] = figures;
+            let (list_ms, state_mb) = (list / 1e3, state_bytes / 1e6);
+            println!(
+                "| {store} | {flight} | {tick:.1} | {step:.1} | {line:.1} | {list_ms:.2} | {state_mb:.2} |"
+            );
             cells.push((store, flight, figures));
         }
     }
@@ -142,15 +144,25 @@
             )
             .expect("text can be written");
         };
-        for held in flights {
-            let along = cells.iter().filter(|(_, flight, _)| flight == held);
+        for fixed_value in flights {
+            let along = cells.iter().filter(|(_, flight, _)| flight == fixed_value);
             let points = along.map(|(store, _, figures)| (*store, figures[at])).collect();
-            put(&format!("stores_at_{held}"), "run stores", format!("{held} parts in flight"), points);
+            put(
+                &format!("stores_at_{fixed_value}"),
+                "run stores",
+                format!("{fixed_value} parts in flight"),
+                points,
+            );
         }
-        for held in stores {
-            let along = cells.iter().filter(|(store, _, _)| store == held);
+        for fixed_value in stores {
+            let along = cells.iter().filter(|(store, _, _)| store == fixed_value);
             let points = along.map(|(_, flight, figures)| (*flight, figures[at])).collect();
-            put(&format!("in_flight_at_{held}"), "parts in flight", format!("{held} run stores"), points);
+            put(
+                &format!("in_flight_at_{fixed_value}"),
+                "parts in flight",
+                format!("{fixed_value} run stores"),
+                points,
+            );
         }
     }
     text
--- a/src/bin/ironpaddle-simhost/main.rs
+++ b/src/bin/ironpaddle-simhost/main.rs
@@ -38,7 +38,7 @@
         let instance = self
             .instances
             .get_mut(&number)
-            .ok_or_else(|| format!("co-ordinator {number} has not sent HELLO"))?;
+            .ok_or_else(|| format!("no HELLO was received for co-ordinator {number}"))?;
         instance.has_event = true;
         Ok(instance)
     }
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -190,7 +190,7 @@
 /// Parses a time as `--from` and `--to` accept it, and returns Unix milliseconds. `first` is the time of the trace's
 /// first entry.
 fn parse_time(text: &str, first: f64) -> Result<f64, String> {
-    const DAY: f64 = 86_400_000.0;
+    const DAY_MS: f64 = 86_400_000.0;
     let invalid = || format!("{text}: not a valid time; see --help");
     if let Some(after) = text.strip_prefix('+') {
         let span = humantime::parse_duration(after).map_err(|_| invalid())?;
@@ -207,7 +207,7 @@
             [hours, minutes, seconds] => hours * 3600.0 + minutes * 60.0 + seconds,
             _ => return Err(invalid()),
         };
-        return Ok((first / DAY).floor() * DAY + seconds * 1000.0);
+        return Ok((first / DAY_MS).floor() * DAY_MS + seconds * 1000.0);
     }
     let at = humantime::parse_rfc3339_weak(text).map_err(|_| invalid())?;
     Ok(at.duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0)
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -52,7 +52,7 @@
 }
 
 /// Plays a day with faults against a core that is recorded, and returns the recorded jobs and the core.
-fn day(seed: u64, limits: Limits, mut meddle: impl FnMut(&mut Core, f64)) -> (Vec<Job>, Core) {
+fn day(seed: u64, limits: Limits, mut intervene: impl FnMut(&mut Core, f64)) -> (Vec<Job>, Core) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut core = Core::new(&site(1000.0), seed).unwrap();
     let source = Source { aggregator: "n0".into(), started: BEGIN as u64, seed, ..Source::default() };
@@ -84,7 +84,7 @@
                 DirectoryUpdate::Failed
             });
         }
-        meddle(&mut core, now);
+        intervene(&mut core, now);
         core.step(now);
         let commands = commands(&mut core);
         for command in &commands {
@@ -267,11 +267,11 @@
     // The summary shows how many of the counted queries are missing from the trace.
     let summary = summary(&segments);
     let counted = &core.counters.classes["search"];
-    let (told, missing) = (&summary.classes["search"], summary.processes[0].missing["search"]);
+    let (service, missing) = (&summary.classes["search"], summary.processes[0].missing["search"]);
     assert!(missing[0] > 0, "{missing:?}");
-    assert_eq!(told.answered as i64 + missing[0], counted.ok as i64);
-    assert_eq!(told.refused as i64 + missing[1], counted.shed as i64);
-    assert_eq!((told.failed + told.not_taken) as i64 + missing[2], counted.errors as i64);
+    assert_eq!(service.answered as i64 + missing[0], counted.ok as i64);
+    assert_eq!(service.refused as i64 + missing[1], counted.shed as i64);
+    assert_eq!((service.failed + service.not_taken) as i64 + missing[2], counted.errors as i64);
 }
 
 #[test]
@@ -279,9 +279,9 @@
     let (jobs, core) = day(8, Limits { age: 3000.0, ..LONG }, |_, _| ());
     let summary = summary(&segments(jobs));
     for (class, ends) in &core.counters.classes {
-        let told = &summary.classes[&**class];
-        assert_eq!((told.answered, told.refused), (ends.ok, ends.shed), "{class}");
-        assert_eq!(told.failed + told.not_taken, ends.errors, "{class}");
+        let service = &summary.classes[&**class];
+        assert_eq!((service.answered, service.refused), (ends.ok, ends.shed), "{class}");
+        assert_eq!(service.failed + service.not_taken, ends.errors, "{class}");
     }
     let all =
         |of: fn(&ironpaddle_trace::summary::Service) -> u64| summary.classes.values().map(of).sum::<u64>();
