--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Exit codes: 0, 1 where something is at fault or was found, 2 where the call is.
+//! The command line. Exit codes: 0 for success, 1 if the command failed or found a problem, 2 for wrong arguments.
 
 mod trace;
 
@@ -27,65 +27,65 @@
     command: Option<Command>,
 }
 
-/// What serving takes.
+/// The arguments of serving.
 #[derive(Debug, Args)]
 struct Serve {
-    /// The configuration file; without it the one that GW_CONFIG names.
+    /// The configuration file; defaults to the one that GW_CONFIG names.
     config: Option<PathBuf>,
-    /// How the log is written.
+    /// The format of the log.
     #[arg(long, value_enum, default_value = "text")]
     log_format: Format,
-    /// What is logged: a level, and levels of targets, as info,ironpaddle::query=debug.
+    /// The log filter: a level, and levels of single targets, for example info,ironpaddle::query=debug.
     #[arg(long, default_value = "info")]
     log_filter: String,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve, as without any command.
+    /// Serve; the same as without a command.
     Run(Serve),
-    /// Read and check a configuration file.
+    /// Read and check a configuration file without serving.
     Check {
-        /// The file.
+        /// The configuration file.
         config: PathBuf,
     },
-    /// Look at, cut, merge, replay recordings.
+    /// Inspect, cut, merge and replay recordings.
     #[command(subcommand)]
     Trace(trace::Command),
-    /// Print completions for a shell.
+    /// Print the completion script of a shell.
     Completions {
         /// The shell.
         shell: Shell,
     },
 }
 
-/// What a command found.
-pub enum Found {
-    /// All is well.
-    Well,
-    /// Something that its caller has to know.
-    Fault,
+/// The result of a command that ran to its end.
+pub enum Outcome {
+    /// The command found no problem.
+    Success,
+    /// The command found a problem, such as damage or a difference.
+    ProblemFound,
 }
 
-/// Runs the program by its arguments.
+/// Parses the arguments and runs the program.
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match cli.command {
+    let outcome = match cli.command {
         None => serve(cli.serve),
         Some(Command::Run(command)) => serve(command),
         Some(Command::Check { config }) => Config::load(&config).map(|_| {
             println!("{}: sound", config.display());
-            Found::Well
+            Outcome::Success
         }),
         Some(Command::Trace(command)) => trace::run(command),
         Some(Command::Completions { shell }) => {
             clap_complete::generate(shell, &mut Cli::command(), "ironpaddle", &mut std::io::stdout());
-            Ok(Found::Well)
+            Ok(Outcome::Success)
         }
     };
-    match done {
-        Ok(Found::Well) => ExitCode::SUCCESS,
-        Ok(Found::Fault) => ExitCode::FAILURE,
+    match outcome {
+        Ok(Outcome::Success) => ExitCode::SUCCESS,
+        Ok(Outcome::ProblemFound) => ExitCode::FAILURE,
         Err(message) => {
             eprintln!("ironpaddle: {message}");
             ExitCode::FAILURE
@@ -93,7 +93,7 @@
     }
 }
 
-fn serve(serve: Serve) -> Result<Found, String> {
+fn serve(serve: Serve) -> Result<Outcome, String> {
     log::init(serve.log_format, &serve.log_filter)?;
-    config::path(serve.config).and_then(|path| service::run(&path)).map(|()| Found::Well)
+    config::path(serve.config).and_then(|path| service::run(&path)).map(|()| Outcome::Success)
 }
--- a/src/config.rs
+++ b/src/config.rs
@@ -13,7 +13,7 @@
 
 use crate::directory::list::List;
 use crate::settings::SiteSettings;
-use crate::trace::recorder::Keep;
+use crate::trace::recorder::Retention;
 use crate::trace::writer;
 
 /// Descriptors reserved for everything but clients and run stores: standard streams, the reactor, listeners, discovery
@@ -136,10 +136,10 @@
 
 impl Trace {
     /// Converts the configuration to the recorder's type.
-    pub fn keep(&self) -> Keep {
+    pub fn keep(&self) -> Retention {
         let bytes = |mb: f64| (mb * 1_048_576.0) as u64;
         let limits = writer::Limits { bytes: bytes(self.segment_mb), age: self.segment_s * 1000.0 };
-        Keep { dir: self.dir.clone(), limits, most: bytes(self.keep_mb) }
+        Retention { dir: self.dir.clone(), limits, max_bytes: bytes(self.keep_mb) }
     }
 }
 
--- a/tests/recorder.rs
+++ b/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! The recording of a process when the disk is slow: serving goes on, and what was dropped is told.
+//! Tests the recording of a process with a slow disk: serving goes on, and the dropped records are counted.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -11,7 +11,7 @@
 use ironpaddle::core::{Core, DirectoryUpdate};
 use ironpaddle::settings::SiteSettings;
 use ironpaddle::trace::control::Control;
-use ironpaddle::trace::recorder::{Keep, Recorder, QUEUE};
+use ironpaddle::trace::recorder::{Recorder, Retention, QUEUE_CAPACITY};
 use ironpaddle::trace::replay::Replay;
 use ironpaddle::trace::writer::Limits;
 use ironpaddle_trace::file::{Reader, Source};
@@ -21,7 +21,7 @@
 
 const BEGIN: f64 = 1_764_608_400_000.0;
 
-/// A disk whose writes wait while it is held.
+/// A disk whose writes block while it is held.
 #[derive(Clone, Default)]
 struct Disk(Arc<(Mutex<State>, Condvar)>);
 
@@ -88,9 +88,9 @@
 fn a_slow_disk_costs_records_that_are_counted_and_never_a_wait() {
     let (disk, mut core) = (Disk::default(), core());
     let limits = Limits { bytes: u64::MAX, age: f64::INFINITY };
-    let keep = Keep { dir: "unused".into(), limits, most: u64::MAX };
-    let control = Control::new(keep, Source { aggregator: "n0".into(), ..Source::default() });
-    control.begin(Recorder::over(disk.clone(), u64::MAX).unwrap(), &mut core, || BEGIN);
+    let retention = Retention { dir: "unused".into(), limits, max_bytes: u64::MAX };
+    let control = Control::new(retention, Source { aggregator: "n0".into(), ..Source::default() });
+    control.begin(Recorder::with_storage(disk.clone(), u64::MAX).unwrap(), &mut core, || BEGIN);
     let mut now = BEGIN;
     let mut pass = |core: &mut Core, steps: usize| {
         for _ in 0..steps {
@@ -104,12 +104,12 @@
         now
     };
     disk.hold(true);
-    // Far more blocks than the queue holds: each step comes back at once, or this test would hang.
-    pass(&mut core, QUEUE * 4);
-    let lost = control.standing().lost;
-    assert!(lost > 0, "{:?}", control.standing());
+    // Far more blocks than the queue holds. If a step waited for the disk, this test would hang.
+    pass(&mut core, QUEUE_CAPACITY * 4);
+    let lost = control.status().lost;
+    assert!(lost > 0, "{:?}", control.status());
     disk.hold(false);
-    while control.standing().kept == 0 {
+    while control.status().kept == 0 {
         std::thread::yield_now();
     }
     let now = pass(&mut core, 20);
@@ -117,26 +117,26 @@
     while !control.is_done() {
         std::thread::yield_now();
     }
-    let standing = control.standing();
-    assert!(!standing.recording && standing.lost >= lost && standing.kept > 0, "{standing:?}");
-    // What is on the disk tells of all that is not, and replays from each checkpoint.
+    let status = control.status();
+    assert!(!status.recording && status.lost >= lost && status.kept > 0, "{status:?}");
+    // The segments on the disk record every loss, and replay from each checkpoint.
     let files = disk.0 .0.lock().unwrap().files.clone();
     assert!(files.len() > 1, "a new segment follows a loss");
-    let (mut told, mut replay) = (0, Replay::new(None));
+    let (mut recorded, mut replay) = (0, Replay::new(None));
     for file in &files {
         let mut reader = Reader::open(Cursor::new(file.as_slice())).unwrap();
-        assert!(reader.is_complete(), "each is ended in order");
+        assert!(reader.is_complete(), "each segment has its index");
         for no in 0..reader.blocks().len() {
             let block = reader.block(no).unwrap();
             for entry in &block.entries {
                 if let Record::Loss(loss) = entry.record {
-                    told += loss.records;
+                    recorded += loss.records;
                 }
                 replay.take(&block, entry);
             }
         }
     }
-    assert!(told >= lost && told <= standing.lost, "{told} of {lost} and then {}", standing.lost);
+    assert!(recorded >= lost && recorded <= status.lost, "{recorded} of {lost} and then {}", status.lost);
     let report = replay.report();
     assert_eq!((report.difference, report.checkpoints as usize), (None, files.len()));
 }
