--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -44,7 +44,7 @@
         #[arg(required = true)]
         paths: Vec<PathBuf>,
         #[command(flatten)]
-        filter: Filter,
+        filter: EntryFilter,
         /// Also print steps in which nothing happened.
         #[arg(long)]
         all: bool,
@@ -80,7 +80,7 @@
         #[arg(required = true)]
         paths: Vec<PathBuf>,
         #[command(flatten)]
-        filter: Filter,
+        filter: EntryFilter,
         /// The new file.
         #[arg(short, long)]
         output: PathBuf,
@@ -151,7 +151,7 @@
 
 /// Selects entries.
 #[derive(Debug, Args)]
-pub struct Filter {
+pub struct EntryFilter {
     #[command(flatten)]
     span: Span,
     /// Only entries about queries of this class.
@@ -168,7 +168,7 @@
     run_store: Option<String>,
 }
 
-impl Filter {
+impl EntryFilter {
     fn pick(&self) -> Selection {
         Selection {
             filter: Filter { class: self.class.clone(), group: self.group.clone() },
@@ -423,11 +423,14 @@
     }
 }
 
-fn cat(paths: &[PathBuf], filter: &Filter, all: bool, json: bool) -> Result<Outcome, String> {
+fn cat(paths: &[PathBuf], filter: &EntryFilter, all: bool, json: bool) -> Result<Outcome, String> {
     let mut set = open(paths)?;
     let (span, pick) = (filter.span.resolve(&set)?, filter.pick());
-    let picked =
-        if pick.is_all() { None } else { Some(edit::select_queries(&mut set, span, &pick).map_err(error_text)?) };
+    let picked = if pick.is_all() {
+        None
+    } else {
+        Some(edit::select_queries(&mut set, span, &pick).map_err(error_text)?)
+    };
     let names: Vec<String> = set.sources.iter().map(|source| source.aggregator.clone()).collect();
     let mut out = BufWriter::new(io::stdout().lock());
     let mut failed = None;
--- a/src/trace/convert.rs
+++ b/src/trace/convert.rs
@@ -73,6 +73,15 @@
     }
 }
 
+/// Converts the choice of a replica to a record.
+pub(super) fn choice_to_record(choice: ReplicaChoice) -> record::Choice {
+    match choice {
+        ReplicaChoice::LeastFinish => record::Choice::Least,
+        ReplicaChoice::OnlyCandidate => record::Choice::Only,
+        ReplicaChoice::BestParked => record::Choice::BestParked,
+    }
+}
+
 /// Converts a cause to a record.
 pub fn cause_to_record(cause: Cause) -> record::Cause {
     match cause {
@@ -254,7 +263,8 @@
         Action::Send { part, replica, timeout, reason, choice } => {
             let (query, shard) = part_numbers(part);
             let run_store = batch.name(Kind::RunStore, &replica.0);
-            let (timeout, why, choice) = (Num::of(*timeout), reason_to_record(*reason), choice_out(*choice));
+            let (timeout, why, choice) =
+                (Num::of(*timeout), reason_to_record(*reason), choice_to_record(*choice));
             record::Action::Send { query, shard, run_store, timeout, why, choice }
         }
         Action::Cancel { part, attempt, reason } => {
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -206,6 +206,31 @@
     action
 }
 
+/// Formats an action with the names that the trace format has for its fields and values.
+struct InTraceTerms<'a>(&'a Action);
+
+impl fmt::Debug for InTraceTerms<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Action::Send { part, replica, timeout, reason, choice } => f
+                .debug_struct("Send")
+                .field("part", part)
+                .field("replica", replica)
+                .field("timeout", timeout)
+                .field("why", &convert::reason_to_record(*reason))
+                .field("choice", &convert::choice_to_record(*choice))
+                .finish(),
+            Action::Cancel { part, attempt, reason } => f
+                .debug_struct("Cancel")
+                .field("part", part)
+                .field("attempt", attempt)
+                .field("why", &convert::reason_to_record(*reason))
+                .finish(),
+            other => fmt::Debug::fmt(other, f),
+        }
+    }
+}
+
 /// Returns the query that an action ends, and how it ends it.
 fn end_of(action: &record::Action) -> Option<(u64, String)> {
     match action {
@@ -219,7 +244,12 @@
 
 /// Returns the other settings with classes and groups in the order of the recording. Those that the other settings do
 /// not name keep their recorded settings.
-fn in_recorded_order(block: &Block, told: &AppliedSettings, recorded: &Settings, other: &SiteSettings) -> Settings {
+fn in_recorded_order(
+    block: &Block,
+    told: &AppliedSettings,
+    recorded: &Settings,
+    other: &SiteSettings,
+) -> Settings {
     let (mut settings, names) = (other.router_settings(), other.names());
     let place = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
     let class = |(at, name): (usize, &record::Name)| {
