--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -11,8 +11,30 @@
 
 use std::sync::LazyLock;
 
-/// The decision module's text and that of its state, hashed: the states of one text are no states of another.
+/// The hash of the decision module's text and that of its state. States of one text need not be states of another: see
+/// [`is_replayable`].
 pub static MODULE: LazyLock<u64> = LazyLock::new(|| {
     let text = [include_str!("../decide.rs"), include_str!("../decide/state.rs")].concat();
     ironpaddle_trace::index::hash(&text)
 });
+
+/// A change of the decision module's text in comments and names only, which leaves decisions and state as they were.
+#[derive(Debug, Clone, Copy)]
+pub struct Rewording {
+    /// The hash of the reworded text.
+    pub text: u64,
+    /// The hash of the text before the rewording.
+    pub before: u64,
+}
+
+/// The rewording across which recordings can be replayed.
+pub const REWORDING: Rewording = Rewording { text: 0x27a6fa8014d1ebb7, before: 0x27a6fa8014d1ebb7 };
+
+/// Returns whether the decision module whose text has the hash `present` can read a checkpoint written by the module
+/// whose text has the hash `recorded`: if both texts are the same, or if the present one was reworded from the recorded
+/// one.
+///
+/// A rewording no longer counts once the text changes again, as the present text is then not the reworded one.
+pub fn is_replayable(recorded: u64, present: u64, rewording: Rewording) -> bool {
+    recorded == present || (present == rewording.text && recorded == rewording.before)
+}
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -8,7 +8,7 @@
 use ironpaddle_trace::block::{Batch, Block};
 use ironpaddle_trace::record::{self, Entry, Record, Step, Told};
 
-use super::{convert, MODULE};
+use super::{convert, is_replayable, MODULE, REWORDING};
 use crate::api::{Action, Settings};
 use crate::settings::Info;
 use crate::Router;
@@ -68,7 +68,7 @@
     pub fn take(&mut self, block: &Block, entry: &Entry) {
         match &entry.record {
             Record::Checkpoint(checkpoint) => {
-                let state = if checkpoint.module == *MODULE {
+                let state = if is_replayable(checkpoint.module, *MODULE, REWORDING) {
                     postcard::from_bytes::<Router>(&checkpoint.state)
                         .map_err(|_| "a state that cannot be read")
                 } else {
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -12,6 +12,7 @@
 use ironpaddle::settings::Info;
 use ironpaddle::trace::replay::{Replay, Report};
 use ironpaddle::trace::tape::{Limits, Tape};
+use ironpaddle::trace::{is_replayable, Rewording, MODULE, REWORDING};
 use ironpaddle_trace::block::Block;
 use ironpaddle_trace::file::{Reader, Source, Writer};
 use ironpaddle_trace::keep::Job;
@@ -336,3 +337,56 @@
         .any(|change| change.ends_with("-> partial") || change.ends_with("-> refused")));
     assert_ne!(same.verdicts, other.verdicts);
 }
+
+/// Replays a day whose checkpoints state that a decision module of this text's hash wrote them.
+fn replay_recorded_by(module: u64) -> Report {
+    let (jobs, _) = day(11, LONG, |_, _| ());
+    let mut replay = Replay::new(None);
+    each(&segments(jobs), |block, entry| {
+        let mut entry = entry.clone();
+        if let Record::Checkpoint(checkpoint) = &mut entry.record {
+            checkpoint.module = module;
+        }
+        replay.take(block, &entry);
+    });
+    replay.report()
+}
+
+#[test]
+fn the_rewording_leads_to_the_present_text() {
+    let present = *MODULE;
+    assert!(
+        REWORDING.text == present,
+        "the text of src/decide.rs or src/decide/state.rs has changed; its hash is now {present:#018x}. \
+         If only comments and names changed, set `text` of REWORDING in src/trace/mod.rs to this hash. \
+         If decisions or state changed, remove REWORDING, this test and the test of its recordings."
+    );
+}
+
+#[test]
+fn a_recording_of_the_text_before_the_rewording_replays() {
+    let report = replay_recorded_by(REWORDING.before);
+    assert_eq!((report.difference, report.unusable), (None, Vec::new()));
+    assert_eq!((report.checkpoints, report.steps, report.skipped), (1, 4000, 0));
+}
+
+#[test]
+fn a_recording_of_any_other_text_is_refused() {
+    let why = "recorded by a decision module of another text; replay needs the program that recorded it";
+    for other in [0, !*MODULE, !REWORDING.before, MODULE.wrapping_add(1), REWORDING.before ^ 1] {
+        let report = replay_recorded_by(other);
+        assert_eq!(report.unusable, [why], "{other:#018x}");
+        assert_eq!((report.checkpoints, report.steps, report.skipped), (0, 0, 4000), "{other:#018x}");
+    }
+}
+
+#[test]
+fn a_rewording_counts_in_its_own_direction_and_for_its_own_texts_only() {
+    let rewording = Rewording { text: 2, before: 1 };
+    let readable: Vec<_> = (0..4)
+        .flat_map(|recorded| (0..4).map(move |present| (recorded, present)))
+        .filter(|(recorded, present)| is_replayable(*recorded, *present, rewording))
+        .collect();
+    // Each text reads its own checkpoints, and only the reworded text reads those of the text before.
+    assert_eq!(readable, [(0, 0), (1, 1), (1, 2), (2, 2), (3, 3)]);
+}
