--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter end to end, on hand-written batches.
+//! Runs the simulator adapter as a process on hand-written batches of events.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,7 +13,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("piped");
-    // The adapter may have stopped at bad input before all of it is written.
+    // The adapter may exit on invalid input before all of it is written.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
@@ -66,9 +66,9 @@
     let has = |reply: usize, kind: &str| {
         replies[reply]["cmds"].as_array().expect("cmds").iter().find(|c| c["type"] == kind).cloned()
     };
-    let send = has(2, "HAND_OFF").expect("a send");
+    let send = has(2, "HAND_OFF").expect("a HAND_OFF command");
     assert_eq!((&send["request_id"], &send["replica"]), (&json!("p"), &json!("r-1")));
-    let answer = has(3, "SETTLE_QUERY").expect("an answer");
+    let answer = has(3, "SETTLE_QUERY").expect("a SETTLE_QUERY command");
     assert_eq!((&answer["request_id"], &answer["entire"]), (&json!("q"), &json!(true)));
 }
 
@@ -142,7 +142,8 @@
     let tick = json!({"type": "TICK_DUE", "co-ordinator": 3, "cookie": "wake"});
     let mut input = batch(5.0, 1, &[hello, register, registry]);
     let (mut now, mut seq) = (10.0, 2);
-    // Served at first; then what is sent after more than an aim of idleness is lost at once each time.
+    // The first part is served. Each later one is sent after the connection was idle for more than the aim, and is
+    // lost at once.
     for (job, status) in (1u64..).zip(["completed", "severed", "severed", "severed"]) {
         let (query, id) = (format!("q{job}"), format!("p{job}"));
         input += &batch(now, seq, &[part(&query, job, -1, now), part(&id, job, 0, now)]);
@@ -154,7 +155,7 @@
             again["attempt"] = json!(1);
             input += &batch(now + 12.0, seq + 3, &[again]);
         }
-        // The wakes that it asks for come in time: it has not stood still itself.
+        // The requested wakes arrive on time, so the router does not attribute the loss to a stall of its own.
         let wakes = (2..24).map(|n| now + 25.0 * f64::from(n));
         for wake in wakes {
             input += &batch(wake, seq + 4, std::slice::from_ref(&tick));
--- a/tests/alone.rs
+++ b/tests/alone.rs
@@ -1,12 +1,12 @@
-//! A run store that is slow and, while others are out, alone in holding some shards.
+//! Decisions about a slow replica that is the only holder of a shard.
 
 mod common;
 use common::*;
 use ironpaddle::api::*;
 use ironpaddle::Router;
 
-/// Shard 0 is held by a sound replica and shard 1 by a slow one, which has been seen to take 300 ms for a part. Classes
-/// are worth what is given. The time after that.
+/// Returns a router and the current time. Shard 0 is held by the healthy replica `sound`, and shard 1 by `slow`, which
+/// has taken 300 ms per part so far. There is one class per entry of `worths`.
 fn known(worths: &[f64]) -> (Router, Millis) {
     let mut s = settings(RepeatPolicy::Safe);
     (s.cells, s.cells_per_shard, s.worth_by_work) = (2, 1, true);
@@ -26,7 +26,7 @@
     (router, now)
 }
 
-/// A query of one part.
+/// Returns the events of a query with one part.
 fn part_of(number: u64, class: usize, shard: u32, deadline: Millis) -> Vec<Event> {
     let mut events = query(number, 1, deadline);
     for event in &mut events {
@@ -39,19 +39,19 @@
     events
 }
 
-/// Called back, the part would go to the same replica, which works on at the first one all the same.
+/// A cancelled part would go back to the only holder, which would still be working on the first attempt.
 #[test]
 fn a_part_that_no_other_could_take_is_waited_for_as_long_as_its_replicas_pace_explains() {
     let (mut router, now) = known(&[1.0]);
     let sent = sends(&router.step(now, part_of(50, 0, 1, now + 3000.0)));
     assert_eq!(sent, [("q50.0".to_string(), "slow".to_string())]);
     let called_back = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
-    // The patience for a silent replica is 400 ms here, and twice its usual 300 ms is nothing strange.
+    // The silence timeout is 400 ms here, but twice the usual 300 ms of this replica is not unusual.
     assert!(!called_back(&run(&mut router, now + 5.0, now + 600.0)));
-    assert!(called_back(&run(&mut router, now + 605.0, now + 1000.0)), "one that hangs is still told");
+    assert!(called_back(&run(&mut router, now + 605.0, now + 1000.0)), "a hanging replica is still detected");
 }
 
-/// Parked or not, it works off a part in 300 ms, and an aim of 1 s leaves time for two or three.
+/// Parked or not, the replica needs 300 ms per part, so two or three parts fit into the aim of 1 s.
 #[test]
 fn a_parked_replica_that_is_alone_is_sent_no_more_than_it_works_off_in_time() {
     for parked in [false, true] {
@@ -79,7 +79,7 @@
 #[test]
 fn what_a_laden_replica_can_still_do_goes_to_the_dear() {
     let (mut router, now) = known(&[1.0, 5.0]);
-    // Both kinds come in turn, so that what is usual lies between them; those of shard 0 end at once.
+    // Queries of both classes alternate, so that the average worth lies between theirs; parts of shard 0 end at once.
     for number in 50..80 {
         let at = now + (number - 50) as f64 * 10.0;
         let sent = sends(&router.step(at, part_of(number, number as usize % 2, 0, at + 3000.0)));
@@ -103,7 +103,7 @@
     assert!((1..10).contains(&dear), "{dear} after {cheap} cheap ones");
 }
 
-/// Parking is bounded to a quarter of the fleet, and where more fall silent at once the rest of them would be sent on.
+/// At most a quarter of the fleet is parked for silence, so other silent replicas would otherwise still get parts.
 #[test]
 fn parts_avoid_replicas_that_owe_answers_while_one_answers() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
@@ -112,7 +112,7 @@
         let now = number as f64 * 50.0;
         let events = query(number, 1, now + 3000.0);
         for (part, to) in sends(&router.step(now, events)) {
-            // From the middle on all but one say no more.
+            // From query 41 on, only `a` answers.
             if number <= 40 || to == "a" {
                 router.step(now + 10.0, vec![ended(&part, 0, &to, Outcome::Completed, 10.0)]);
             }
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -1,4 +1,4 @@
-//! When the list of run stores is asked for, in virtual time.
+//! When the run store list is requested, in virtual time.
 
 use std::collections::VecDeque;
 
@@ -7,8 +7,8 @@
 };
 use ironpaddle::hash::draw;
 
-/// A service that answers in turn, each call in so many milliseconds, and fails what has waited for 2 s: calls
-/// that wait in vain take up none of its time. Returns when each of `routers` was told, if it was within a minute.
+/// Simulates a discovery service that answers one call at a time in `each` ms. Calls that have waited for 2 s fail
+/// without using service time. Returns when each router received the list, or `None` if that took over a minute.
 fn told(routers: u32, aim: f64, each: u32) -> Vec<Option<u32>> {
     let mut asking = vec![ListRequests::default(); routers as usize];
     let mut told = vec![None; routers as usize];
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_hundred_routers_that_start_at_once_are_all_told_by_a_service_with_little_room() {
-    // 20 calls a second: 2 s of the start's calls are answered, and the rest must not keep it full.
+    // At 20 calls a second, the service answers 2 s of the initial burst; the retries of the rest must not saturate it.
     let told = told(100, 380.0, 50);
     assert!(told.iter().all(Option::is_some), "{told:?}");
     assert!(told.iter().flatten().max() < Some(&20_000), "{told:?}");
@@ -52,7 +52,7 @@
     };
     assert_eq!(wait(1), Some(200.0));
     assert_eq!(wait(4), Some(200.0));
-    // Three quarters of the longest pause, as chance has it: a longer one would tell too late.
+    // With jitter 0.5 that is three quarters of the maximum; a longer backoff would deliver changes too late.
     assert_eq!(wait(100), Some(0.75 * MAX_BACKOFF));
 }
 
@@ -64,7 +64,7 @@
     assert_eq!(agent.due_at(), None);
     agent.mark_broken();
     assert!(!agent.open_if_due(1000.0));
-    // The watch goes on if its next call comes within 200 ms.
+    // The service continues the watch if the next call arrives within 200 ms.
     let again = agent.due_at().unwrap();
     assert!(again < 1200.0 && !agent.open_if_due(again - 1.0) && agent.open_if_due(again));
 }
@@ -75,7 +75,8 @@
     let mut watches = vec![WatchSchedule::for_service(); 300];
     assert!(watches.iter_mut().all(|watch| !watch.open_if_due(0.0) && watch.due_at().is_none()));
     watches.iter_mut().for_each(|watch| watch.mark_silent(draw(&mut chance)));
-    // Each is silent so long after its wait, and the call that opens it anew takes its own time before all is told.
+    // The delay limit also covers the wait and the grace period before a watch counts as silent, and the time of the
+    // call that reopens it.
     let left = MAX_LIST_DELAY - WATCH_WAIT - WATCH_GRACE - CALL_TIMEOUT;
     let mut begun = vec![0; 5];
     for now in 0..left as u32 {
@@ -97,8 +98,8 @@
                 let now = f64::from(failure) * 1e6;
                 assert!(asking.start_if_due(now, 5000.0));
                 asking.record_failure(now, 5000.0, (600_000.0, routers), chance);
-                // A call that began just before the service was back fails after its time, and one is made after
-                // the pause.
+                // Worst case: a call started just before the service recovers times out, and the next one follows after
+                // the backoff.
                 let told = CALL_TIMEOUT + MAX_BACKOFF + CALL_TIMEOUT;
                 assert!(
                     told <= MAX_LIST_DELAY && asking.start_if_due(now + MAX_BACKOFF, 5000.0),
--- a/tests/causes.rs
+++ b/tests/causes.rs
@@ -1,4 +1,4 @@
-//! Each refusal, failure and repeat says why, in the terms that on-call staff need.
+//! Each refusal, failure and retry carries its cause for the operators.
 
 mod common;
 
@@ -30,7 +30,7 @@
     actions.iter().filter_map(choice).collect()
 }
 
-/// A list in which every replica has some state, in a cell of its own.
+/// Returns a list in which every replica has this state and a cell of its own.
 fn in_state(names: &[&str], state: ReplicaState) -> Event {
     let line = |(cell, name): (usize, &&str)| Replica {
         id: (*name).into(),
@@ -56,7 +56,7 @@
     let mut router = Router::new(s, 7).unwrap();
     // Shards 0 and 1 are held; the query's third part is of shard 2.
     router.step(0.0, vec![in_state(&["a", "b"], ReplicaState::Active)]);
-    // It is told at once, and the other parts are work for nobody.
+    // The query is refused at once, and its other parts are not sent.
     let actions = router.step(5.0, query(1, 3, 900.0));
     assert_eq!((causes(&actions), sends(&actions).len()), (vec![Cause::NoHolder(Shard(2))], 0));
     assert_eq!(causes(&run(&mut router, 10.0, 1000.0)), []);
@@ -76,7 +76,10 @@
     let (part, replica) = &sent[0];
     let actions = router.step(20.0, vec![ended(part, 0, replica, Outcome::Errored, 15.0)]);
     assert_eq!(causes(&actions), [Cause::MayHaveRun(Shard(0))]);
-    assert!(actions.iter().any(|action| matches!(action, Action::Fail { .. })), "it failed, not refused");
+    assert!(
+        actions.iter().any(|action| matches!(action, Action::Fail { .. })),
+        "the query fails and is not refused"
+    );
 }
 
 #[test]
@@ -137,7 +140,7 @@
     let codes: std::collections::BTreeSet<_> = all.iter().map(|cause| cause.code()).collect();
     let words: std::collections::BTreeSet<_> = all.iter().map(ToString::to_string).collect();
     assert_eq!((codes.len(), words.len()), (all.len(), all.len()));
-    // A trace knows them by the same codes.
+    // The trace format uses the same codes.
     for cause in all {
         assert_eq!(ironpaddle::trace::convert::cause_out(cause).code(), cause.code());
     }
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -1,11 +1,11 @@
-//! How `.ci/run` treats `KNOWN-RED.txt`, with a `cargo` that only notes how it is called.
+//! How `.ci/run` handles `KNOWN-RED.txt`, with a fake `cargo` that records its arguments.
 
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Two tests are there, `a::red` and `green`; `a::red` fails wherever it is run.
+/// The fake `cargo`: `a::red` fails whenever it runs, `green` passes, and the name `both` is listed twice.
 const CARGO: &str = r#"#!/bin/sh
 echo "$*" >>calls
 case "$*" in
@@ -42,7 +42,7 @@
 fn without_a_list_or_with_an_empty_one_every_test_decides() {
     for (name, known) in [("none", None), ("empty", Some(""))] {
         let run = run(name, known);
-        assert!(!run.ok, "{name}: one test fails");
+        assert!(!run.ok, "{name}: a::red fails");
         assert_eq!(run.calls.last().unwrap(), "test --locked --workspace", "{name}");
     }
 }
--- a/tests/common/core.rs
+++ b/tests/common/core.rs
@@ -1,10 +1,10 @@
-//! Queries for a core, and what it orders, for tests of the core by itself.
-#![allow(dead_code)] // Each test file takes what it needs.
+//! Queries for a `Core` and readers of its commands, for tests of the core without a transport.
+#![allow(dead_code)] // No test file uses every helper.
 
 use ironpaddle::api::{Replica, ReplicaState};
 use ironpaddle::core::{Call, Command, Core, ListedRunStore, PartRequest, QueryRequest};
 
-/// A query of some parts of equal weight, with the first shards.
+/// Returns a query with parts of equal weight for shards 0 to `parts` - 1.
 pub fn ask(id: &str, class: &str, parts: u32, timeout: f64) -> QueryRequest {
     let part = |shard| PartRequest { shard, weight: 1.0 / f64::from(parts), work_hint: None, key: None };
     QueryRequest {
@@ -21,19 +21,19 @@
     }
 }
 
-/// A line of the list; 0 stands for a start long ago.
+/// Returns an entry of the run store list; `started` 0 means that the start time is unknown.
 pub fn listed(name: &str, state: ReplicaState, started: f64) -> ListedRunStore {
     let started = Some(started).filter(|at| *at > 0.0);
     let replica = Replica { id: name.into(), state, weight: 1.0, started, ..Replica::default() };
     ListedRunStore { replica, address: Some(([127, 0, 0, 1], 9).into()) }
 }
 
-/// All that it orders by now.
+/// Takes all pending commands of the core.
 pub fn commands(core: &mut Core) -> Vec<Command> {
     std::iter::from_fn(|| core.next_command()).collect()
 }
 
-/// The attempts among orders.
+/// Returns the calls of the `Send` commands.
 pub fn calls(commands: &[Command]) -> Vec<Call> {
     let call = |command: &Command| match command {
         Command::Send(call) => Some(call.clone()),
--- a/tests/common/histories.rs
+++ b/tests/common/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of one router: any legal order of events, from a seed.
-#![allow(dead_code)] // Each test file takes what it needs.
+//! Random event histories of one router: legal orders of events, generated from a seed.
+#![allow(dead_code)] // No test file uses every helper.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use ironpaddle::hash::{draw, hash};
 use ironpaddle::Router;
 
-/// Chance from a seed.
+/// A seeded random number generator.
 struct Chance(u64);
 
 impl Chance {
@@ -28,13 +28,13 @@
     }
 }
 
-/// How a store treats what is sent to it.
+/// How a replica handles the parts that it receives.
 #[derive(Clone, Copy)]
 enum Mode {
     Answers,
     Hangs,
     Ends(Outcome),
-    /// It answers some and loses others.
+    /// Answers 70 % of the parts and loses the rest.
     Loses,
 }
 
@@ -49,12 +49,13 @@
     settings: Settings,
     router: Router,
     now: Millis,
-    /// How long a part takes, and how busy stores say that they are.
+    /// Base latency of a part.
     latency: Millis,
+    /// Base utilization that replicas report.
     busy: f64,
     lines: Vec<Replica>,
     modes: Vec<Mode>,
-    /// When attempts end, with how and since when.
+    /// The attempts in flight: when each ends, its outcome, its replica and when it was sent.
     out: BTreeMap<(PartId, Attempt), (Millis, Outcome, ReplicaId, Millis)>,
     attempts: BTreeMap<PartId, u32>,
     open: BTreeMap<u64, Query>,
@@ -130,7 +131,7 @@
             ..Replica::default()
         };
         let lines: Vec<_> = (0..stores).map(line).collect();
-        let router = Router::new(settings.clone(), seed).expect("settings are sound");
+        let router = Router::new(settings.clone(), seed).expect("valid settings");
         let (latency, busy) = (chance.between(5.0, 150.0), chance.between(0.2, 1.0));
         let modes = vec![Mode::Answers; stores];
         History {
@@ -151,10 +152,10 @@
         }
     }
 
-    /// News of the list: of some lines or all, old or new, or none.
+    /// Returns an update of the list: full, cached, partial or failed.
     fn list(&mut self) -> Event {
         let (chance, now) = (&mut self.chance, self.now);
-        // At times all of a cell go.
+        // Sometimes all replicas of one cell leave.
         let lost = chance.of(0.2).then(|| chance.below(self.settings.cells as usize) as u32);
         for line in &mut self.lines {
             if chance.of(0.2) {
@@ -316,23 +317,24 @@
         }
     }
 
-    /// What no event tells: other settings, another process, a process that goes on from what was written down.
+    /// Makes changes that no event carries: new settings, a restart with the learned state, a restored snapshot,
+    /// replica failures.
     fn meddle(&mut self) {
         if self.chance.of(0.01) {
             let other = settings(&mut self.chance);
-            // Classes that are held keep their places, and further ones may come.
+            // Existing classes keep their index; one more may be added.
             let mut classes = self.settings.classes.clone();
             for class in &mut classes {
                 class.aim = self.chance.pick(&[150.0, 400.0, 1000.0, 2000.0]);
             }
             classes.extend(other.classes.get(1).cloned().filter(|_| classes.len() < 5));
             self.settings = Settings { classes, ..other };
-            self.router.apply_settings(self.settings.clone()).expect("settings are sound");
+            self.router.apply_settings(self.settings.clone()).expect("valid settings");
         }
         if self.chance.of(0.005) {
             let seed = self.next ^ self.digest;
-            let mut after = Router::new(self.settings.clone(), seed).expect("settings are sound");
-            // Where a figure has grown beyond all bounds it can't be told, and the new process begins anew.
+            let mut after = Router::new(self.settings.clone(), seed).expect("valid settings");
+            // An infinite value cannot be written as JSON: the new process then starts without learned state.
             let understood = after.import_learned(&self.router.export_learned());
             self.digest = hash(&format!("{} {understood}", self.digest));
             self.router = after;
@@ -340,8 +342,8 @@
             self.open.clear();
         }
         if self.chance.of(0.01) {
-            let state = postcard::to_stdvec(&self.router).expect("it can be written down");
-            self.router = postcard::from_bytes(&state).expect("and read again");
+            let state = postcard::to_stdvec(&self.router).expect("the router serializes");
+            self.router = postcard::from_bytes(&state).expect("the router deserializes");
         }
         if self.chance.of(0.05) {
             let no = self.chance.below(self.modes.len());
@@ -359,7 +361,7 @@
             };
         }
         if self.chance.of(0.01) {
-            // All at once: a shared cause.
+            // A shared cause: every replica changes at once.
             let mode =
                 self.chance.pick(&[Mode::Answers, Mode::Answers, Mode::Hangs, Mode::Ends(Outcome::Reset)]);
             self.modes.fill(mode);
@@ -368,7 +370,7 @@
     }
 
     fn step(&mut self) {
-        // Mostly a tick, now and then less or a stall.
+        // Mostly 1 to 5 ticks, sometimes less than a tick or a stall.
         self.now += match self.chance.below(40) {
             0 => self.chance.between(0.0, 5.0),
             1 => self.chance.between(5.0, 700.0),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,10 @@
-//! A hand-driven fleet for tests of the module by its public interface.
-#![allow(dead_code)] // Each test file takes what it needs.
+//! Settings, events and helpers for tests that drive a `Router` through its public interface.
+#![allow(dead_code)] // No test file uses every helper.
 
 use ironpaddle::api::*;
 use ironpaddle::Router;
 
+/// Returns a class with an aim of 1 s that answers only with all parts.
 pub fn class(repeat: RepeatPolicy) -> Class {
     Class {
         aim: 1000.0,
@@ -17,7 +18,7 @@
     }
 }
 
-/// One cell of shards held by every replica, so that all choices are open.
+/// Returns settings with one cell, so that every replica holds every shard and can take any part.
 pub fn settings(repeat: RepeatPolicy) -> Settings {
     Settings {
         classes: vec![class(repeat)],
@@ -45,6 +46,7 @@
     }
 }
 
+/// Returns an active replica in the only cell and in the router's zone.
 pub fn replica(name: &str) -> Replica {
     Replica {
         id: name.into(),
@@ -56,11 +58,12 @@
     }
 }
 
+/// Returns the event that gives the router a cached list of these replicas.
 pub fn fleet(names: &[&str]) -> Event {
     Event::List(ListUpdate::Cached(names.iter().map(|name| replica(name)).collect()))
 }
 
-/// A query `q<number>` with parts `q<number>.<n>` of equal weight.
+/// Returns the events of a query `q<number>` with parts `q<number>.<n>` of equal weight.
 pub fn query(number: u64, parts: u32, deadline: Millis) -> Vec<Event> {
     let mut events = vec![Event::Query(NewQuery {
         id: format!("q{number}").as_str().into(),
@@ -68,7 +71,7 @@
         class: ClassIndex(0),
         tenant: None,
         key: None,
-        // It came in with the step that takes it, which is before its deadline.
+        // An arrival time after the step counts as the time of the step.
         arrived: deadline,
         deadline,
         parts,
@@ -87,6 +90,7 @@
     events
 }
 
+/// Returns the event that an attempt ended, without a load report.
 pub fn ended(part: &str, attempt: u32, replica: &str, outcome: Outcome, latency: Millis) -> Event {
     Event::AttemptEnded(AttemptEnded {
         part: part.into(),
@@ -98,7 +102,7 @@
     })
 }
 
-/// The sends among actions, as part and replica.
+/// Returns the part and the replica of each `Send` action.
 pub fn sends(actions: &[Action]) -> Vec<(String, String)> {
     let send = |action: &Action| match action {
         Action::Send { part, replica, .. } => Some((part.0.to_string(), replica.0.to_string())),
@@ -107,7 +111,7 @@
     actions.iter().filter_map(send).collect()
 }
 
-/// The final answers among actions, as text.
+/// Returns the final answers among the actions as text, such as `whole q1`.
 pub fn finals(actions: &[Action]) -> Vec<String> {
     let last = |action: &Action| match action {
         Action::Answer { query, whole: true } => Some(format!("whole {}", query.0)),
@@ -119,7 +123,7 @@
     actions.iter().filter_map(last).collect()
 }
 
-/// Steps with nothing but wake-ups from `from` to `to`.
+/// Steps the router every 5 ms from `from` to `to` with wake events only, and returns all actions.
 pub fn run(router: &mut Router, from: Millis, to: Millis) -> Vec<Action> {
     let mut actions = Vec::new();
     let mut now = from;
@@ -130,8 +134,9 @@
     actions
 }
 
+/// Returns a router that has the list of these replicas.
 pub fn start(settings: Settings, names: &[&str]) -> Router {
-    let mut router = Router::new(settings, 7).expect("settings are sound");
+    let mut router = Router::new(settings, 7).expect("valid settings");
     router.step(0.0, vec![fleet(names)]);
     router
 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! A configuration at fault is refused with its key and line.
+//! An invalid configuration is rejected with the key and the line of the error.
 
 use std::path::PathBuf;
 
@@ -94,7 +94,7 @@
 #[test]
 fn what_is_missing_or_no_json_is_refused_with_a_line() {
     for text in ["", "{", "[]", "{\"name\": 3}", &SOUND.replace("\"name\": \"n0\",", "")] {
-        let why = load("cut", text).expect_err("it is at fault");
+        let why = load("cut", text).expect_err("invalid configuration");
         assert!(why.contains("line "), "{text:?}: {why}");
     }
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,4 +1,5 @@
-//! The core's own guards, without any wire: one answer to each query, one end to each send, honest answers.
+//! Invariants of the core without a transport: one answer per query, one end per attempt, and a refusal only for what
+//! has not run.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -76,7 +77,7 @@
     core.take_in(0.0, ask("entry", 1)).unwrap();
     core.step(5.0);
     assert_eq!(calls(&commands(&mut core)).len(), 1);
-    // No step came in time, as on a machine that stood still.
+    // No step ran before the deadline, as after a stall of the machine.
     core.step(2500.0);
     let last = finals(&commands(&mut core));
     assert!(matches!(last[..], [(_, FinalAnswer::Failed { .. })]), "{last:?}");
@@ -140,7 +141,7 @@
     let sent = calls(&commands(&mut core));
     assert_eq!(sent.len(), 10);
     assert!(sent.iter().all(|call| call.run_store == "b".into()));
-    // A whole list without it says that it is gone, and one that names it again locates it anew.
+    // A full list without `b` means that it is gone; `a` is active again and is located again.
     core.apply_directory_update(DirectoryUpdate::Full(vec![listed("a", ReplicaState::Active)]));
     let commands = commands(&mut core);
     assert!(commands.contains(&Command::Retire("b".into())), "{commands:?}");
@@ -190,14 +191,15 @@
     }
 }
 
-/// A service that fails has too much to do, and is left alone for a while; one that is silent hides what it knows.
+/// A failed watch suggests an overloaded service and waits for the router's backoff; a silent watch hides changes and
+/// is reopened soon.
 #[test]
 fn a_watch_that_fell_silent_begins_anew_within_half_a_second_and_one_that_failed_as_the_router_says() {
     let mut core = core(100);
     let watches =
         |core: &mut Core| commands(core).iter().filter(|command| **command == Command::Watch).count();
     core.apply_directory_update(DirectoryUpdate::Silent);
-    assert!(core.has_pending_events(), "it says when");
+    assert!(core.has_pending_events(), "the core asks to be stepped");
     let mut begun = 0;
     for now in (10..=510).step_by(5) {
         core.step(f64::from(now));
@@ -229,11 +231,11 @@
         core.take_in(1.0, QueryRequest { key: Some("k".into()), ..ask(name, 1) }).unwrap();
         core.step(5.0);
         let first = calls(&commands(&mut core));
-        assert_eq!(first[0].allowed_until, f64::INFINITY, "{name}: nothing has run yet");
+        assert_eq!(first[0].allowed_until, f64::INFINITY, "{name}: no attempt has run yet");
         core.call_ended(50.0, first[0].no, CallEnd::bare(Outcome::Rejected));
         core.step(55.0);
         let second = calls(&commands(&mut core));
-        assert_eq!(second[0].allowed_until, f64::INFINITY, "{name}: what was turned away has not run");
+        assert_eq!(second[0].allowed_until, f64::INFINITY, "{name}: a rejected attempt has not run");
         core.call_ended(60.0, second[0].no, CallEnd::bare(Outcome::Errored));
         // The window is counted from the first attempt that may have run.
         core.step(65.0);
@@ -266,8 +268,8 @@
         "{verdicts:?}"
     );
     assert!(matches!(of(late), FinalAnswer::Refused { .. }), "{verdicts:?}");
-    assert!(matches!(of(entry), FinalAnswer::Failed { .. }), "{verdicts:?}: it may have run");
-    // What comes even later is turned away at once.
+    assert!(matches!(of(entry), FinalAnswer::Failed { .. }), "{verdicts:?}: the part may have run");
+    // A query that arrives after the exit time is refused at once.
     core.take_in(301.0, ask("search", 1)).unwrap();
     assert!(matches!(finals(&commands(&mut core))[..], [(_, FinalAnswer::Refused { .. })]));
 }
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -1,4 +1,4 @@
-//! The figures add up, whatever happens in whatever order: checked on the core over random steps.
+//! Counters and gauges of the core stay consistent over random sequences of events.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -17,12 +17,13 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A query of a class and so many parts, of which the client waits this long.
+    /// A query: class, number of parts and client timeout in milliseconds.
     Ask(usize, u32, f64),
-    /// An attempt that is out ends.
+    /// An attempt in flight ends.
     End(usize, Outcome),
-    /// A client leaves.
+    /// A client disconnects.
     Leave(usize),
+    /// This many milliseconds pass.
     Pass(f64),
 }
 
@@ -58,14 +59,14 @@
     core
 }
 
-/// What the world outside saw.
+/// The state that an outside observer of the core sees.
 #[derive(Default)]
 struct Seen {
     open: BTreeMap<QueryNo, usize>,
     out: Vec<Call>,
-    /// Attempts that were to be proved over.
+    /// Number of abandoned attempts for which proof of their end was requested.
     proved: u64,
-    /// By class: served, refused, failed.
+    /// Counts by class: served, refused, failed.
     ends: [[u64; 3]; 2],
 }
 
@@ -87,7 +88,7 @@
                     );
                     self.out.push(call);
                 }
-                // What is to be proved over may still end in any way.
+                // An attempt that awaits proof may still end with any outcome.
                 Command::Abandon { no, await_proof, .. } => {
                     self.proved += u64::from(await_proof);
                     self.out.retain(|call| await_proof || call.no != no);
@@ -125,7 +126,7 @@
                 seen.open.remove(&no);
                 core.client_gone(now, no);
             }
-            // Silence tells only while nothing is late here.
+            // Step on time: the router ignores silence while its own steps are late.
             Step::Pass(time) => {
                 let until = now + time;
                 while now + 5.0 < until {
@@ -147,11 +148,11 @@
             prop_assert_eq!([counted.ok, counted.shed, counted.errors], ends, "{}", class);
         }
     }
-    // Whatever is left ends by its deadline.
+    // Each remaining query ends by its deadline.
     core.step(now + 1000.0);
     seen.look(&mut core);
     prop_assert_eq!((core.gauges().active, seen.open.len()), (0, 0));
-    // And so does whatever is out: each attempt has one end, by its own or as its query is held no more.
+    // Each remaining attempt is counted once, by its own end or when its query is removed.
     core.step(now + 1005.0);
     seen.look(&mut core);
     for call in &seen.out {
@@ -164,10 +165,10 @@
 
 #[test]
 fn every_end_is_counted_once_and_nothing_stays_active() {
-    // One seed for all runs: the verdict is the same every time.
+    // A fixed seed keeps the result reproducible.
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let proved = Cell::new(0);
     TestRunner::new_with_rng(config, rng).run(&steps(), |steps| walk(&steps, &proved)).unwrap();
-    assert!(proved.get() > 100, "silence was there: {}", proved.get());
+    assert!(proved.get() > 100, "too few attempts awaited proof: {}", proved.get());
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many routers that share nothing, in front of the same replicas: what is harmless in one and hurts when all do
-//! it. Time is virtual and chance is seeded.
+//! Independent routers in front of the same replicas: behaviour that is harmless in one router and harmful when many
+//! routers do it at once. Time is virtual and random numbers are seeded.
 
 mod common;
 use std::collections::{BTreeMap, HashMap};
@@ -11,26 +11,26 @@
 const TICK: Millis = 5.0;
 const TICKS_A_SECOND: u64 = 200;
 
-/// How a replica takes parts.
+/// How a replica handles parts.
 #[derive(Clone, Copy)]
 enum Does {
-    /// Each is answered after so many ticks.
+    /// Answers each part after this number of ticks.
     Answers(u64),
-    /// Each is turned away in the next tick.
+    /// Rejects each part in the next tick.
     TurnsAway,
 }
 
-/// An attempt that is out: of which router, part and replica, and when it was sent.
+/// An attempt in flight: index of the router, part, attempt, replica, and the tick in which it was sent.
 type Out = (usize, PartId, Attempt, ReplicaId, u64);
 
-/// Routers and replicas, stepped tick by tick.
+/// A simulation of routers and replicas that advances tick by tick.
 struct Fleet {
     routers: Vec<Router>,
     does: BTreeMap<&'static str, Does>,
-    /// What ends in a tick.
+    /// The attempts that end in each tick.
     ends: BTreeMap<u64, Vec<(Out, Outcome)>>,
     attempts: HashMap<(usize, PartId), u32>,
-    /// Probes, which replicas answer beside their queues.
+    /// Pending probes, which replicas answer without queueing.
     probed: Vec<(usize, ReplicaId)>,
     sent: BTreeMap<String, usize>,
     tick: u64,
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Lets seconds pass in which each router has a query of some parts once a second, each at a time of its own;
-    /// says how many parts each replica was sent meanwhile.
+    /// Runs the simulation for `seconds`. Each router gets one query of `parts` parts per second, at its own offset.
+    /// Returns the number of parts that each replica was sent.
     fn run(&mut self, seconds: u64, parts: u32) -> BTreeMap<String, usize> {
         self.sent.clear();
         for _ in 0..seconds * TICKS_A_SECOND {
@@ -102,7 +102,7 @@
                 let out = (at, part, attempt, replica, self.tick);
                 self.ends.entry(self.tick + ticks).or_default().push((out, outcome));
             }
-            // The router hears of it in the next tick.
+            // The router receives the end of the attempt in the next tick.
             Action::Cancel { part, attempt, .. } => {
                 let named = |(out, _): &(Out, Outcome)| out.0 == at && out.1 == part && out.2 == attempt;
                 for ends in self.ends.values_mut() {
@@ -119,7 +119,8 @@
     }
 }
 
-/// What a slow replica is sent in a second by so many routers, once they know it. Sound ones take two ticks.
+/// Returns how many parts per second the slow replica gets from all routers, after they have had time to learn its
+/// rate. Healthy replicas answer after two ticks.
 fn guesses(routers: u32, does: Does) -> f64 {
     let sound = Does::Answers(2);
     let mut fleet = Fleet::new(routers, &[("a", sound), ("b", sound), ("c", sound), ("slow", does)]);
@@ -128,24 +129,24 @@
     sent.get("slow").copied().unwrap_or(0) as f64 / 20.0
 }
 
-/// A replica that takes 80 times as long does 2.5 parts a second. A hundred routers that each forget that within
-/// seconds send it as many as its fellows get.
+/// A replica that takes 80 times as long completes 2.5 parts a second. If each of 100 routers forgot that within
+/// seconds, together they would send it as many parts as the healthy replicas get.
 #[test]
 fn guesses_at_a_slow_replica_do_not_grow_with_the_routers() {
     let lone = guesses(1, Does::Answers(160));
     let many = guesses(100, Does::Answers(160));
-    assert!(lone > 0.0, "a healed one would never be found again");
+    assert!(lone > 0.0, "a recovered replica would never be detected");
     assert!(many <= 20.0, "{many} parts a second from a hundred routers, {lone} from one");
 }
 
-/// A full queue tells of itself by nothing but turning parts away, which each router meets for itself.
+/// A replica with a full queue only shows it by rejections, which each router has to observe for itself.
 #[test]
 fn a_replica_that_turns_parts_away_is_remembered_by_many_routers() {
     let many = guesses(100, Does::TurnsAway);
     assert!(many <= 20.0, "{many} parts a second from a hundred routers");
 }
 
-/// A part that is called back from a slow replica never completes there: how long it waited is all that tells.
+/// A cancelled part never completes on the slow replica, so its waiting time is the only latency sample.
 #[test]
 fn a_part_called_back_counts_as_a_sample_of_a_slow_replica() {
     let sound = Does::Answers(2);
@@ -153,15 +154,15 @@
     fleet.run(2, 8);
     let rated = |fleet: &Fleet| {
         let (_, servers): (serde_json::Value, Vec<serde_json::Value>) =
-            serde_json::from_str(&fleet.routers[0].export_learned()).expect("it can be read");
+            serde_json::from_str(&fleet.routers[0].export_learned()).expect("the learned state parses");
         servers.iter().map(|s| s["dr"].as_f64().unwrap_or(f64::INFINITY)).fold(f64::INFINITY, f64::min)
     };
-    // Sound ones do a part in 10 ms; one that was silent for the patience of 400 ms does it in no less.
+    // Healthy replicas take 10 ms per part; one that was silent for the timeout of 400 ms counts as at least that slow.
     assert!(rated(&fleet) <= 1.0 / 400.0, "{}", rated(&fleet));
 }
 
-/// A router with a fifth of a core runs late by its own work. What it gives at the aim itself comes too late, so it
-/// gives what it has a little earlier, by what its wakes are late.
+/// A router that gets a fifth of a CPU core is woken late. A partial answer sent at the aim itself would miss it, so
+/// the router sends it earlier by the delay of its wakes.
 #[test]
 fn what_is_in_is_given_before_the_aim_by_as_much_as_the_router_runs_late() {
     let given = |late: Millis| {
@@ -179,7 +180,7 @@
                 _ => None,
             };
             due = actions.iter().filter_map(wake).next_back().or(due);
-            now = due.expect("a wake is due while a query is held") + late;
+            now = due.expect("a wake is scheduled while a query is open") + late;
             actions = router.step(now, vec![Event::Wake]);
         }
         assert_eq!(finals(&actions), ["partial q1"]);
@@ -190,11 +191,11 @@
     assert!(given(10.0) + 20.0 < aim, "{}", given(10.0));
 }
 
-/// Clients that give up early, each at one of many routers, would have all of them send what nobody waits for.
+/// Clients with short timeouts, spread over many routers, would otherwise make every router send parts in vain.
 #[test]
 fn what_its_client_will_not_wait_for_is_refused_unsent() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a", "b"]);
-    // Ten queries tell that one takes 300 ms.
+    // Ten queries teach the router that a query takes 300 ms.
     for number in 1..=10 {
         let now = number as f64 * 1000.0;
         let sent = sends(&router.step(now, query(number, 2, now + 3000.0)));
@@ -208,7 +209,7 @@
     assert_eq!((finals(&long).len(), sends(&long).len()), (0, 2));
 }
 
-/// What such clients did not wait for must not look like a slow fleet to those who do.
+/// Queries that end early because of short client timeouts must not make the fleet look slow for other clients.
 #[test]
 fn a_query_cut_short_by_its_client_tells_nothing_of_the_fleet() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a", "b"]);
@@ -216,7 +217,7 @@
         let now = number as f64 * 1000.0;
         let actions = router.step(now, query(number, 2, now + wait));
         let sent = sends(&actions);
-        // Parts of those that are cut short take longer than usual.
+        // Parts of queries with a short timeout take longer than that timeout.
         let took = if wait < 1000.0 { wait + 100.0 } else { 200.0 };
         run(&mut router, now + 5.0, now + took - 5.0);
         let load = LoadReport { utilization: Some(0.95), ..LoadReport::default() };
@@ -233,16 +234,16 @@
     for number in 6..=13 {
         assert_eq!(busy(number, 250.0), 2);
     }
-    assert_eq!(busy(14, 3000.0), 2, "not refused as predicted late");
+    assert_eq!(busy(14, 3000.0), 2, "the query is not refused as predicted late");
 }
 
-/// The one replica that is left has just turned a part away: to ask it again at once spends the attempts in vain.
+/// The last replica left has just rejected the part: an immediate retry there would waste the remaining attempts.
 #[test]
 fn a_part_turned_away_by_the_last_replica_left_waits_before_it_asks_there_again() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c"]);
     let sent = sends(&router.step(10.0, query(1, 1, 5000.0)));
     let first = sent[0].1.clone();
-    // The two others fall silent, as their connections do not come up.
+    // Connections to the two other replicas fail, and both are parked.
     let mut number = 2;
     let mut parked = std::collections::BTreeSet::new();
     let mut now = 20.0;
@@ -263,8 +264,8 @@
     assert!(later.contains(&("q1.0".to_string(), first)), "{later:?}");
 }
 
-/// A router of many has a query now and then, and knows no pace of them. What run stores report tells that all are busy:
-/// the parts that weigh least then leave room for queries that need all of theirs.
+/// One of many routers gets few queries and cannot measure their rate. When load reports show a busy fleet, it leaves
+/// out the lightest parts, which leaves capacity for queries that need all of theirs.
 #[test]
 fn a_busy_fleet_is_spared_the_lightest_parts_of_what_may_be_partial() {
     let sent = |routers: u32, utilization: Option<f64>| {
@@ -288,7 +289,7 @@
         sends(&router.step(25.0, skewed)).len()
     };
     assert_eq!(sent(300, Some(0.5)), 10);
-    assert_eq!(sent(300, Some(0.9)), 3, "those that weigh more than a tenth");
-    assert_eq!(sent(300, None), 3, "one of many that was told nothing");
-    assert_eq!(sent(1, None), 10, "a lone one, which would know");
+    assert_eq!(sent(300, Some(0.9)), 3, "the parts with a weight above a tenth");
+    assert_eq!(sent(300, None), 3, "one of many routers, without load reports");
+    assert_eq!(sent(1, None), 10, "a single router sees the whole load itself");
 }
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -1,5 +1,5 @@
-//! The core where a part may not be out twice: what is given up is out until it is proved to be over, and no longer
-//! than it matters.
+//! The core with second copies of a part disallowed: an abandoned attempt counts as in flight until its end is proved
+//! or its query ends.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -12,19 +12,20 @@
 
 const STEP: f64 = 5.0;
 
-/// A core with two run stores; a query of it has one part, which is out.
+/// A core with two run stores and one query, whose only part is in flight.
 struct Day {
     core: Core,
     now: f64,
     query: QueryNo,
     first: Call,
-    /// All attempts, each with the end that was ordered: whether it is to be proved.
+    /// All attempts sent so far.
     sent: Vec<CallNo>,
+    /// The abandoned attempts, and whether the core awaits proof of their end.
     given_up: Vec<(CallNo, bool)>,
     finals: Vec<FinalAnswer>,
 }
 
-/// Settings that allow second copies or not.
+/// Returns settings that allow second copies if `copies` is true.
 fn site(copies: bool) -> SiteSettings {
     let kind = |name: &str, repeat: &str| json!({"name": name, "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": repeat, "window_ms": 5000.0});
     serde_json::from_value(json!({
@@ -49,7 +50,7 @@
         Day { core, now: STEP, query, first, sent, given_up: Vec::new(), finals: Vec::new() }
     }
 
-    /// Steps for a while, in which attempts are timed out at their time; gives back those that are new.
+    /// Steps the core for `time` ms, times out the first attempt when its time is up, and returns the new calls.
     fn pass(&mut self, time: f64) -> Vec<Call> {
         let (until, mut new) = (self.now + time, Vec::new());
         while self.now < until {
@@ -82,7 +83,7 @@
         self.core.counters.ends.iter().sum()
     }
 
-    /// The first attempt was silent, is given up, and nothing proves that it is over.
+    /// Starts a query whose first attempt was silent and has been abandoned, without proof of its end.
     fn in_silence(copies: bool) -> Self {
         let mut day = Day::begin(copies, "search", 3000.0);
         assert!(day.pass(390.0).is_empty() && day.given_up.is_empty());
@@ -103,7 +104,7 @@
         day.end(day.first.no, proof);
         let again = day.pass(2.0 * STEP);
         assert!(again.len() == 1 && again[0].run_store != day.first.run_store, "{proof:?}: {again:?}");
-        // That the connection has ended says no more than that it is over.
+        // A reset of the connection proves only that the abandoned attempt has ended.
         let told = if proof == Outcome::Reset { Outcome::Cancelled } else { proof };
         assert_eq!(day.core.counters.ends[place(told)], 1, "{proof:?}");
         day.end(again[0].no, Outcome::Completed);
@@ -113,7 +114,7 @@
     }
 }
 
-/// Where outcomes are counted.
+/// Returns the index of an outcome in the counters of attempt ends.
 fn place(outcome: Outcome) -> usize {
     use Outcome::*;
     let all = [Completed, Errored, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent];
@@ -141,7 +142,7 @@
         assert_eq!(day.finals.len(), finals);
         assert!(!matches!(day.finals.first(), Some(FinalAnswer::Served { .. })), "{:?}", day.finals);
         assert_eq!(day.given_up, [(day.first.no, true), (day.first.no, false)]);
-        // What the transport still says of it is no second end.
+        // A later report of the transport does not count as a second end.
         day.end(day.first.no, Outcome::Completed);
         day.pass(STEP);
         assert_eq!((day.ends(), day.core.counters.ends[place(Outcome::Cancelled)]), (1, 1));
@@ -151,18 +152,18 @@
 #[test]
 fn an_attempt_whose_time_is_over_before_its_query_is_out_until_it_is_proved_over() {
     let mut day = Day::begin(false, "search", 3000.0);
-    // Before its silence tells.
+    // It times out before it would count as silent.
     day.first.until = 200.0;
     assert!(day.pass(600.0).is_empty());
     assert_eq!((&day.given_up[..], day.ends()), (&[(day.first.no, true)][..], 0));
     day.end(day.first.no, Outcome::Cancelled);
     assert_eq!(day.pass(2.0 * STEP).len(), 1);
-    assert_eq!(day.core.counters.ends[place(Outcome::TimedOut)], 1, "it is told as what it was");
+    assert_eq!(day.core.counters.ends[place(Outcome::TimedOut)], 1, "it counts as timed out");
 }
 
 #[test]
 fn what_cannot_be_repeated_ends_at_once() {
-    // An unsafe part; and one whose query's time is over as well.
+    // An unsafe part, and a part whose query has reached its deadline too.
     for (class, until) in [("entry", 200.0), ("search", 3001.0)] {
         let mut day = Day::begin(false, class, 3000.0);
         day.first.until = until;
@@ -171,17 +172,17 @@
         let given_up = |command: &Command| matches!(command, Command::Abandon { await_proof: false, .. });
         assert!(commands(&mut day.core).iter().any(given_up), "{class}");
     }
-    assert_eq!(Day::in_silence(true).given_up.len(), 1, "with second copies nothing is waited for");
+    assert_eq!(Day::in_silence(true).given_up.len(), 1, "with second copies no proof is awaited");
 }
 
-/// New settings allow no second copies. What was given up before that may still be out, and nothing more is heard of it.
+/// New settings disallow second copies. An attempt abandoned before that may still run, and its end is not reported.
 #[test]
 fn second_copies_that_are_switched_off_stay_off_for_what_was_given_up_before() {
     let mut day = Day::in_silence(true);
     day.core.apply_settings(&site(false)).unwrap();
     day.end(day.sent[1], Outcome::Errored);
     let again = day.pass(800.0);
-    assert!(again.is_empty(), "the first attempt may be out: {again:?}");
+    assert!(again.is_empty(), "the first attempt may still run: {again:?}");
     assert_eq!(day.core.take_in(day.now, fixture::ask("r2", "search", 1, 3000.0)).map(drop), Ok(()));
-    assert_eq!(day.pass(2.0 * STEP).len(), 1, "new queries are sent as ever");
+    assert_eq!(day.pass(2.0 * STEP).len(), 1, "new queries are sent as before");
 }
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP parser: messages split anywhere, and input that must not get through or panic.
+//! The HTTP parser: messages split at any byte, and invalid input, which must be rejected without a panic.
 
 use ironpaddle::http::parse::{Message, MessageError, MessageKind, Parser};
 use proptest::prelude::*;
@@ -16,6 +16,7 @@
     Ok(messages)
 }
 
+/// Two requests, one of them chunked, with an extra line break between them.
 const TWO: &[u8] = b"POST /a HTTP/1.1\r\nX-Tenant-Id:  acme \r\nContent-Length: 3\r\n\r\nabc\r\n\
     POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nde\r\n1;x=y\r\nf\r\n0\r\nT: t\r\n\r\n";
 
@@ -67,7 +68,7 @@
     let mut parser = Parser::new(MessageKind::Response(10));
     parser.push(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\ncut");
     assert_eq!(parser.next_message(), Ok(None));
-    assert_eq!(parser.finish(), None, "a body that is cut is no body");
+    assert_eq!(parser.finish(), None, "a truncated body is not accepted");
 }
 
 #[test]
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -1,4 +1,4 @@
-//! What a transport or the driver finds out of date in the instant of acting on it.
+//! Calls and timers that have become obsolete by the time the transport or the driver acts on them.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -50,7 +50,7 @@
     }
 }
 
-/// A listener, and the first bytes that come there.
+/// Returns the address of a listener and a thread that returns the first bytes received there.
 fn listener() -> (SocketAddr, std::thread::JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -63,7 +63,7 @@
     (address, first)
 }
 
-/// A repeat is decided on within its window, and its connection comes up after that.
+/// A retry is decided within its window, but its connection is established after the window has ended.
 #[test]
 fn a_call_that_is_late_when_it_could_be_written_is_not_written() {
     type Made = fn(Rc<Driver>, Limits) -> Rc<dyn RunStores>;
@@ -77,7 +77,7 @@
         let (address, first) = listener();
         let (id, now) = (ReplicaId::from("s"), driver.now());
         stores.locate(&id, address, None);
-        // The window of one is over when its connection is up, and the time of another.
+        // When the connection is up, the window of call 1 and the time of call 2 have passed.
         stores.send(call(1, "s", now + 9000.0, now));
         stores.send(call(2, "s", now, Millis::INFINITY));
         stores.send(call(3, "s", now + 9000.0, now + 9000.0));
@@ -94,7 +94,7 @@
     }
 }
 
-/// A part is out on a connection on which the next frame cannot be written in time.
+/// One part is in flight on a connection, and the next frame cannot be written in time.
 #[test]
 fn a_connection_that_is_too_slow_is_over_once_its_run_store_has_ended_it_where_copies_may_not_be_out() {
     for copies in [true, false] {
@@ -105,7 +105,7 @@
         let now = driver.now();
         stores.locate(&"s".into(), listener.local_addr().unwrap(), None);
         stores.send(call(1, "s", now + 9000.0, Millis::INFINITY));
-        // More than the system takes for one that does not read.
+        // More than the socket buffers hold while the peer does not read.
         let text = vec![b'x'; 32_000_000].into();
         stores.send(Call { payload: text, ..call(2, "s", now + 9000.0, now + 200.0) });
         let executor = driver.executor().clone();
@@ -118,7 +118,7 @@
     }
 }
 
-/// Run stores that turn away all that is sent to them.
+/// A transport to run stores that reject every call.
 struct Full {
     driver: Rc<Driver>,
     sent: Rc<Cell<usize>>,
@@ -153,8 +153,8 @@
     fn watch(&self) {}
 }
 
-/// The last attempt waits its turn. The process stands still past that, and meanwhile the client leaves: both are there
-/// when it goes on, the timer and the connection's end.
+/// The last attempt waits for its time. The process stalls past it, and the client disconnects meanwhile: on resume,
+/// the timer and the end of the connection are both ready.
 #[test]
 fn a_step_that_comes_late_sends_nothing_for_a_client_that_left_meanwhile() {
     let driver = driver();
@@ -178,7 +178,7 @@
         drop(pending);
     };
     let tries = async {
-        // Two attempts are turned away at once, and the third waits for four tenths of the aim.
+        // Two attempts are rejected at once, and the third waits for four tenths of the aim.
         Timer::after(Duration::from_millis(200)).await;
         let before = sent.get();
         client.write_all(b"x").unwrap();
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -1,4 +1,4 @@
-//! A run-store connection's states against a model of them: random steps, and what must hold after each.
+//! The state of a run store connection compared with a model over random steps, and single cases.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -23,20 +23,21 @@
     Break,
 }
 
-/// Where a call stands, by the model.
+/// The state of a call in the model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stands {
     Queued,
     Writing,
     Written,
-    /// Written, given up, and waited for until that is proved to have been read.
+    /// Written and abandoned; it ends once the run store has proved that it read the cancellation.
     Told,
-    /// Over, after its last byte was written here.
+    /// Ended after its last byte was written or while it was being written on this connection.
     Past,
-    /// Over, and never written here.
+    /// Ended before any byte of it was written on this connection.
     Unsent,
 }
 
+/// Usual response time of a run store, with which each connection starts.
 const USUAL: Duration = Duration::from_millis(100);
 
 fn call(no: u64) -> Call {
@@ -79,14 +80,14 @@
     frame(&format!("5{part} {end} 9 util=0.5\nvalue"))
 }
 
-/// What one frame says, without its length.
+/// Returns the text of a frame without its length prefix.
 fn said(frame: &[u8]) -> String {
     String::from_utf8(frame[4..].to_vec()).unwrap()
 }
 
 #[test]
 fn every_call_ends_once_and_as_its_last_byte_says() {
-    // One seed for all runs: the verdict is the same every time.
+    // A fixed seed keeps the result reproducible.
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner =
         TestRunner::new_with_rng(Config { cases: 400, failure_persistence: None, ..Config::default() }, rng);
@@ -98,10 +99,11 @@
     let start = Instant::now();
     let mut link = ConnectionState::new(bundle, start, USUAL);
     let mut model: BTreeMap<u64, Stands> = BTreeMap::new();
-    // Given up while being written: the run store is told, the core has booked the end.
+    // Whether a frame is being written.
     let mut writing = false;
     let (mut in_frame, mut in_proof) = (0, false);
-    // Those to be proved over when they are written; those told of by a frame `2`; by probe, those that it proves.
+    // Calls abandoned with proof while being written; calls cancelled by a `2` frame; and per probe in flight, the
+    // calls that it proves ended.
     let (mut back, mut twos): (BTreeSet<u64>, BTreeSet<u64>) = Default::default();
     let mut proofs: VecDeque<Vec<u64>> = VecDeque::new();
     for (at, step) in steps.iter().enumerate() {
@@ -128,15 +130,15 @@
                         let proved: BTreeSet<u64> = proofs.iter().flatten().copied().collect();
                         let told = |no: &&u64| model[*no] == Stands::Told && !proved.contains(no);
                         let new: Vec<u64> = model.keys().filter(told).copied().collect();
-                        prop_assert!(!new.is_empty(), "a probe that proves nothing");
+                        prop_assert!(!new.is_empty(), "a probe that proves no end");
                         prop_assert!(
                             new.iter().all(|no| twos.contains(no)),
-                            "it stands behind all that it proves"
+                            "the probe follows the cancellations of all calls that it proves ended"
                         );
                         proofs.push_back(new);
                     }
                     if frame[4] == b'1' {
-                        // Calls share a frame up to the limit, or up to a part given up between them.
+                        // A frame carries calls up to the limit, or up to an abandoned call between them.
                         let carried = frame.windows(4).filter(|words| words == b"text").count();
                         prop_assert!((1..=bundle).contains(&carried));
                         let queued = model.values_mut().filter(|stands| **stands == Stands::Queued);
@@ -148,7 +150,7 @@
             }
             Step::Written if writing => {
                 writing = false;
-                // One given up while it was being written is written whole all the same.
+                // A call abandoned while it was being written is still written to its end.
                 prop_assert_eq!(link.mark_written(now), in_frame);
                 let begun = model.values_mut().filter(|stands| **stands == Stands::Writing);
                 begun.for_each(|stands| *stands = Stands::Written);
@@ -166,7 +168,7 @@
                         (Stands::Written | Stands::Told, _) => Some(Outcome::Rejected),
                         _ => None,
                     };
-                    // What is over is passed over; what was never sent here cannot have been answered.
+                    // An answer to an ended call is ignored; one to a call never written here is a protocol error.
                     let known = matches!(model[&no], Stands::Written | Stands::Told | Stands::Past);
                     prop_assert_eq!(came.is_ok(), known);
                     if !known {
@@ -181,7 +183,7 @@
             Step::GiveUp(which) => {
                 if let Some(no) = pick(&model, *which).filter(|no| !over(model[no])) {
                     prop_assert!(link.give_up(CallNo(no), now));
-                    // While it is being written, that it was given up is told after its last byte.
+                    // A call that is being written is cancelled after its last byte.
                     let queued = model[&no] == Stands::Queued;
                     model.insert(no, if queued { Stands::Unsent } else { Stands::Past });
                     back.remove(&no);
@@ -213,7 +215,11 @@
                 for end in &ended {
                     let EndEvent::Call(no, end) = end else { continue };
                     prop_assert_eq!(end.outcome, Outcome::NotSent);
-                    prop_assert_eq!(model[&no.0], Stands::Queued, "only what has not begun is taken back");
+                    prop_assert_eq!(
+                        model[&no.0],
+                        Stands::Queued,
+                        "only calls that have not begun are taken back"
+                    );
                 }
                 prop_assert!(!model.values().any(|stands| *stands == Stands::Queued) || !ended.is_empty());
             }
@@ -223,7 +229,7 @@
         for end in ended {
             if let EndEvent::Call(no, end) = end {
                 let stands = if end.outcome == Outcome::NotSent { Stands::Unsent } else { Stands::Past };
-                prop_assert!(!model.insert(no.0, stands).is_some_and(over), "one end each");
+                prop_assert!(!model.insert(no.0, stands).is_some_and(over), "each call ends once");
             }
         }
     }
@@ -234,7 +240,8 @@
     matches!(stands, Stands::Past | Stands::Unsent)
 }
 
-/// The connection ends: what is queued goes elsewhere, and all the rest ends as its last byte says.
+/// Ends the connection: queued calls are taken back, and the outcome of each other call depends on whether its last
+/// byte was written.
 fn broken(
     link: &mut ConnectionState,
     model: &mut BTreeMap<u64, Stands>,
@@ -252,11 +259,11 @@
             Some(Stands::Written) => prop_assert_eq!(end.outcome, Outcome::Reset),
             Some(Stands::Told) => prop_assert_eq!(end.outcome, Outcome::Cancelled),
             Some(Stands::Writing) => prop_assert_eq!(end.outcome, Outcome::ConnectFailed),
-            // A call given up while being written may end again here; the core passes over it.
+            // A call abandoned while being written may end again here; the core ignores that.
             other => prop_assert!(writing && other == Some(Stands::Past), "{:?}", other),
         }
     }
-    prop_assert!(model.values().all(|stands| over(*stands)), "nothing is left without an end");
+    prop_assert!(model.values().all(|stands| over(*stands)), "every call has ended");
     Ok(())
 }
 
@@ -290,7 +297,7 @@
     link.next_frame(|_| 5).unwrap();
     link.mark_written(start + Duration::from_millis(1));
     link.give_up(CallNo(0), start + Duration::from_millis(100));
-    assert!(!link.is_presumed_dead(), "a slow run store is not a vanished one");
+    assert!(!link.is_presumed_dead(), "a slow run store is not presumed dead");
     link.push(call(1));
     while link.next_frame(|_| 5).is_some() {
         link.mark_written(start + Duration::from_millis(101));
@@ -309,7 +316,7 @@
     }
 }
 
-/// A connection on which so many calls are out.
+/// Returns a connection with this number of calls in flight.
 fn out(calls: u64, now: Instant) -> ConnectionState {
     let mut link = ConnectionState::new(1, now, USUAL);
     for no in 0..calls {
@@ -344,7 +351,7 @@
     assert_eq!(link.receive(&[answer("q0.0", 'S'), answer("q0.0", 'S')].concat(), now).0.len(), 1);
     let (ended, came) = link.receive(&answer("q1.0", 'E'), now);
     assert!(ended.len() == 1 && came.is_ok());
-    // Too short to be taken for a frame: kept, it would be read as the beginning of the next answer.
+    // Too short for a frame: if kept, it would be read as the beginning of the next answer.
     assert!(link.receive(b"x", now).1.is_err());
     assert!(link.end_all(true).is_empty());
 }
@@ -368,7 +375,7 @@
     assert!(link.receive(b"\x00\x10\x00\x005q0.0", now).1.is_ok());
     assert_eq!(link.partial_frame_since(), Some(now));
     assert!(link.receive(b" S", now + Duration::from_millis(9)).1.is_ok());
-    assert_eq!(link.partial_frame_since(), Some(now), "more of it does not start its time anew");
+    assert_eq!(link.partial_frame_since(), Some(now), "further bytes do not restart its time");
     assert!(out(1, now).receive(&(1_000_000u32).to_le_bytes(), now).1.is_err());
 }
 
@@ -378,13 +385,13 @@
     let after = |millis| now + Duration::from_millis(millis);
     let mut link = out(2, now);
     assert!(!link.is_unresponsive(after(299)) && link.is_unresponsive(after(300)));
-    assert!(!link.is_presumed_dead(), "it may only be slow");
-    // It speaks again: the other call is still out, and its time starts anew.
+    assert!(!link.is_presumed_dead(), "the run store may only be slow");
+    // An answer arrives: the other call is still in flight, and the silence timer restarts.
     assert_eq!(link.receive(&answer("q0.0", 'S'), after(600)).0.len(), 1);
     assert!(!link.is_unresponsive(after(700)));
-    assert!(link.average_response_time() > USUAL, "slow answers make it patient");
+    assert!(link.average_response_time() > USUAL, "slow answers raise the average response time");
     assert_eq!(link.receive(&answer("q1.0", 'S'), after(610)).0.len(), 1);
-    assert!(!link.is_unresponsive(after(60_000)), "nothing is out");
+    assert!(!link.is_unresponsive(after(60_000)), "nothing is in flight");
 }
 
 #[test]
@@ -392,21 +399,21 @@
     let now = Instant::now();
     let mut link = out(1, now);
     assert!(link.give_up(CallNo(0), now));
-    // The run store is told, and nothing is out.
+    // The cancellation is written, and nothing is in flight.
     link.next_frame(|_| 5).unwrap();
     link.mark_written(now);
     let late = answer("q0.0", 'S');
     for byte in &late[..late.len() - 1] {
-        assert!(link.receive(&[*byte], now).1.is_ok(), "no noise, but an answer that concerns nobody");
-        assert!(link.is_unresponsive(now), "what it is cannot be told yet: no call is put behind it");
+        assert!(link.receive(&[*byte], now).1.is_ok(), "part of an answer to an abandoned call");
+        assert!(link.is_unresponsive(now), "no call is sent while a frame is incomplete");
     }
     let (ended, came) = link.receive(&late[late.len() - 1..], now);
     assert!(ended.is_empty() && came.is_ok() && !link.is_unresponsive(now));
-    // It has come now: a byte more is noise.
+    // The answer is complete: a further byte is a protocol error.
     assert!(link.receive(b"x", now).1.is_err());
 }
 
-/// The frames that it writes now.
+/// Writes all pending frames and returns their texts.
 fn frames(link: &mut ConnectionState, now: Instant) -> Vec<String> {
     let mut all = Vec::new();
     while let Some(frame) = link.next_frame(|_| 5) {
@@ -425,21 +432,21 @@
     let now = Instant::now();
     let mut link = out(4, now);
     for no in 0..3 {
-        assert_eq!(link.give_up_with_proof(CallNo(no), now), None, "not before it is proved");
+        assert_eq!(link.give_up_with_proof(CallNo(no), now), None, "it does not end before the proof");
     }
     assert_eq!(frames(&mut link, now), ["2q0.0", "2q1.0", "2q2.0", "3"]);
-    assert!(link.pending_calls() == 4 && !link.is_idle(), "the run store may not have read it");
-    // One is answered meanwhile, and the core waits for another no longer.
+    assert!(link.pending_calls() == 4 && !link.is_idle(), "the run store may not have read the cancellation");
+    // One call is answered meanwhile, and the core no longer awaits proof for another.
     let (ended, _) = link.receive(&answer("q0.0", 'S'), now);
     assert!(matches!(&ended[..], [EndEvent::Call(CallNo(0), end)] if end.outcome == Outcome::Completed));
     assert!(link.give_up(CallNo(1), now));
-    // What is given up behind the probe needs one of its own.
+    // A call abandoned after the probe needs another probe.
     assert_eq!(link.give_up_with_proof(CallNo(3), now), None);
     assert_eq!(link.receive(&frame("3E"), now).0, [over_by_proof(2)]);
     assert_eq!(frames(&mut link, now), ["2q3.0", "3"]);
     assert_eq!(link.receive(&frame("3S"), now).0, [over_by_proof(3)]);
     assert!(link.is_idle());
-    // An answer that crossed all that concerns nobody.
+    // An answer that crossed the cancellation is ignored.
     assert!(link.receive(&answer("q2.0", 'S'), now).1.is_ok());
 }
 
@@ -457,7 +464,11 @@
         if whole {
             link.mark_written(now);
             assert_eq!(frames(&mut link, now), ["2q0.0", "3"]);
-            assert_eq!(link.end_all(false), [over_by_proof(0)], "its end proves it as well");
+            assert_eq!(
+                link.end_all(false),
+                [over_by_proof(0)],
+                "the end of the connection proves it as well"
+            );
         } else {
             let failed = CallEnd::bare(Outcome::ConnectFailed);
             assert_eq!(link.end_all(false), [EndEvent::Call(CallNo(0), failed)]);
@@ -478,10 +489,10 @@
             assert!(link.retire().is_empty());
         }
         assert_eq!(frames(&mut link, now), ["2q0.0"]);
-        assert_eq!(link.write_shutdown_at(), None, "the other is out");
+        assert_eq!(link.write_shutdown_at(), None, "the other call is in flight");
         assert_eq!(link.receive(&answer("q1.0", 'S'), now).0.len(), 1);
         assert_eq!(link.write_shutdown_at(), Some(now));
-        assert_eq!(link.stop_writing(), [], "it is ended here, and not yet there");
+        assert_eq!(link.stop_writing(), [], "closed for writing here; the run store has not closed yet");
         assert_eq!(link.end_all(false), [over_by_proof(0)]);
     }
 }
@@ -492,14 +503,14 @@
     let after = |millis| now + Duration::from_millis(millis);
     let mut link = out(2, now);
     assert_eq!(link.give_up_with_proof(CallNo(0), now), None);
-    assert_eq!(link.write_shutdown_at(), None, "it is to be told first");
+    assert_eq!(link.write_shutdown_at(), None, "the cancellation is written first");
     assert_eq!(frames(&mut link, after(10)), ["2q0.0", "3"]);
-    assert_eq!(link.write_shutdown_at(), None, "the other is out");
+    assert_eq!(link.write_shutdown_at(), None, "the other call is in flight");
     assert_eq!(link.give_up_with_proof(CallNo(1), after(10)), None);
     assert_eq!(frames(&mut link, after(20)), ["2q1.0", "3"]);
     assert_eq!(link.write_shutdown_at(), Some(after(10) + USUAL));
     assert_eq!(link.receive(&frame("3S"), after(30)).0, [over_by_proof(0)]);
-    assert_eq!(link.write_shutdown_at(), Some(after(30) + USUAL), "it speaks");
+    assert_eq!(link.write_shutdown_at(), Some(after(30) + USUAL), "a probe response counts as activity");
     assert_eq!(link.receive(&frame("3S"), after(40)).0, [over_by_proof(1)]);
     assert_eq!(link.write_shutdown_at(), None);
 }
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -1,4 +1,5 @@
-//! Lists of run stores: what the core makes of each, beside a plain reference; and long ones, over sockets.
+//! Run store lists: the core's commands compared with a simple reference implementation, and the size limits over
+//! sockets.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -35,7 +36,7 @@
 
 type Located = Option<(SocketAddr, Option<Millis>)>;
 
-/// Run stores as the simplest reading of the rules has them: every line is looked for among all.
+/// Reference implementation of the directory, which searches the whole list for each run store.
 #[derive(Default)]
 struct Reference(BTreeMap<String, (ReplicaState, Located)>);
 
@@ -113,27 +114,29 @@
     }
 }
 
-/// A line of a whole list, indented.
+/// Returns one entry of a list as indented JSON.
 fn line(no: usize) -> String {
     let line = json!({"name": format!("s-{no:08x}"), "address": format!("10.0.{}.{}:80", no >> 8 & 255, no & 255),
         "zone": "z", "type": "m2", "group": no, "status": "ready", "weight": 1.0, "since_ms": 0});
     serde_json::to_string_pretty(&line).unwrap()
 }
 
+/// Returns the response body of a full list with this number of entries.
 fn body(lines: usize) -> String {
     let lines: Vec<_> = (0..lines).map(line).collect();
     format!("{{\"index\":7,\"snapshot\":true,\"endpoints\":[{}]}}", lines.join(",\n"))
 }
 
-/// What a discovery service does with a call.
+/// How the discovery service responds to a call.
 enum Does {
-    /// It answers with a body.
+    /// Sends this body.
     Tells(String),
-    /// It begins an answer of so many bytes.
+    /// Sends only the head of a response with this content length.
     Begins(usize),
 }
 
-/// A discovery service that answers the calls of one connection in turn; it ends once the caller has closed.
+/// Starts a discovery service that answers the calls of one connection in order until the caller closes it. Its thread
+/// returns the number of answered calls.
 fn discovery(does: Vec<Does>) -> (SocketAddr, thread::JoinHandle<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -142,7 +145,7 @@
         let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
         let mut does = does.into_iter();
         let mut answered = 0;
-        // A call ends with an empty line; a caller that is gone says nothing, or resets.
+        // An empty line ends a call. A caller that has left closes or resets the connection.
         while let Some(Ok(line)) = lines.next() {
             if !line.is_empty() {
                 continue;
@@ -153,7 +156,7 @@
                 None => break,
             };
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
-            // A caller that refuses the answer may close before all of it is out.
+            // A caller that rejects the response may close before all of it is written.
             let _ = stream.write_all(head.as_bytes()).and_then(|()| stream.write_all(body.as_bytes()));
             answered += 1;
         }
@@ -162,7 +165,8 @@
     (address, served)
 }
 
-/// How many run stores are known once a service has been asked that does this and is then left for good.
+/// Watches a service that responds like this until the watch has closed its connection, and returns the number of known
+/// run stores.
 fn known_after(does: Vec<Does>) -> usize {
     let calls = does.len();
     let (address, served) = discovery(does);
@@ -176,11 +180,11 @@
     };
     let late = async {
         async_io::Timer::after(Duration::from_secs(60)).await;
-        panic!("the service is still being asked");
+        panic!("the watch has not closed its connection");
     };
     future::block_on(executor.run(future::or(left, late)));
     while executor.try_tick() {}
-    assert_eq!(served.join().unwrap(), calls, "all calls were made, and none after them");
+    assert_eq!(served.join().unwrap(), calls, "each response was requested once");
     driver.run_stores()
 }
 
@@ -190,7 +194,7 @@
     let too_many = Does::Tells(body(MAX_LINES + 1));
     assert_eq!(known_after(vec![whole(), too_many]), 57_000, "too many lines");
     assert_eq!(known_after(vec![whole(), Does::Begins(MAX_LIST_BYTES + 1)]), 57_000, "too many bytes");
-    // What is beyond the old list and within the bounds takes its place.
+    // A list within the limits replaces the old one.
     let fewer = Does::Tells(body(600));
     assert_eq!(known_after(vec![whole(), fewer, Does::Begins(MAX_LIST_BYTES + 1)]), 600);
 }
--- a/tests/manual_drain.rs
+++ b/tests/manual_drain.rs
@@ -1,4 +1,4 @@
-//! Run stores out by hand, on the core: whatever a directory tells, in whatever order.
+//! Run stores that an operator has drained, on the core, with any order of directory updates.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -38,10 +38,11 @@
 enum Step {
     Out,
     Back,
-    /// A whole list, or a change, with the run store in some state and started some time ago, or never.
+    /// A full list with the run store `a` in this state, started this long ago if that is known.
     Full(ReplicaState, Option<f64>),
+    /// The same as a change of one entry.
     Change(ReplicaState, Option<f64>),
-    /// A whole list without it.
+    /// A full list without `a`.
     Unlisted,
     Broken,
     Retune,
@@ -82,8 +83,8 @@
         match step {
             Step::Out | Step::Back => {
                 out = matches!(step, Step::Out);
-                prop_assert!(core.set_manual_drain(now, &"a".into(), out), "it was listed once");
-                prop_assert!(!core.set_manual_drain(now, &"c".into(), out), "it never was");
+                prop_assert!(core.set_manual_drain(now, &"a".into(), out), "`a` has been listed");
+                prop_assert!(!core.set_manual_drain(now, &"c".into(), out), "`c` has never been listed");
             }
             Step::Full(state, since) => {
                 core.apply_directory_update(DirectoryUpdate::Full(vec![
@@ -117,17 +118,25 @@
                 Command::Send(call) => {
                     prop_assert!(
                         !out || call.run_store == "b".into(),
-                        "an attempt at {} while it is out",
+                        "an attempt at step {} while it is drained",
                         at
                     );
                     queue.push(call);
                 }
                 Command::Probe { run_store, no } => {
-                    prop_assert!(!out || run_store == "b".into(), "a probe at {} while it is out", at);
+                    prop_assert!(
+                        !out || run_store == "b".into(),
+                        "a probe at step {} while it is drained",
+                        at
+                    );
                     core.probe_ended(no, false, None);
                 }
                 Command::Locate { run_store, .. } => {
-                    prop_assert!(!out || run_store == "b".into(), "located at {} while it is out", at);
+                    prop_assert!(
+                        !out || run_store == "b".into(),
+                        "located at step {} while it is drained",
+                        at
+                    );
                 }
                 _ => {}
             }
@@ -148,7 +157,7 @@
 
 #[test]
 fn nothing_goes_to_a_run_store_that_is_out_whatever_is_told_of_it() {
-    // One seed for all runs: the verdict is the same every time.
+    // A fixed seed keeps the result reproducible.
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     TestRunner::new_with_rng(config, rng).run(&steps(), |steps| walk(&steps)).unwrap();
@@ -159,7 +168,7 @@
     let mut core = core();
     let mut now = 1e6;
     core.step(now);
-    // It is parked, as nothing reaches it.
+    // `a` is parked because connections to it fail.
     for number in 0..20 {
         core.take_in(now, ask(number)).unwrap();
         now += 5.0;
@@ -181,7 +190,7 @@
     let mut sent = (0, 0);
     let mut located = 0;
     for number in 100..200 {
-        // Far more than a cold one bears.
+        // Far more than a cold run store can take.
         for copy in 0..10 {
             core.take_in(now, ask(number * 10 + copy)).unwrap();
         }
@@ -199,7 +208,7 @@
             core.call_ended(now + 5.0, call.no, CallEnd { outcome: Outcome::Completed, value, load: None });
         }
         if number == 150 {
-            // Discovery tells of the restart at last: it is the one that is known.
+            // Discovery reports the restart late; the core already knows of it.
             core.apply_directory_update(DirectoryUpdate::Changes(vec![line(
                 "a",
                 ReplicaState::Active,
@@ -207,9 +216,12 @@
             )]));
         }
     }
-    assert!(sent.0 > 0 && sent.0 * 2 < sent.1, "used, with care, as it is cold: {sent:?}");
-    assert_eq!(located, 1, "what discovery tells late makes no new process of it");
-    // A later start is one.
+    assert!(
+        sent.0 > 0 && sent.0 * 2 < sent.1,
+        "used, but with the limited share of a cold run store: {sent:?}"
+    );
+    assert_eq!(located, 1, "a late report of the same restart does not count as another process");
+    // A later start time does.
     core.apply_directory_update(DirectoryUpdate::Changes(vec![line("a", ReplicaState::Active, back + 10.0)]));
     assert!(commands(&mut core).iter().any(|command| matches!(command, Command::Locate { .. })));
 }
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -1,4 +1,4 @@
-//! Calls on a connection that fail for a moment, and what the errors of calls say.
+//! System calls on a connection that fail temporarily, and the classification of socket errors.
 
 use std::collections::VecDeque;
 use std::io;
@@ -9,7 +9,7 @@
 use ironpaddle::net::{SocketErrorKind, Stream};
 use rustix::io::Errno;
 
-/// A connection whose calls end as a test says.
+/// A connection whose reads and writes return scripted results.
 struct Scripted {
     ends: VecDeque<Result<usize, Errno>>,
     written: Vec<u8>,
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,4 +1,4 @@
-//! The rules under random but legal orders of events, from a fixed seed.
+//! Checks the rules of the router under random but legal orders of events, from a fixed seed.
 
 mod common;
 use std::collections::BTreeMap;
@@ -8,16 +8,17 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
+/// A generated sequence of events with its settings.
 #[derive(Debug, Clone)]
 struct Day {
     seed: u64,
     repeat: RepeatPolicy,
     settings: (u32, u32, bool, bool),
-    /// By query: when it comes after the one before, its parts, and how long its client waits.
+    /// Per query: milliseconds since the previous one, number of parts, and client timeout in milliseconds.
     queries: Vec<(u32, u32, u32)>,
-    /// How the attempts end, in turn: the outcome's place, and after how long.
+    /// Ends of the attempts, in order: index into `OUTCOMES`, and duration in milliseconds.
     ends: Vec<(usize, u32)>,
-    /// When a replica is told to drain.
+    /// When replica `b` starts to drain, in milliseconds.
     drain: u32,
 }
 
@@ -46,7 +47,7 @@
     )
 }
 
-/// An attempt out: when it ends, how, and when it was sent.
+/// An attempt in flight: when and how it ends, when it was sent and to which replica.
 struct Out {
     at: f64,
     outcome: Outcome,
@@ -54,6 +55,7 @@
     replica: String,
 }
 
+/// What is known of the attempts of one part.
 #[derive(Default)]
 struct Sent {
     attempts: u32,
@@ -125,7 +127,7 @@
                     };
                     prop_assert!(
                         allowed && known.attempts < max_attempts,
-                        "{name} repeated against the rules"
+                        "{name} retried against the rules"
                     );
                     let (outcome, after) = ends.next().copied().unwrap_or_default();
                     let (mut outcome, mut after) = (OUTCOMES[outcome], f64::from(after));
@@ -155,7 +157,7 @@
                     };
                     prop_assert!(
                         day.repeat == RepeatPolicy::Safe || !parts.iter().any(risky),
-                        "refused what may have run"
+                        "refused a query whose parts may have run"
                     );
                 }
                 Action::Probe { .. } => prop_assert!(probes),
--- a/tests/recorder.rs
+++ b/tests/recorder.rs
@@ -1,4 +1,4 @@
-//! The recording of a process when the disk is slow: serving goes on, and what was dropped is told.
+//! Recording with a slow disk: the process does not block, and dropped records are counted in the trace.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -21,7 +21,7 @@
 
 const BEGIN: f64 = 1_764_608_400_000.0;
 
-/// A disk whose writes wait while it is held.
+/// A disk whose writes block while it is held.
 #[derive(Clone, Default)]
 struct Disk(Arc<(Mutex<State>, Condvar)>);
 
@@ -94,7 +94,7 @@
     let mut now = BEGIN;
     let mut pass = |core: &mut Core, steps: usize| {
         for _ in 0..steps {
-            // A block is closed each 250 ms.
+            // A block is closed every 250 ms.
             now += 260.0;
             core.take_in(now, ask("c1", "search", 1, 2000.0)).unwrap();
             core.step(now);
@@ -104,7 +104,7 @@
         now
     };
     disk.hold(true);
-    // Far more blocks than the queue holds: each step comes back at once, or this test would hang.
+    // Far more blocks than the queue holds. If a step blocked on the disk, this test would hang.
     pass(&mut core, QUEUE * 4);
     let lost = control.standing().lost;
     assert!(lost > 0, "{:?}", control.standing());
@@ -119,13 +119,13 @@
     }
     let standing = control.standing();
     assert!(!standing.recording && standing.lost >= lost && standing.kept > 0, "{standing:?}");
-    // What is on the disk tells of all that is not, and replays from each checkpoint.
+    // The files report every lost record, and each segment replays from its checkpoint.
     let files = disk.0 .0.lock().unwrap().files.clone();
     assert!(files.len() > 1, "a new segment follows a loss");
     let (mut told, mut replay) = (0, Replay::new(None));
     for file in &files {
         let mut reader = Reader::open(Cursor::new(file.as_slice())).unwrap();
-        assert!(reader.is_complete(), "each is ended in order");
+        assert!(reader.is_complete(), "each segment is complete");
         for no in 0..reader.blocks().len() {
             let block = reader.block(no).unwrap();
             for entry in &block.entries {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! One small test for each rule, the unhappy sides included.
+//! One small test per rule of the router, failure cases included.
 
 mod common;
 use common::*;
@@ -123,9 +123,9 @@
         assert_eq!(sent.len(), 60);
         sent.iter().filter(|(_, to)| to == "new").count()
     };
-    // One unit per tenth of the 1 s aim: 10 units a second, a little over a fifth of it, twice over, come in within a
-    // window. Of what came in before, a little over their root and two more may still be used: both together
-    // are what it bears.
+    // A unit takes a tenth of the 1 s aim, so a warm replica does 10 units a second. A little over a fifth of that,
+    // doubled, arrives within a window. Of the earlier arrivals, a little over their square root plus two may still
+    // be used. The sum is the limit of the cold replica.
     assert_eq!(count(1, 1000.0), 4);
     assert_eq!(count(4, 1000.0), 1);
     assert!(count(1, 5.0) <= 1);
@@ -142,7 +142,7 @@
     let mut sent = [0; 3];
     for seed in 0..60 {
         let s = Settings { cold: Some(cold), routers: 60, ..settings(RepeatPolicy::Safe) };
-        let mut router = ironpaddle::Router::new(s, seed).expect("settings are sound");
+        let mut router = ironpaddle::Router::new(s, seed).expect("valid settings");
         let mut new = replica("new");
         new.started = Some(100.0);
         router.step(100.0, vec![fleet(&["old"])]);
@@ -153,7 +153,7 @@
             *sent += to.iter().filter(|(_, to)| to == "new").count();
         }
     }
-    // All routers together: 10 units a second, a fifth of it, twice over.
+    // Limit for all routers together: a fifth of 10 units a second, doubled.
     assert!(sent.iter().all(|n| *n <= 8) && (1..=14).contains(&sent.iter().sum::<usize>()), "{sent:?}");
 }
 
@@ -163,7 +163,7 @@
     s.classes[0].least_share = 0.5;
     let mut router = start(s, &["a", "b"]);
     let sent = sends(&router.step(10.0, query(1, 2, 3000.0)));
-    // Each wake comes in time, as a late one would have the answer leave earlier.
+    // Each wake is on time; after a late one the answer would leave earlier.
     run(&mut router, 15.0, 55.0);
     let first = router.step(60.0, vec![ended("q1.0", 0, &sent[0].1, Outcome::Completed, 50.0)]);
     assert!(finals(&first).is_empty());
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! What a core leaves to the core of a process that takes over.
+//! The state that a core hands over to the core of the next process.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -27,7 +27,7 @@
     DirectoryUpdate::Cached(["a", "b", "c"].map(line).into())
 }
 
-/// Asks for some queries of a class; says where their parts went. At `a` nothing gets through.
+/// Submits queries of a class and returns the run store of each part. Connections to `a` fail.
 fn load(core: &mut Core, now: &mut f64, class: &str, queries: usize) -> Vec<String> {
     let mut went = Vec::new();
     for number in 0..queries {
@@ -55,7 +55,7 @@
     assert!(old.set_manual_drain(now, &"b".into(), true));
     assert_eq!(old.gauges().pool_ejected, 2);
     let state = serde_json::to_string(&old.takeover_state()).unwrap();
-    // The new one has the classes in another order, one more, and one less.
+    // The new process has the classes in another order and one more, or one less.
     for classes in [&["lookup", "entry", "search"][..], &["search"]] {
         let new_site = site(classes);
         let mut new = Core::new(&new_site, 8).unwrap();
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -1,4 +1,4 @@
-//! One small test for each trouble that the module has an answer to.
+//! One small test per kind of fault that the router handles.
 
 mod common;
 use common::*;
@@ -60,14 +60,14 @@
             attempt += 1;
         }
     }
-    assert!(to_bad <= 12, "{to_bad} of 60 went to the failing replica");
+    assert!(to_bad <= 12, "{to_bad} parts of 60 queries went to the failing replica");
 }
 
 #[test]
 fn a_repeat_does_not_go_to_a_replica_that_fails_most_parts() {
     let mut router = start(settings(RepeatPolicy::Safe), &["bad", "g1", "g2"]);
     let mut now = 10.0;
-    // Each of them has some parts at once, and the bad one fails its own, one after the other.
+    // Each replica gets several parts at once, and the bad one fails all of its own in turn.
     let sent = sends(&router.step(now, query(1, 12, now + 3000.0)));
     assert!(sent.iter().filter(|(_, to)| to == "bad").count() >= 3, "{sent:?}");
     for (part, to) in &sent {
@@ -75,7 +75,7 @@
         let outcome = if to == "bad" { Outcome::Errored } else { Outcome::Completed };
         router.step(now, vec![ended(part, 0, to, outcome, 20.0)]);
     }
-    // Both good ones turn a part away: the bad one is free, and would have it at once.
+    // Both good replicas reject a part, while the bad one is idle and could take it at once.
     let mut sent = sends(&router.step(now, query(1000, 1, now + 3000.0)));
     for attempt in 0..2 {
         assert_ne!(sent[0].1, "bad");
@@ -244,7 +244,7 @@
     }
 }
 
-/// A settled router: each of `names` has served some queries.
+/// Returns a router for which each of `names` has served some queries, and the current time.
 fn settled(s: Settings, names: &[&str]) -> (ironpaddle::Router, f64) {
     let mut router = start(Settings { max_parts_per_call: 1, ..s }, names);
     let mut now = 10.0;
@@ -274,15 +274,15 @@
     let events = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::Reset, 1.0)).collect();
     let after = router.step(now + 5.0, events);
     assert!(parked(&after).is_empty() && !sends(&after).is_empty(), "{after:?}");
-    // One part first: it might be the query that kills. Once it is in, the others follow.
+    // One part first, as the query itself may be what crashes replicas. Once it has completed, the others follow.
     let (part, to) = sends(&after)[0].clone();
     let after = router.step(now + 55.0, vec![ended(&part, 1, &to, Outcome::Completed, 50.0)]);
     assert_eq!(sends(&after).len(), 3);
     assert!(closed(&run(&mut router, now + 60.0, now + 1500.0)) > 0);
 }
 
-/// Of many routers each finds its connections idle, and replicas stand still now and then: if that counted as
-/// connections that something drops, all would close theirs and open them again.
+/// With many routers, each has idle connections, and replicas stall now and then. If such silence counted as dropped
+/// connections, all routers would close and reopen theirs.
 #[test]
 fn silence_on_idle_connections_closes_none() {
     let names = ["a", "b", "c", "d"];
@@ -290,7 +290,7 @@
         settled(Settings { keep_alive: Some(15_000.0), ..settings(RepeatPolicy::Safe) }, &names);
     let mut actions = Vec::new();
     for n in 1..=4 {
-        // Idle for longer than the aim, then silent for longer than patience, then all is answered.
+        // Idle for longer than the aim, then silent for longer than the silence timeout, then all parts are answered.
         actions.extend(run(&mut router, now, now + 1500.0));
         now += 1505.0;
         let sent = sends(&router.step(now, query(n, 4, now + 3000.0)));
@@ -321,14 +321,14 @@
     let after = router.step(now + 5.0, events);
     assert_eq!(finals(&after), ["fail q1"]);
     assert!(sends(&after).is_empty());
-    // Half of the fleet died at once: the next query risks one replica until a part has completed.
+    // Half of the fleet failed at once: the next query uses one replica until a part has completed.
     let now = now + 100.0;
     let first = sends(&router.step(now, query(2, 4, now + 3000.0)));
     assert_eq!(first.len(), 1);
     let (part, to) = first[0].clone();
     let rest = sends(&router.step(now + 50.0, vec![ended(&part, 0, &to, Outcome::Completed, 50.0)]));
     assert_eq!(rest.len(), 3);
-    // It forgives after a stated time.
+    // The restriction ends after a fixed time.
     run(&mut router, now + 55.0, now + 30_000.0);
     assert_eq!(sends(&router.step(now + 30_005.0, query(3, 4, now + 33_000.0))).len(), 4);
 }
@@ -340,7 +340,7 @@
     let events = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::ConnectFailed, 1.0)).collect();
     let after = router.step(now + 5.0, events);
     assert_eq!(parked(&after).len(), 4);
-    // All are parked: the parts wait a patience for the next try, and the query is not given up.
+    // All are parked: the parts wait for the silence timeout before the next attempt, and the query stays open.
     assert!(sends(&after).is_empty() && finals(&after).is_empty());
     assert!(!sends(&run(&mut router, now + 10.0, now + 600.0)).is_empty());
 }
@@ -349,11 +349,11 @@
 fn an_own_stall_parks_nobody_and_calls_nothing_back() {
     let (mut router, now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     assert_eq!(sends(&router.step(now, query(1, 1, now + 3000.0))).len(), 1);
-    // The wake asked for within some ticks comes after 900 ms: the silence was this router's.
+    // The wake requested within a few ticks arrives after 900 ms: the router itself stalled.
     let after = router.step(now + 900.0, vec![Event::Wake]);
     assert!(parked(&after).is_empty());
     assert!(!after.iter().any(|action| matches!(action, Action::Cancel { .. })));
-    // The replica is suspected when it stays silent from there on.
+    // The replica is parked if it stays silent from then on.
     assert_eq!(parked(&run(&mut router, now + 905.0, now + 1400.0)).len(), 1);
 }
 
@@ -372,7 +372,7 @@
 #[test]
 fn a_class_turned_away_after_a_bad_moment_is_let_in_again() {
     let (mut router, mut now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
-    // Queries whose replicas stay silent, until the class is refused at once.
+    // Replicas stay silent until queries of the class are refused at once.
     let refused = (1..200u64).any(|n| {
         now += 250.0;
         let actions = router.step(now, query(n, 1, now + 3000.0));
@@ -380,15 +380,16 @@
         finals(&actions).contains(&format!("refuse q{n}"))
     });
     assert!(refused);
-    // While all is refused, nothing is measured: time alone has to forgive. Nothing is out any more then.
+    // While all queries are refused, nothing is measured, so the estimate has to expire with time. By then nothing is
+    // in flight any more.
     let end = now + 12_000.0;
     run(&mut router, now + 250.0, end);
     let actions = router.step(end + 5.0, query(999, 1, end + 3000.0));
     assert_eq!((sends(&actions).len(), finals(&actions)), (1, Vec::new()));
 }
 
-/// Sends single parts until `victim` has lost one and answered four sent after it; the lost part, and what the
-/// router did then, and when that was.
+/// Sends single parts until `victim` has lost one and answered four that were sent after it. Returns the lost part, the
+/// actions of the last step and the time.
 fn lose_one(router: &mut ironpaddle::Router, mut now: f64, victim: &str) -> (String, Vec<Action>, f64) {
     let (mut lost, mut passed, mut actions) = (None, 0, Vec::new());
     for n in 1..100 {
@@ -411,14 +412,14 @@
 
 #[test]
 fn a_part_that_its_replica_passed_over_goes_elsewhere_at_once() {
-    // The aim is long: patience alone would wait for 20 s.
+    // With this long aim, the silence timeout alone would take 20 s.
     let mut s = settings(RepeatPolicy::Safe);
     s.classes[0].aim = 50_000.0;
     let (mut router, now) = settled(s, &["a", "b"]);
     let (lost, actions, now) = lose_one(&mut router, now, "a");
     let (part, attempt, reason) = (lost.as_str().into(), Attempt(0), AttemptReason::Overtaken);
     assert!(actions.contains(&Action::Cancel { part, attempt, reason }), "{actions:?}");
-    assert!(parked(&actions).is_empty(), "it answers others");
+    assert!(parked(&actions).is_empty(), "the replica still answers other parts");
     let again = sends(&router.step(now + 5.0, vec![ended(&lost, 0, "a", Outcome::Cancelled, 1.0)]));
     assert_eq!(again, [(lost, "b".to_string())]);
 }
@@ -441,25 +442,25 @@
         let lost = sent.iter().filter(|(_, to)| at.contains(&to.as_str()));
         lost.map(|(part, to)| ended(part, 0, to, Outcome::Reset, 30.0)).collect()
     };
-    // However many parts of a query were on it, the query is not what killed the replica.
+    // All parts on one broken connection count as one failure, so the query is not considered the cause.
     let sent = sends(&router.step(now, query(1, 16, now + 3000.0)));
     let events = reset(&sent, &["c"]);
     let lost = events.len();
     let after = router.step(now + 30.0, events);
     let again = sends(&after);
     assert!(lost >= 2, "{sent:?}");
-    assert_eq!((finals(&after).len(), again.len()), (0, lost), "all go again");
+    assert_eq!((finals(&after).len(), again.len()), (0, lost), "all are sent again");
     let others = sent.iter().filter(|(_, to)| to != "c").map(|(part, to)| (part, 0, to));
     let again = again.iter().map(|(part, to)| (part, 1, to));
     let events =
         others.chain(again).map(|(part, n, to)| ended(part, n, to, Outcome::Completed, 50.0)).collect();
     assert_eq!(finals(&router.step(now + 80.0, events)), ["whole q1"]);
-    // Nor has the replica earned a record of so many failures: it is still worth some parts.
+    // Nor does each lost part count as a failure of the replica, which still gets parts.
     let now = now + 500.0;
     run(&mut router, now - 415.0, now - 5.0);
     let sent = sends(&router.step(now, query(2, 16, now + 3500.0)));
     assert!(sent.iter().any(|(_, to)| to == "c"), "{sent:?}");
-    // Three replicas that reset parts of a query of which nothing has completed may be its doing.
+    // If three replicas reset parts of a query of which no part has completed, the query may be the cause.
     let events = reset(&sent, &["a", "b"]);
     assert!(finals(&router.step(now + 25.0, events)).is_empty());
     let events = reset(&sent, &["d"]);
@@ -471,7 +472,7 @@
     let refused = |utilization: Option<f64>| {
         let names = ["a", "b", "c", "d"];
         let (mut router, mut now) = settled(settings(RepeatPolicy::Safe), &names);
-        // Three of four queries are slow to the end of their time.
+        // Three of four queries get no answer before their deadline.
         (1..60u64).any(|n| {
             now += 250.0;
             let actions = router.step(now, query(n, 1, now + 3000.0));
@@ -487,9 +488,9 @@
             finals(&actions).contains(&format!("refuse q{n}"))
         })
     };
-    assert!(refused(None), "without reports, slowness is all there is to go by");
+    assert!(refused(None), "without load reports, slow queries are the only signal");
     assert!(refused(Some(0.95)));
-    assert!(!refused(Some(0.4)), "whatever makes queries slow, it is not too much work");
+    assert!(!refused(Some(0.4)), "queries are slow for a reason other than load");
 }
 
 #[test]
@@ -497,7 +498,7 @@
     let mut s = settings(RepeatPolicy::Unsafe);
     s.classes.push(class(RepeatPolicy::Safe));
     let (mut router, mut now) = settled(s, &["a", "b"]);
-    // Safe parts go on, and every tenth at `a` is lost; the last eight of those there were all answered.
+    // Safe parts continue, and every tenth at `a` is lost; the last eight parts there were all answered.
     let mut at_a = 0;
     for n in 1..200u64 {
         let mut events = query(n, 1, now + 3000.0);
@@ -529,7 +530,7 @@
     let names = ["a", "b", "c", "d"];
     let (mut router, now) = settled(settings(RepeatPolicy::Safe), &names);
     let sent = sends(&router.step(now, query(1, 16, now + 3000.0)));
-    // Half of the fleet breaks a connection; other parts that were there are answered soon after.
+    // Half of the fleet breaks a connection; other parts on these replicas are answered soon after.
     let broken: Vec<_> = sent.iter().filter(|(_, to)| to == "a" || to == "b").collect();
     let (first, rest) = broken.split_at(broken.len() / 2);
     let events = first.iter().map(|(part, to)| ended(part, 0, to, Outcome::Reset, 30.0)).collect();
@@ -539,8 +540,8 @@
     assert_eq!(sends(&router.step(now + 200.0, query(2, 4, now + 3000.0))).len(), 4);
 }
 
-/// A replica that hangs may read late that a part was given up: until it is told to have ended, it is out, and when it
-/// may go again is no matter of guesses. From then on it goes to any replica that is not parked, also if none has answered.
+/// A hanging replica may read a cancellation late, so the attempt stays in flight until its end is reported, and the
+/// part is not resent on a guess. After that it goes to any replica that is not parked, even if none has answered yet.
 #[test]
 fn a_part_given_up_in_silence_goes_again_once_its_attempt_has_ended_and_not_before() {
     let all = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
