--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_sheet_reused_within_a_batch_means_what_it_meant_at_each_event() {
+fn a_sheet_number_reused_within_a_batch_is_resolved_at_each_event() {
     let [register, registry] = list();
     let empty = json!({"type": "REGISTER", "sheet": 0, "members_list": []});
     let events = [hello(), register, registry, empty, accept("q", -1), accept("p", 0)];
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_restart_forgets_all() {
+fn a_restart_clears_all_state() {
     let [register, registry] = list();
     let down = json!({"type": "DOWN", "co-ordinator": 3});
     let mut again = hello();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_a_plain_message_and_no_panic() {
+fn invalid_input_is_reported_without_a_panic() {
     let zero_cells = {
         let mut hello = hello();
         hello["info"]["domain"]["cells"] = json!(0);
@@ -113,18 +113,18 @@
         (batch(5.0, 1, &[hello(), list()[1].clone()]), "sheet"),
         (zero_cells, "cells"),
     ];
-    for (input, names) in cases {
+    for (input, expected) in cases {
         let output = play(&input);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{input}");
-        assert!(error.contains(names) && error.contains("batch 1"), "{input}: {error}");
+        assert!(error.contains(expected) && error.contains("batch 1"), "{input}: {error}");
         assert!(!error.contains("panicked"), "{error}");
         assert!(output.stdout.is_empty());
     }
 }
 
 #[test]
-fn idle_connections_are_let_go_in_the_wires_form() {
+fn idle_connections_are_closed_with_a_let_go_command() {
     let [register, registry] = list();
     let mut hello = hello();
     hello["info"]["caps"]["keepalive_ms"] = json!(15000.0);
--- a/tests/alone.rs
+++ b/tests/alone.rs
@@ -7,7 +7,7 @@
 
 /// Returns a router and the current time. Shard 0 is held by the healthy replica `sound`, and shard 1 by `slow`, which
 /// has taken 300 ms per part so far. There is one class per entry of `worths`.
-fn known(worths: &[f64]) -> (Router, Millis) {
+fn router_with_slow_holder(worths: &[f64]) -> (Router, Millis) {
     let mut s = settings(RepeatPolicy::Safe);
     (s.cells, s.cells_per_shard, s.worth_by_work) = (2, 1, true);
     s.classes = worths.iter().map(|worth| Class { worth: *worth, ..class(RepeatPolicy::Safe) }).collect();
@@ -17,17 +17,17 @@
     let mut now = 0.0;
     for number in 1..=40 {
         let (shard, took) = if number <= 38 { (0, 10.0) } else { (1, 300.0) };
-        let sent = sends(&router.step(now, part_of(number, 0, shard, now + 3000.0)));
+        let sent = sends(&router.step(now, single_part_query(number, 0, shard, now + 3000.0)));
         run(&mut router, now + 5.0, now + took - 5.0);
         let ends = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::Completed, took)).collect();
-        assert_eq!(finals(&router.step(now + took, ends)), [format!("whole q{number}")]);
+        assert_eq!(final_answers(&router.step(now + took, ends)), [format!("whole q{number}")]);
         now += took + 5.0;
     }
     (router, now)
 }
 
 /// Returns the events of a query with one part.
-fn part_of(number: u64, class: usize, shard: u32, deadline: Millis) -> Vec<Event> {
+fn single_part_query(number: u64, class: usize, shard: u32, deadline: Millis) -> Vec<Event> {
     let mut events = query(number, 1, deadline);
     for event in &mut events {
         match event {
@@ -41,23 +41,23 @@
 
 /// A cancelled part would go back to the only holder, which would still be working on the first attempt.
 #[test]
-fn a_part_that_no_other_could_take_is_waited_for_as_long_as_its_replicas_pace_explains() {
-    let (mut router, now) = known(&[1.0]);
-    let sent = sends(&router.step(now, part_of(50, 0, 1, now + 3000.0)));
+fn a_part_of_the_only_holder_is_not_cancelled_while_its_usual_latency_explains_the_wait() {
+    let (mut router, now) = router_with_slow_holder(&[1.0]);
+    let sent = sends(&router.step(now, single_part_query(50, 0, 1, now + 3000.0)));
     assert_eq!(sent, [("q50.0".to_string(), "slow".to_string())]);
-    let called_back = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
+    let has_cancel = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
     // The silence timeout is 400 ms here, but twice the usual 300 ms of this replica is not unusual.
-    assert!(!called_back(&run(&mut router, now + 5.0, now + 600.0)));
-    assert!(called_back(&run(&mut router, now + 605.0, now + 1000.0)), "a hanging replica is still detected");
+    assert!(!has_cancel(&run(&mut router, now + 5.0, now + 600.0)));
+    assert!(has_cancel(&run(&mut router, now + 605.0, now + 1000.0)), "a hanging replica is still detected");
 }
 
 /// Parked or not, the replica needs 300 ms per part, so two or three parts fit into the aim of 1 s.
 #[test]
-fn a_parked_replica_that_is_alone_is_sent_no_more_than_it_works_off_in_time() {
+fn an_only_holder_gets_no_more_parts_than_it_can_complete_in_time_parked_or_not() {
     for parked in [false, true] {
-        let (mut router, now) = known(&[1.0]);
+        let (mut router, now) = router_with_slow_holder(&[1.0]);
         if parked {
-            let sent = sends(&router.step(now, part_of(50, 0, 1, now + 200.0)));
+            let sent = sends(&router.step(now, single_part_query(50, 0, 1, now + 200.0)));
             let actions =
                 router.step(now + 1.0, vec![ended(&sent[0].0, 0, "slow", Outcome::ConnectFailed, 1.0)]);
             assert!(actions.contains(&Action::Log("slow parked".into())), "{actions:?}");
@@ -65,9 +65,9 @@
         }
         let (mut sent, mut refused) = (0, 0);
         for number in 51..=70 {
-            let actions = router.step(now + 305.0, part_of(number, 0, 1, now + 3000.0));
+            let actions = router.step(now + 305.0, single_part_query(number, 0, 1, now + 3000.0));
             sent += sends(&actions).len();
-            refused += finals(&actions).iter().filter(|end| end.starts_with("refuse")).count();
+            refused += final_answers(&actions).iter().filter(|end| end.starts_with("refuse")).count();
         }
         assert!(
             (1..=3).contains(&sent) && sent + refused == 20,
@@ -77,37 +77,38 @@
 }
 
 #[test]
-fn what_a_laden_replica_can_still_do_goes_to_the_dear() {
-    let (mut router, now) = known(&[1.0, 5.0]);
+fn the_remaining_capacity_of_a_loaded_replica_goes_to_queries_of_higher_worth() {
+    let (mut router, now) = router_with_slow_holder(&[1.0, 5.0]);
     // Queries of both classes alternate, so that the average worth lies between theirs; parts of shard 0 end at once.
     for number in 50..80 {
         let at = now + (number - 50) as f64 * 10.0;
-        let sent = sends(&router.step(at, part_of(number, number as usize % 2, 0, at + 3000.0)));
+        let sent = sends(&router.step(at, single_part_query(number, number as usize % 2, 0, at + 3000.0)));
         let ends = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::Completed, 5.0)).collect();
         router.step(at + 5.0, ends);
     }
     let mut number = 100;
-    let mut taken = |class: usize| {
-        let mut taken = 0;
-        while taken < 10 {
+    let mut accepted = |class: usize| {
+        let mut accepted = 0;
+        while accepted < 10 {
             number += 1;
-            if sends(&router.step(now + 300.0, part_of(number, class, 1, now + 3300.0))).is_empty() {
+            if sends(&router.step(now + 300.0, single_part_query(number, class, 1, now + 3300.0))).is_empty()
+            {
                 break;
             }
-            taken += 1;
+            accepted += 1;
         }
-        taken
+        accepted
     };
-    let (cheap, dear) = (taken(0), taken(1));
+    let (cheap, costly) = (accepted(0), accepted(1));
     assert!((1..10).contains(&cheap), "{cheap}");
-    assert!((1..10).contains(&dear), "{dear} after {cheap} cheap ones");
+    assert!((1..10).contains(&costly), "{costly} after {cheap} cheap ones");
 }
 
 /// At most a quarter of the fleet is parked for silence, so other silent replicas would otherwise still get parts.
 #[test]
-fn parts_avoid_replicas_that_owe_answers_while_one_answers() {
+fn parts_avoid_silent_replicas_while_another_answers() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
-    let mut asked = std::collections::BTreeMap::new();
+    let mut sent_counts = std::collections::BTreeMap::new();
     for number in 1..=80 {
         let now = number as f64 * 50.0;
         let events = query(number, 1, now + 3000.0);
@@ -117,11 +118,11 @@
                 router.step(now + 10.0, vec![ended(&part, 0, &to, Outcome::Completed, 10.0)]);
             }
             if number > 60 {
-                *asked.entry(to).or_insert(0) += 1;
+                *sent_counts.entry(to).or_insert(0) += 1;
             }
         }
         run(&mut router, now + 15.0, now + 45.0);
     }
-    let of_a = asked.get("a").copied().unwrap_or(0);
-    assert_eq!(of_a, asked.values().sum::<i32>(), "{asked:?}");
+    let sent_to_a = sent_counts.get("a").copied().unwrap_or(0);
+    assert_eq!(sent_to_a, sent_counts.values().sum::<i32>(), "{sent_counts:?}");
 }
--- a/tests/causes.rs
+++ b/tests/causes.rs
@@ -43,14 +43,14 @@
 }
 
 #[test]
-fn without_a_list_no_list_is_the_cause_and_not_overload() {
+fn without_a_list_the_cause_is_no_list_and_not_overload() {
     let mut router = Router::new(settings(RepeatPolicy::Safe), 7).unwrap();
     router.step(0.0, query(1, 1, 900.0));
     assert_eq!(causes(&run(&mut router, 5.0, 1000.0)), [Cause::NoList]);
 }
 
 #[test]
-fn the_shard_that_nobody_holds_is_named() {
+fn a_shard_without_a_holder_is_named_in_the_cause() {
     let mut s = settings(RepeatPolicy::Safe);
     (s.cells, s.cells_per_shard) = (4, 1);
     let mut router = Router::new(s, 7).unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn holders_that_drain_are_told_from_none() {
+fn draining_holders_are_distinguished_from_no_holders() {
     let mut router = Router::new(settings(RepeatPolicy::Safe), 7).unwrap();
     router.step(0.0, vec![in_state(&["a"], ReplicaState::Draining)]);
     assert_eq!(causes(&router.step(5.0, query(1, 1, 900.0))), [Cause::Drained(Shard(0))]);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn repeats_say_how_the_last_attempt_ended_and_then_that_all_are_spent() {
+fn retries_carry_the_previous_outcome_and_the_final_cause_is_attempts_spent() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c"]);
     let mut actions = router.step(5.0, query(1, 1, 3000.0));
     assert_eq!(
@@ -107,21 +107,24 @@
 }
 
 #[test]
-fn a_single_holder_is_named_as_the_only_one() {
+fn the_choice_of_a_single_holder_is_only_candidate() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a"]);
     assert_eq!(choices(&router.step(5.0, query(1, 1, 3000.0))), [ReplicaChoice::OnlyCandidate]);
 }
 
 #[test]
-fn parts_that_drag_on_end_at_the_deadline_for_want_of_time() {
+fn unanswered_parts_end_at_the_deadline_with_time_up_or_all_parked() {
     let mut router = start(settings(RepeatPolicy::Unsafe), &["a", "b"]);
     router.step(5.0, query(1, 1, 600.0));
-    let found = causes(&run(&mut router, 10.0, 700.0));
-    assert!(found == [Cause::TimeUp] || found == [Cause::AllParked(Shard(0))], "{found:?}");
+    let causes_found = causes(&run(&mut router, 10.0, 700.0));
+    assert!(
+        causes_found == [Cause::TimeUp] || causes_found == [Cause::AllParked(Shard(0))],
+        "{causes_found:?}"
+    );
 }
 
 #[test]
-fn every_code_is_one_of_its_own() {
+fn every_cause_has_a_unique_code_and_text() {
     let all = [
         Cause::NoList,
         Cause::NoHolder(Shard(1)),
@@ -138,8 +141,8 @@
         Cause::TooLittle,
     ];
     let codes: std::collections::BTreeSet<_> = all.iter().map(|cause| cause.code()).collect();
-    let words: std::collections::BTreeSet<_> = all.iter().map(ToString::to_string).collect();
-    assert_eq!((codes.len(), words.len()), (all.len(), all.len()));
+    let texts: std::collections::BTreeSet<_> = all.iter().map(ToString::to_string).collect();
+    assert_eq!((codes.len(), texts.len()), (all.len(), all.len()));
     // The trace format uses the same codes.
     for cause in all {
         assert_eq!(ironpaddle::trace::convert::cause_out(cause).code(), cause.code());
--- a/tests/ci.rs
+++ b/tests/ci.rs
@@ -16,8 +16,8 @@
 "#;
 
 struct Run {
-    ok: bool,
-    said: String,
+    success: bool,
+    output: String,
     calls: Vec<String>,
 }
 
@@ -31,34 +31,34 @@
         fs::write(folder.join("KNOWN-RED.txt"), text).unwrap();
     }
     let path = format!("{}:{}", folder.display(), std::env::var("PATH").unwrap());
-    let output = Command::new("bash").arg(folder.join(".ci/run")).env("PATH", path).output().unwrap();
-    let said = [output.stdout, output.stderr].map(|bytes| String::from_utf8(bytes).unwrap()).concat();
+    let result = Command::new("bash").arg(folder.join(".ci/run")).env("PATH", path).output().unwrap();
+    let output = [result.stdout, result.stderr].map(|bytes| String::from_utf8(bytes).unwrap()).concat();
     let calls = fs::read_to_string(folder.join("calls")).unwrap_or_default();
     fs::remove_dir_all(&folder).unwrap();
-    Run { ok: output.status.success(), said, calls: calls.lines().map(str::to_string).collect() }
+    Run { success: result.status.success(), output, calls: calls.lines().map(str::to_string).collect() }
 }
 
 #[test]
-fn without_a_list_or_with_an_empty_one_every_test_decides() {
-    for (name, known) in [("none", None), ("empty", Some(""))] {
-        let run = run(name, known);
-        assert!(!run.ok, "{name}: a::red fails");
+fn without_a_list_or_with_an_empty_one_any_failing_test_fails_the_run() {
+    for (name, known_red) in [("none", None), ("empty", Some(""))] {
+        let run = run(name, known_red);
+        assert!(!run.success, "{name}: a::red fails");
         assert_eq!(run.calls.last().unwrap(), "test --locked --workspace", "{name}");
     }
 }
 
 #[test]
-fn a_listed_test_is_run_and_told_of_and_all_others_decide() {
+fn listed_tests_are_run_and_reported_and_the_others_decide_the_result() {
     let run = run("listed", Some("a::red | it is late | 30\ngreen | it was late | 30\n"));
-    assert!(run.ok, "{}", run.said);
+    assert!(run.success, "{}", run.output);
     let others = "test --locked --workspace -- --exact --skip a::red --skip green";
     assert!(run.calls.iter().any(|call| call == others), "{:?}", run.calls);
-    assert!(run.said.contains("known red: a::red fails, as listed"), "{}", run.said);
-    assert!(run.said.contains("known red: green passes: take it off the list"), "{}", run.said);
+    assert!(run.output.contains("known red: a::red fails, as listed"), "{}", run.output);
+    assert!(run.output.contains("known red: green passes: take it off the list"), "{}", run.output);
 }
 
 #[test]
-fn a_list_that_is_too_long_malformed_or_names_no_single_test_fails() {
+fn an_invalid_list_of_known_failures_fails_the_run() {
     for (name, text) in [
         ("four", "a::red | x | 1\ngreen | x | 1\nboth | x | 1\nmore | x | 1\n"),
         ("two-fields", "a::red | x\n"),
@@ -69,6 +69,6 @@
         ("twice", "both | x | 1\n"),
     ] {
         let run = run(name, Some(text));
-        assert!(!run.ok && run.said.contains("KNOWN-RED.txt: "), "{name}: {}", run.said);
+        assert!(!run.success && run.output.contains("KNOWN-RED.txt: "), "{name}: {}", run.output);
     }
 }
--- a/tests/common/histories.rs
+++ b/tests/common/histories.rs
@@ -8,10 +8,10 @@
 use ironpaddle::Router;
 
 /// A seeded random number generator.
-struct Chance(u64);
+struct Random(u64);
 
-impl Chance {
-    fn of(&mut self, odds: f64) -> bool {
+impl Random {
+    fn chance(&mut self, odds: f64) -> bool {
         draw(&mut self.0) < odds
     }
 
@@ -45,18 +45,18 @@
 }
 
 struct History {
-    chance: Chance,
+    random: Random,
     settings: Settings,
     router: Router,
     now: Millis,
     /// Base latency of a part.
     latency: Millis,
     /// Base utilization that replicas report.
-    busy: f64,
+    utilization: f64,
     lines: Vec<Replica>,
     modes: Vec<Mode>,
     /// The attempts in flight: when each ends, its outcome, its replica and when it was sent.
-    out: BTreeMap<(PartId, Attempt), (Millis, Outcome, ReplicaId, Millis)>,
+    in_flight: BTreeMap<(PartId, Attempt), (Millis, Outcome, ReplicaId, Millis)>,
     attempts: BTreeMap<PartId, u32>,
     open: BTreeMap<u64, Query>,
     next: u64,
@@ -64,27 +64,27 @@
     digest: u64,
 }
 
-fn class(chance: &mut Chance) -> Class {
-    let repeat = match chance.below(4) {
+fn class(random: &mut Random) -> Class {
+    let repeat = match random.below(4) {
         0 => RepeatPolicy::Unsafe,
-        1 => RepeatPolicy::Keyed { window: chance.between(100.0, 1500.0) },
+        1 => RepeatPolicy::Keyed { window: random.between(100.0, 1500.0) },
         _ => RepeatPolicy::Safe,
     };
-    let whole_from = chance.pick(&[1.0, 1.0, 0.8]);
+    let whole_from = random.pick(&[1.0, 1.0, 0.8]);
     Class {
-        aim: chance.pick(&[150.0, 400.0, 1000.0, 2000.0]),
+        aim: random.pick(&[150.0, 400.0, 1000.0, 2000.0]),
         repeat,
-        worth: chance.between(0.2, 4.0),
-        late_worth: chance.pick(&[0.1, 0.1, 0.7]),
-        least_share: chance.pick(&[whole_from, 0.5, 0.3]),
+        worth: random.between(0.2, 4.0),
+        late_worth: random.pick(&[0.1, 0.1, 0.7]),
+        least_share: random.pick(&[whole_from, 0.5, 0.3]),
         whole_from,
         partial_worth: 0.9,
-        second_step_parts: chance.pick(&[0, 0, 2]),
+        second_step_parts: random.pick(&[0, 0, 2]),
     }
 }
 
-fn settings(chance: &mut Chance) -> Settings {
-    let cells = 1 + chance.below(6) as u32;
+fn settings(random: &mut Random) -> Settings {
+    let cells = 1 + random.below(6) as u32;
     let cold = ColdStartRule {
         initial_share: 0.3,
         warm_within: 4000.0,
@@ -93,26 +93,26 @@
     };
     let budget = AttemptBudget { base_attempts: 3.0, ratio: 0.2, window: 1000.0 };
     Settings {
-        classes: (0..1 + chance.below(3)).map(|_| class(chance)).collect(),
-        tenants: (0..chance.below(3)).map(|_| Tenant { quota_per_s: chance.between(1.0, 60.0) }).collect(),
+        classes: (0..1 + random.below(3)).map(|_| class(random)).collect(),
+        tenants: (0..random.below(3)).map(|_| Tenant { quota_per_s: random.between(1.0, 60.0) }).collect(),
         over_share_worth: 0.1,
-        routers: chance.pick(&[1, 3, 30, 300]),
+        routers: random.pick(&[1, 3, 30, 300]),
         cells,
-        cells_per_shard: 1 + chance.below(cells.min(3) as usize) as u32,
-        max_parts_per_call: 1 + chance.below(4) as u32,
-        call_overhead: chance.pick(&[0.0, 4.0]),
-        warm_keys: chance.of(0.5),
-        worth_by_work: chance.of(0.3),
-        max_attempts: 1 + chance.below(4) as u32,
-        may_cancel: chance.of(0.8),
-        parallel_attempts: chance.of(0.5),
-        keep_alive: chance.of(0.7).then_some(3000.0),
-        probes: chance.of(0.8),
+        cells_per_shard: 1 + random.below(cells.min(3) as usize) as u32,
+        max_parts_per_call: 1 + random.below(4) as u32,
+        call_overhead: random.pick(&[0.0, 4.0]),
+        warm_keys: random.chance(0.5),
+        worth_by_work: random.chance(0.3),
+        max_attempts: 1 + random.below(4) as u32,
+        may_cancel: random.chance(0.8),
+        parallel_attempts: random.chance(0.5),
+        keep_alive: random.chance(0.7).then_some(3000.0),
+        probes: random.chance(0.8),
         max_retry_after: 1000.0,
-        discovery: chance.pick(&[Discovery::Asked, Discovery::Pushed]),
+        discovery: random.pick(&[Discovery::Asked, Discovery::Pushed]),
         list_refresh_within: 10_000.0,
-        cold: chance.of(0.6).then_some(cold),
-        budget: chance.of(0.3).then_some(budget),
+        cold: random.chance(0.6).then_some(cold),
+        budget: random.chance(0.3).then_some(budget),
         tick: 5.0,
         zone: "z0".into(),
     }
@@ -120,30 +120,30 @@
 
 impl History {
     fn new(seed: u64) -> Self {
-        let mut chance = Chance(seed);
-        let settings = settings(&mut chance);
-        let stores = 1 + chance.below(16);
+        let mut random = Random(seed);
+        let settings = settings(&mut random);
+        let stores = 1 + random.below(16);
         let line = |no: usize| Replica {
             id: format!("s-{no}").as_str().into(),
             zone: format!("z{}", no % 2).as_str().into(),
-            cell: chance.below(settings.cells as usize) as u32,
+            cell: random.below(settings.cells as usize) as u32,
             weight: 1.0,
             ..Replica::default()
         };
         let lines: Vec<_> = (0..stores).map(line).collect();
         let router = Router::new(settings.clone(), seed).expect("valid settings");
-        let (latency, busy) = (chance.between(5.0, 150.0), chance.between(0.2, 1.0));
+        let (latency, utilization) = (random.between(5.0, 150.0), random.between(0.2, 1.0));
         let modes = vec![Mode::Answers; stores];
         History {
-            chance,
+            random,
             settings,
             router,
             now: 0.0,
             latency,
-            busy,
+            utilization,
             lines,
             modes,
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             attempts: BTreeMap::new(),
             open: BTreeMap::new(),
             next: 0,
@@ -154,33 +154,33 @@
 
     /// Returns an update of the list: full, cached, partial or failed.
     fn list(&mut self) -> Event {
-        let (chance, now) = (&mut self.chance, self.now);
+        let (random, now) = (&mut self.random, self.now);
         // Sometimes all replicas of one cell leave.
-        let lost = chance.of(0.2).then(|| chance.below(self.settings.cells as usize) as u32);
+        let lost_cell = random.chance(0.2).then(|| random.below(self.settings.cells as usize) as u32);
         for line in &mut self.lines {
-            if chance.of(0.2) {
-                line.state = chance.pick(&[
+            if random.chance(0.2) {
+                line.state = random.pick(&[
                     ReplicaState::Active,
                     ReplicaState::Active,
                     ReplicaState::Draining,
                     ReplicaState::Gone,
                 ]);
-                let restarts = line.state == ReplicaState::Active && chance.of(0.5);
-                line.started = if restarts { Some(now - chance.between(0.0, 3000.0)) } else { line.started };
+                let restarts = line.state == ReplicaState::Active && random.chance(0.5);
+                line.started = if restarts { Some(now - random.between(0.0, 3000.0)) } else { line.started };
             }
-            if chance.of(0.03) {
-                line.cell = chance.below(self.settings.cells as usize) as u32;
+            if random.chance(0.03) {
+                line.cell = random.below(self.settings.cells as usize) as u32;
             }
-            if lost == Some(line.cell) {
+            if lost_cell == Some(line.cell) {
                 line.state = ReplicaState::Gone;
             }
         }
-        let there = |line: &&Replica| line.state != ReplicaState::Gone;
-        Event::List(match chance.below(8) {
+        let is_listed = |line: &&Replica| line.state != ReplicaState::Gone;
+        Event::List(match random.below(8) {
             0 => ListUpdate::Failed,
-            1 => ListUpdate::Cached(self.lines.iter().filter(there).cloned().collect()),
-            2 | 3 => ListUpdate::Full(self.lines.iter().filter(there).cloned().collect()),
-            _ => ListUpdate::Changes(self.lines.iter().filter(|_| chance.of(0.4)).cloned().collect()),
+            1 => ListUpdate::Cached(self.lines.iter().filter(is_listed).cloned().collect()),
+            2 | 3 => ListUpdate::Full(self.lines.iter().filter(is_listed).cloned().collect()),
+            _ => ListUpdate::Changes(self.lines.iter().filter(|_| random.chance(0.4)).cloned().collect()),
         })
     }
 
@@ -188,28 +188,28 @@
         Event::Part(NewPart {
             id: name.as_str().into(),
             query: number,
-            shard: Shard(self.chance.below(12) as u32),
+            shard: Shard(self.random.below(12) as u32),
             weight,
-            cost_hint: self.chance.of(0.5).then(|| self.chance.between(1.0, 20.0)),
-            key: self.chance.of(0.5).then(|| format!("k{}", self.chance.below(5)).as_str().into()),
+            cost_hint: self.random.chance(0.5).then(|| self.random.between(1.0, 20.0)),
+            key: self.random.chance(0.5).then(|| format!("k{}", self.random.below(5)).as_str().into()),
         })
     }
 
     fn query(&mut self) -> Vec<Event> {
         self.next += 1;
-        let (number, chance) = (self.next, &mut self.chance);
+        let (number, random) = (self.next, &mut self.random);
         let id = QueryId::from(format!("q{number}").as_str());
-        let class = chance.below(self.settings.classes.len());
-        let parts = 1 + chance.below(6) as u32;
+        let class = random.below(self.settings.classes.len());
+        let parts = 1 + random.below(6) as u32;
         let tenants = self.settings.tenants.len();
         let query = Event::Query(NewQuery {
             id: id.clone(),
             number,
             class: ClassIndex(class),
-            tenant: (tenants > 0).then(|| TenantIndex(chance.below(tenants))),
+            tenant: (tenants > 0).then(|| TenantIndex(random.below(tenants))),
             key: None,
-            arrived: self.now - chance.between(0.0, 20.0),
-            deadline: self.now + chance.between(100.0, 4000.0),
+            arrived: self.now - random.between(0.0, 20.0),
+            deadline: self.now + random.between(100.0, 4000.0),
             parts,
             client_retry: false,
         });
@@ -219,21 +219,21 @@
     }
 
     fn load(&mut self) -> Option<LoadReport> {
-        let busy = (self.busy + self.chance.between(-0.1, 0.1)).max(0.0);
-        self.chance.of(0.6).then(|| LoadReport {
-            queue: self.chance.of(0.5).then(|| self.chance.between(0.0, 9.0).floor()),
+        let utilization = (self.utilization + self.random.between(-0.1, 0.1)).max(0.0);
+        self.random.chance(0.6).then(|| LoadReport {
+            queue: self.random.chance(0.5).then(|| self.random.between(0.0, 9.0).floor()),
             in_flight: None,
-            utilization: self.chance.of(0.9).then_some(busy),
-            throughput: self.chance.of(0.8).then(|| self.chance.between(0.0, 90.0).floor()),
+            utilization: self.random.chance(0.9).then_some(utilization),
+            throughput: self.random.chance(0.8).then(|| self.random.between(0.0, 90.0).floor()),
         })
     }
 
-    fn ends(&mut self) -> Vec<Event> {
-        let due = self.out.iter().filter(|(_, (at, ..))| *at <= self.now);
-        let due: Vec<_> = due.map(|(key, _)| key.clone()).collect();
+    fn attempt_ends(&mut self) -> Vec<Event> {
+        let ended = self.in_flight.iter().filter(|(_, (at, ..))| *at <= self.now);
+        let ended: Vec<_> = ended.map(|(key, _)| key.clone()).collect();
         let mut events = Vec::new();
-        for key in due {
-            let Some((_, outcome, replica, sent)) = self.out.remove(&key) else { continue };
+        for key in ended {
+            let Some((_, outcome, replica, sent)) = self.in_flight.remove(&key) else { continue };
             let load = self.load().filter(|_| outcome == Outcome::Completed);
             let latency = self.now - sent;
             let (part, attempt) = key;
@@ -243,24 +243,24 @@
     }
 
     fn events(&mut self) -> Vec<Event> {
-        let mut events = self.ends();
+        let mut events = self.attempt_ends();
         for replica in std::mem::take(&mut self.probed) {
-            let (ok, load) = (self.chance.of(0.6), self.load());
+            let (ok, load) = (self.random.chance(0.6), self.load());
             events.push(Event::ProbeEnded { replica, ok, load });
         }
-        if self.chance.of(0.04) {
+        if self.random.chance(0.04) {
             events.push(self.list());
         }
-        if self.chance.of(0.03) {
-            let gone = self.chance.below(self.open.len().max(1));
+        if self.random.chance(0.03) {
+            let gone = self.random.below(self.open.len().max(1));
             let gone = self.open.iter().nth(gone).map(|(number, query)| (*number, query.id.clone()));
             if let Some((number, id)) = gone {
                 self.open.remove(&number);
                 events.push(Event::ClientGone(id));
             }
         }
-        let waits = |(number, query): (&u64, &Query)| query.second.then_some(*number);
-        for number in self.open.iter().filter_map(waits).collect::<Vec<_>>() {
+        let awaits_second_step = |(number, query): (&u64, &Query)| query.second.then_some(*number);
+        for number in self.open.iter().filter_map(awaits_second_step).collect::<Vec<_>>() {
             let class = self.open.get(&number).map_or(0, |query| query.class);
             let parts = self.settings.classes[class].second_step_parts;
             if !self.attempts.contains_key(&PartId::from(format!("q{number}.f").as_str())) {
@@ -270,10 +270,10 @@
                 }
             }
         }
-        if self.chance.of(0.3) {
+        if self.random.chance(0.3) {
             events.extend(self.query());
         }
-        if self.chance.of(0.7) {
+        if self.random.chance(0.7) {
             events.push(Event::Wake);
         }
         events
@@ -286,20 +286,20 @@
                 let attempt = Attempt(*count);
                 *count += 1;
                 let no = self.lines.iter().position(|line| line.id == replica).unwrap_or_default();
-                let took = self.latency * self.chance.between(0.5, 2.0);
+                let took = self.latency * self.random.between(0.5, 2.0);
                 let (after, outcome) = match self.modes[no] {
                     Mode::Answers => (took, Outcome::Completed),
-                    Mode::Loses if self.chance.of(0.7) => (took, Outcome::Completed),
+                    Mode::Loses if self.random.chance(0.7) => (took, Outcome::Completed),
                     Mode::Hangs | Mode::Loses => (f64::INFINITY, Outcome::TimedOut),
-                    Mode::Ends(outcome) => (took * self.chance.between(0.01, 1.0), outcome),
+                    Mode::Ends(outcome) => (took * self.random.between(0.01, 1.0), outcome),
                 };
                 let outcome = if after < timeout { outcome } else { Outcome::TimedOut };
                 let end = (self.now + after.min(timeout), outcome, replica, self.now);
-                self.out.insert((part, attempt), end);
+                self.in_flight.insert((part, attempt), end);
             }
             Action::Cancel { part, attempt, .. } => {
-                let late = self.chance.of(0.1);
-                if let Some(end) = self.out.get_mut(&(part, attempt)).filter(|_| !late) {
+                let late = self.random.chance(0.1);
+                if let Some(end) = self.in_flight.get_mut(&(part, attempt)).filter(|_| !late) {
                     (end.0, end.1) = (self.now, Outcome::Cancelled);
                 }
             }
@@ -319,38 +319,38 @@
 
     /// Makes changes that no event carries: new settings, a restart with the learned state, a restored snapshot,
     /// replica failures.
-    fn meddle(&mut self) {
-        if self.chance.of(0.01) {
-            let other = settings(&mut self.chance);
+    fn change_environment(&mut self) {
+        if self.random.chance(0.01) {
+            let other = settings(&mut self.random);
             // Existing classes keep their index; one more may be added.
             let mut classes = self.settings.classes.clone();
             for class in &mut classes {
-                class.aim = self.chance.pick(&[150.0, 400.0, 1000.0, 2000.0]);
+                class.aim = self.random.pick(&[150.0, 400.0, 1000.0, 2000.0]);
             }
             classes.extend(other.classes.get(1).cloned().filter(|_| classes.len() < 5));
             self.settings = Settings { classes, ..other };
             self.router.apply_settings(self.settings.clone()).expect("valid settings");
         }
-        if self.chance.of(0.005) {
+        if self.random.chance(0.005) {
             let seed = self.next ^ self.digest;
             let mut after = Router::new(self.settings.clone(), seed).expect("valid settings");
             // An infinite value cannot be written as JSON: the new process then starts without learned state.
             let understood = after.import_learned(&self.router.export_learned());
             self.digest = hash(&format!("{} {understood}", self.digest));
             self.router = after;
-            self.out.clear();
+            self.in_flight.clear();
             self.open.clear();
         }
-        if self.chance.of(0.01) {
+        if self.random.chance(0.01) {
             let state = postcard::to_stdvec(&self.router).expect("the router serializes");
             self.router = postcard::from_bytes(&state).expect("the router deserializes");
         }
-        if self.chance.of(0.05) {
-            let no = self.chance.below(self.modes.len());
-            self.modes[no] = match self.chance.below(8) {
+        if self.random.chance(0.05) {
+            let no = self.random.below(self.modes.len());
+            self.modes[no] = match self.random.below(8) {
                 0 | 1 => Mode::Hangs,
                 2 => Mode::Loses,
-                3 => Mode::Ends(self.chance.pick(&[
+                3 => Mode::Ends(self.random.pick(&[
                     Outcome::Errored,
                     Outcome::Rejected,
                     Outcome::ConnectFailed,
@@ -360,23 +360,24 @@
                 _ => Mode::Answers,
             };
         }
-        if self.chance.of(0.01) {
+        if self.random.chance(0.01) {
             // A shared cause: every replica changes at once.
             let mode =
-                self.chance.pick(&[Mode::Answers, Mode::Answers, Mode::Hangs, Mode::Ends(Outcome::Reset)]);
+                self.random.pick(&[Mode::Answers, Mode::Answers, Mode::Hangs, Mode::Ends(Outcome::Reset)]);
             self.modes.fill(mode);
-            (self.latency, self.busy) = (self.chance.between(5.0, 900.0), self.chance.between(0.2, 1.0));
+            (self.latency, self.utilization) =
+                (self.random.between(5.0, 900.0), self.random.between(0.2, 1.0));
         }
     }
 
     fn step(&mut self) {
         // Mostly 1 to 5 ticks, sometimes less than a tick or a stall.
-        self.now += match self.chance.below(40) {
-            0 => self.chance.between(0.0, 5.0),
-            1 => self.chance.between(5.0, 700.0),
-            _ => self.settings.tick * (1 + self.chance.below(5)) as f64,
+        self.now += match self.random.below(40) {
+            0 => self.random.between(0.0, 5.0),
+            1 => self.random.between(5.0, 700.0),
+            _ => self.settings.tick * (1 + self.random.below(5)) as f64,
         };
-        self.meddle();
+        self.change_environment();
         let events = self.events();
         let actions = self.router.step(self.now, events);
         self.digest = hash(&format!("{} {actions:?}", self.digest));
@@ -388,8 +389,8 @@
 pub fn play(seed: u64, steps: usize, mut look: impl FnMut(&Router)) -> u64 {
     let mut history = History::new(seed);
     let lines = history.lines.clone();
-    let news = if seed.is_multiple_of(2) { ListUpdate::Full(lines) } else { ListUpdate::Cached(lines) };
-    history.router.step(0.0, vec![Event::List(news)]);
+    let update = if seed.is_multiple_of(2) { ListUpdate::Full(lines) } else { ListUpdate::Cached(lines) };
+    history.router.step(0.0, vec![Event::List(update)]);
     for _ in 0..steps {
         history.step();
         look(&history.router);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -59,7 +59,7 @@
 }
 
 /// Returns the event that gives the router a cached list of these replicas.
-pub fn fleet(names: &[&str]) -> Event {
+pub fn list_event(names: &[&str]) -> Event {
     Event::List(ListUpdate::Cached(names.iter().map(|name| replica(name)).collect()))
 }
 
@@ -112,15 +112,15 @@
 }
 
 /// Returns the final answers among the actions as text, such as `whole q1`.
-pub fn finals(actions: &[Action]) -> Vec<String> {
-    let last = |action: &Action| match action {
+pub fn final_answers(actions: &[Action]) -> Vec<String> {
+    let answer = |action: &Action| match action {
         Action::Answer { query, whole: true } => Some(format!("whole {}", query.0)),
         Action::Answer { query, whole: false } => Some(format!("partial {}", query.0)),
         Action::Refuse { query, .. } => Some(format!("refuse {}", query.0)),
         Action::Fail { query, .. } => Some(format!("fail {}", query.0)),
         _ => None,
     };
-    actions.iter().filter_map(last).collect()
+    actions.iter().filter_map(answer).collect()
 }
 
 /// Steps the router every 5 ms from `from` to `to` with wake events only, and returns all actions.
@@ -137,6 +137,6 @@
 /// Returns a router that has the list of these replicas.
 pub fn start(settings: Settings, names: &[&str]) -> Router {
     let mut router = Router::new(settings, 7).expect("valid settings");
-    router.step(0.0, vec![fleet(names)]);
+    router.step(0.0, vec![list_event(names)]);
     router
 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -4,7 +4,7 @@
 
 use ironpaddle::config::Config;
 
-const SOUND: &str = r#"{
+const VALID: &str = r#"{
   "name": "n0",
   "listen": "127.0.0.1:0",
   "discovery": "127.0.0.1:1",
@@ -45,9 +45,9 @@
 }
 
 #[test]
-fn each_fault_is_refused_by_its_key_and_line() {
-    assert!(load("sound", SOUND).is_ok());
-    for (at, (set, other, key)) in [
+fn each_invalid_value_is_rejected_with_its_key_and_line() {
+    assert!(load("sound", VALID).is_ok());
+    for (case, (from, to, key)) in [
         ("\"sockets\": 1024", "\"sockets\": 10", "limits.sockets"),
         ("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"nowhere\"", "listen"),
         ("\"balancers\": 3", "\"balancers\": 0", "settings.balancers"),
@@ -71,30 +71,30 @@
     .into_iter()
     .enumerate()
     {
-        assert_eq!(SOUND.matches(set).count(), 1, "{set}");
-        let line = SOUND[..SOUND.find(set).unwrap()].matches('\n').count() + 1;
-        let why = load(&at.to_string(), &SOUND.replace(set, other)).expect_err(key);
-        assert!(why.contains(&format!("key {key}")), "{why}");
-        assert!(why.contains(&format!("line {line}")), "line {line}: {why}");
+        assert_eq!(VALID.matches(from).count(), 1, "{from}");
+        let line = VALID[..VALID.find(from).unwrap()].matches('\n').count() + 1;
+        let error = load(&case.to_string(), &VALID.replace(from, to)).expect_err(key);
+        assert!(error.contains(&format!("key {key}")), "{error}");
+        assert!(error.contains(&format!("line {line}")), "line {line}: {error}");
     }
 }
 
 #[test]
-fn limits_of_zero_that_can_be_used_are_used() {
-    for (set, other) in [
+fn zero_and_large_values_are_accepted_where_they_are_valid() {
+    for (from, to) in [
         ("\"warm_within_ms\": 1000.0", "\"warm_within_ms\": 0, \"ask_every_ms\": 0, \"fall_multiple\": 0"),
         ("\"window_ms\": 50.0", "\"window_ms\": 0"),
         ("[0.5, 1.0]", "[0, 1]"),
         ("\"max_open\": 10", "\"max_open\": 4000000000"),
     ] {
-        load("zero", &SOUND.replace(set, other)).expect(other);
+        load("zero", &VALID.replace(from, to)).expect(to);
     }
 }
 
 #[test]
-fn what_is_missing_or_no_json_is_refused_with_a_line() {
-    for text in ["", "{", "[]", "{\"name\": 3}", &SOUND.replace("\"name\": \"n0\",", "")] {
-        let why = load("cut", text).expect_err("invalid configuration");
-        assert!(why.contains("line "), "{text:?}: {why}");
+fn missing_fields_and_malformed_json_are_rejected_with_a_line() {
+    for text in ["", "{", "[]", "{\"name\": 3}", &VALID.replace("\"name\": \"n0\",", "")] {
+        let error = load("cut", text).expect_err("invalid configuration");
+        assert!(error.contains("line "), "{text:?}: {error}");
     }
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -39,7 +39,7 @@
     fixture::ask("r1", class, parts, 2000.0)
 }
 
-fn finals(commands: &[Command]) -> Vec<(QueryNo, FinalAnswer)> {
+fn final_answers(commands: &[Command]) -> Vec<(QueryNo, FinalAnswer)> {
     let last = |command: &Command| match command {
         Command::Answer { query, answer } => Some((*query, answer.clone())),
         _ => None,
@@ -47,7 +47,7 @@
     commands.iter().filter_map(last).collect()
 }
 
-fn served(value: &[u8]) -> CallEnd {
+fn completed(value: &[u8]) -> CallEnd {
     CallEnd { outcome: Outcome::Completed, value: Some(value.into()), load: None }
 }
 
@@ -58,13 +58,13 @@
     core.step(5.0);
     let sent = calls(&commands(&mut core));
     assert_eq!((sent.len(), sent[0].part.as_str()), (1, "r1.0"));
-    core.call_ended(20.0, sent[0].no, served(b"first"));
-    core.call_ended(20.0, sent[0].no, served(b"second"));
+    core.call_ended(20.0, sent[0].no, completed(b"first"));
+    core.call_ended(20.0, sent[0].no, completed(b"second"));
     core.call_timed_out(20.0, sent[0].no);
     core.step(25.0);
-    let finals = finals(&commands(&mut core));
-    let [(no, FinalAnswer::Served { whole: true, answers, parts: 1 })] = &finals[..] else {
-        panic!("{finals:?}")
+    let final_answers = final_answers(&commands(&mut core));
+    let [(no, FinalAnswer::Served { whole: true, answers, parts: 1 })] = &final_answers[..] else {
+        panic!("{final_answers:?}")
     };
     assert_eq!((*no, &answers[0].value[..]), (query, &b"first"[..]));
     assert_eq!(core.counters.ends[0], 1);
@@ -72,22 +72,22 @@
 }
 
 #[test]
-fn what_the_router_still_holds_at_the_deadline_fails_once() {
+fn a_query_still_open_at_the_deadline_fails_once() {
     let mut core = core(100);
     core.take_in(0.0, ask("entry", 1)).unwrap();
     core.step(5.0);
     assert_eq!(calls(&commands(&mut core)).len(), 1);
     // No step ran before the deadline, as after a stall of the machine.
     core.step(2500.0);
-    let last = finals(&commands(&mut core));
+    let last = final_answers(&commands(&mut core));
     assert!(matches!(last[..], [(_, FinalAnswer::Failed { .. })]), "{last:?}");
     core.step(2510.0);
-    assert!(finals(&commands(&mut core)).is_empty());
+    assert!(final_answers(&commands(&mut core)).is_empty());
     assert_eq!(core.gauges().active, 0);
 }
 
 #[test]
-fn a_client_that_left_gets_nothing_and_its_parts_are_called_back() {
+fn a_client_that_left_gets_no_answer_and_its_calls_are_abandoned() {
     let mut core = core(100);
     let query = core.take_in(0.0, ask("search", 2)).unwrap();
     core.step(5.0);
@@ -95,7 +95,7 @@
     core.client_gone(10.0, query);
     core.step(10.0);
     let commands = commands(&mut core);
-    assert!(finals(&commands).is_empty());
+    assert!(final_answers(&commands).is_empty());
     for call in sent {
         assert!(commands
             .iter()
@@ -104,11 +104,11 @@
 }
 
 #[test]
-fn at_the_limit_a_query_is_refused_before_the_router_hears_of_it() {
+fn at_the_limit_a_query_is_refused_before_it_reaches_the_router() {
     let mut core = core(3);
     core.take_in(0.0, ask("search", 2)).unwrap();
     let second = core.take_in(0.0, ask("search", 1)).unwrap();
-    let refused = finals(&commands(&mut core));
+    let refused = final_answers(&commands(&mut core));
     let [(no, FinalAnswer::Refused { retry_after, cause: Cause::MaxOpen })] = refused[..] else {
         panic!("{refused:?}")
     };
@@ -119,18 +119,18 @@
 }
 
 #[test]
-fn parts_that_are_in_make_room_at_the_limit() {
+fn completed_parts_free_capacity_at_the_limit() {
     let mut core = core(4);
     core.take_in(0.0, ask("search", 3)).unwrap();
     core.step(5.0);
     let sent = calls(&commands(&mut core));
-    core.call_ended(10.0, sent[0].no, served(b"v"));
+    core.call_ended(10.0, sent[0].no, completed(b"v"));
     core.take_in(10.0, ask("search", 1)).unwrap();
-    assert!(finals(&commands(&mut core)).is_empty());
+    assert!(final_answers(&commands(&mut core)).is_empty());
 }
 
 #[test]
-fn a_drain_takes_back_what_is_queued_and_nothing_new_is_sent() {
+fn a_draining_run_store_is_retired_and_gets_no_new_calls() {
     let mut core = core(100);
     core.apply_directory_update(DirectoryUpdate::Changes(vec![listed("a", ReplicaState::Draining)]));
     assert_eq!(commands(&mut core), [Command::Retire("a".into())]);
@@ -152,17 +152,17 @@
 }
 
 #[test]
-fn a_query_that_contradicts_itself_is_not_taken() {
+fn an_inconsistent_query_is_rejected() {
     let mut core = core(100);
-    let mut twice = ask("search", 2);
-    twice.parts[1].shard = 0;
-    let mut heavy = ask("search", 2);
-    heavy.parts[1].weight = 9.0;
-    let mut broken = ask("search", 2);
-    broken.parts[1].weight = f64::NAN;
-    let mut beyond = ask("search", 2);
-    beyond.parts[1].shard = 9;
-    for ask in [ask("search", 0), twice, heavy, broken, beyond] {
+    let mut duplicate_shard = ask("search", 2);
+    duplicate_shard.parts[1].shard = 0;
+    let mut overweight = ask("search", 2);
+    overweight.parts[1].weight = 9.0;
+    let mut nan_weight = ask("search", 2);
+    nan_weight.parts[1].weight = f64::NAN;
+    let mut unknown_shard = ask("search", 2);
+    unknown_shard.parts[1].shard = 9;
+    for ask in [ask("search", 0), duplicate_shard, overweight, nan_weight, unknown_shard] {
         assert!(matches!(core.take_in(0.0, ask), Err(InvalidQuery::Malformed(_))));
     }
     assert_eq!(core.take_in(0.0, ask("none", 1)), Err(InvalidQuery::UnknownClass));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_unsafe_part_that_may_have_run_is_failed_and_one_that_has_not_is_refused() {
+fn an_unsafe_part_that_may_have_run_fails_and_one_that_has_not_run_is_refused() {
     for (outcome, refused) in [(Outcome::Reset, false), (Outcome::Errored, false), (Outcome::Rejected, true)]
     {
         let mut core = core(100);
@@ -181,7 +181,7 @@
             now += 5.0;
             core.step(now);
             let commands = commands(&mut core);
-            last = finals(&commands);
+            last = final_answers(&commands);
             for call in calls(&commands) {
                 core.call_ended(now, call.no, CallEnd::bare(outcome));
             }
@@ -194,25 +194,25 @@
 /// A failed watch suggests an overloaded service and waits for the router's backoff; a silent watch hides changes and
 /// is reopened soon.
 #[test]
-fn a_watch_that_fell_silent_begins_anew_within_half_a_second_and_one_that_failed_as_the_router_says() {
+fn a_silent_watch_is_reopened_within_half_a_second_and_a_failed_one_waits_for_the_router() {
     let mut core = core(100);
     let watches =
         |core: &mut Core| commands(core).iter().filter(|command| **command == Command::Watch).count();
     core.apply_directory_update(DirectoryUpdate::Silent);
     assert!(core.has_pending_events(), "the core asks to be stepped");
-    let mut begun = 0;
+    let mut reopened = 0;
     for now in (10..=510).step_by(5) {
         core.step(f64::from(now));
-        begun += watches(&mut core);
+        reopened += watches(&mut core);
     }
-    assert_eq!((begun, core.has_pending_events()), (1, false));
+    assert_eq!((reopened, core.has_pending_events()), (1, false));
     core.apply_directory_update(DirectoryUpdate::Failed);
     core.step(520.0);
     assert_eq!(watches(&mut core), 0);
 }
 
 #[test]
-fn a_repeat_of_a_keyed_class_carries_the_end_of_its_window_and_no_other_call_has_one() {
+fn a_retry_of_a_keyed_part_carries_the_end_of_its_window_and_no_other_call_does() {
     let class = |name: &str, repeat: &str| json!({"name": name, "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": repeat, "window_ms": 300.0});
     let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "may_cancel": true},
@@ -245,31 +245,31 @@
 }
 
 #[test]
-fn no_query_outlives_the_process_and_what_is_in_is_answered() {
+fn open_queries_end_at_the_exit_time_with_the_parts_received_so_far() {
     let mut core = core(100);
-    let both = core.take_in(1.0, ask("search", 2)).unwrap();
-    let none = core.take_in(1.0, ask("search", 1)).unwrap();
-    let entry = core.take_in(1.0, ask("entry", 1)).unwrap();
+    let half_answered = core.take_in(1.0, ask("search", 2)).unwrap();
+    let unanswered = core.take_in(1.0, ask("search", 1)).unwrap();
+    let unsafe_query = core.take_in(1.0, ask("entry", 1)).unwrap();
     core.step(5.0);
     let sent = calls(&commands(&mut core));
     let of = |no| sent.iter().find(|call| call.query_attempt.0 == no).unwrap().no;
     core.set_exit_time(300.0);
-    core.call_ended(20.0, of(both), served(b"in"));
+    core.call_ended(20.0, of(half_answered), completed(b"in"));
     core.step(25.0);
     let late = core.take_in(100.0, ask("search", 1)).unwrap();
     core.step(105.0);
-    assert!(finals(&commands(&mut core)).is_empty());
+    assert!(final_answers(&commands(&mut core)).is_empty());
     core.step(300.0);
-    let verdicts = finals(&commands(&mut core));
+    let verdicts = final_answers(&commands(&mut core));
     let of = |no| &verdicts.iter().find(|(query, _)| *query == no).unwrap().1;
-    assert!(matches!(of(both), FinalAnswer::Served { whole: false, parts: 2, .. }), "{verdicts:?}");
+    assert!(matches!(of(half_answered), FinalAnswer::Served { whole: false, parts: 2, .. }), "{verdicts:?}");
     assert!(
-        matches!(of(none), FinalAnswer::Refused { retry_after, .. } if *retry_after > 0.0),
+        matches!(of(unanswered), FinalAnswer::Refused { retry_after, .. } if *retry_after > 0.0),
         "{verdicts:?}"
     );
     assert!(matches!(of(late), FinalAnswer::Refused { .. }), "{verdicts:?}");
-    assert!(matches!(of(entry), FinalAnswer::Failed { .. }), "{verdicts:?}: the part may have run");
+    assert!(matches!(of(unsafe_query), FinalAnswer::Failed { .. }), "{verdicts:?}: the part may have run");
     // A query that arrives after the exit time is refused at once.
     core.take_in(301.0, ask("search", 1)).unwrap();
-    assert!(matches!(finals(&commands(&mut core))[..], [(_, FinalAnswer::Refused { .. })]));
+    assert!(matches!(final_answers(&commands(&mut core))[..], [(_, FinalAnswer::Refused { .. })]));
 }
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -18,13 +18,13 @@
 #[derive(Debug, Clone)]
 enum Step {
     /// A query: class, number of parts and client timeout in milliseconds.
-    Ask(usize, u32, f64),
+    Query(usize, u32, f64),
     /// An attempt in flight ends.
-    End(usize, Outcome),
+    EndAttempt(usize, Outcome),
     /// A client disconnects.
-    Leave(usize),
+    Disconnect(usize),
     /// This many milliseconds pass.
-    Pass(f64),
+    Wait(f64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -36,10 +36,10 @@
         1 => Just(Outcome::ConnectFailed)
     ];
     let step = prop_oneof![
-        3 => (0..2usize, 1..4u32, -5.0..900.0).prop_map(|(class, parts, wait)| Step::Ask(class, parts, wait)),
-        5 => (0..9usize, outcome).prop_map(|(which, outcome)| Step::End(which, outcome)),
-        1 => (0..9usize).prop_map(Step::Leave),
-        3 => (1.0..400.0).prop_map(Step::Pass),
+        3 => (0..2usize, 1..4u32, -5.0..900.0).prop_map(|(class, parts, wait)| Step::Query(class, parts, wait)),
+        5 => (0..9usize, outcome).prop_map(|(index, outcome)| Step::EndAttempt(index, outcome)),
+        1 => (0..9usize).prop_map(Step::Disconnect),
+        3 => (1.0..400.0).prop_map(Step::Wait),
     ];
     prop::collection::vec(step, 1..60)
 }
@@ -61,37 +61,37 @@
 
 /// The state that an outside observer of the core sees.
 #[derive(Default)]
-struct Seen {
+struct Observer {
     open: BTreeMap<QueryNo, usize>,
-    out: Vec<Call>,
+    in_flight: Vec<Call>,
     /// Number of abandoned attempts for which proof of their end was requested.
-    proved: u64,
+    awaiting_proof: u64,
     /// Counts by class: served, refused, failed.
     ends: [[u64; 3]; 2],
 }
 
-impl Seen {
+impl Observer {
     fn time_out(&mut self, core: &mut Core, now: f64) {
-        for call in self.out.iter().filter(|call| call.until <= now) {
+        for call in self.in_flight.iter().filter(|call| call.until <= now) {
             core.call_timed_out(now, call.no);
         }
     }
 
-    fn look(&mut self, core: &mut Core) {
+    fn take_commands(&mut self, core: &mut Core) {
         while let Some(command) = core.next_command() {
             match command {
                 Command::Send(call) => {
                     assert!(
-                        self.out.iter().all(|known| known.part != call.part),
+                        self.in_flight.iter().all(|known| known.part != call.part),
                         "a second copy of {}",
                         call.part
                     );
-                    self.out.push(call);
+                    self.in_flight.push(call);
                 }
                 // An attempt that awaits proof may still end with any outcome.
                 Command::Abandon { no, await_proof, .. } => {
-                    self.proved += u64::from(await_proof);
-                    self.out.retain(|call| await_proof || call.no != no);
+                    self.awaiting_proof += u64::from(await_proof);
+                    self.in_flight.retain(|call| await_proof || call.no != no);
                 }
                 Command::Answer { query, answer } => {
                     let class = self.open.remove(&query).expect("one final answer to each query");
@@ -108,67 +108,67 @@
     }
 }
 
-fn walk(steps: &[Step], proved: &Cell<u64>) -> Result<(), TestCaseError> {
-    let (mut core, mut seen, mut now) = (core(), Seen::default(), 0.0);
+fn run_steps(steps: &[Step], awaiting_proof: &Cell<u64>) -> Result<(), TestCaseError> {
+    let (mut core, mut observer, mut now) = (core(), Observer::default(), 0.0);
     for (at, step) in steps.iter().enumerate() {
         match step {
-            Step::Ask(class, parts, wait) => {
+            Step::Query(class, parts, wait) => {
                 let ask = fixture::ask(&format!("r{at}"), CLASSES[*class], *parts, *wait);
-                seen.open.insert(core.take_in(now, ask).unwrap(), *class);
+                observer.open.insert(core.take_in(now, ask).unwrap(), *class);
             }
-            Step::End(which, outcome) if !seen.out.is_empty() => {
-                let call = seen.out.remove(which % seen.out.len());
+            Step::EndAttempt(index, outcome) if !observer.in_flight.is_empty() => {
+                let call = observer.in_flight.remove(index % observer.in_flight.len());
                 let value = (*outcome == Outcome::Completed).then(|| b"v"[..].into());
                 core.call_ended(now, call.no, CallEnd { outcome: *outcome, value, load: None });
             }
-            Step::Leave(which) if !seen.open.is_empty() => {
-                let no = *seen.open.keys().nth(which % seen.open.len()).unwrap();
-                seen.open.remove(&no);
+            Step::Disconnect(index) if !observer.open.is_empty() => {
+                let no = *observer.open.keys().nth(index % observer.open.len()).unwrap();
+                observer.open.remove(&no);
                 core.client_gone(now, no);
             }
             // Step on time: the router ignores silence while its own steps are late.
-            Step::Pass(time) => {
+            Step::Wait(time) => {
                 let until = now + time;
                 while now + 5.0 < until {
                     now += 5.0;
-                    seen.time_out(&mut core, now);
+                    observer.time_out(&mut core, now);
                     core.step(now);
-                    seen.look(&mut core);
+                    observer.take_commands(&mut core);
                 }
             }
-            Step::End(..) | Step::Leave(_) => {}
+            Step::EndAttempt(..) | Step::Disconnect(_) => {}
         }
-        seen.look(&mut core);
+        observer.take_commands(&mut core);
         now += 5.0;
         core.step(now);
-        seen.look(&mut core);
-        prop_assert_eq!(core.gauges().active, seen.open.len());
-        for (class, ends) in CLASSES.iter().zip(seen.ends) {
+        observer.take_commands(&mut core);
+        prop_assert_eq!(core.gauges().active, observer.open.len());
+        for (class, ends) in CLASSES.iter().zip(observer.ends) {
             let counted = core.counters.classes[*class];
             prop_assert_eq!([counted.ok, counted.shed, counted.errors], ends, "{}", class);
         }
     }
     // Each remaining query ends by its deadline.
     core.step(now + 1000.0);
-    seen.look(&mut core);
-    prop_assert_eq!((core.gauges().active, seen.open.len()), (0, 0));
+    observer.take_commands(&mut core);
+    prop_assert_eq!((core.gauges().active, observer.open.len()), (0, 0));
     // Each remaining attempt is counted once, by its own end or when its query is removed.
     core.step(now + 1005.0);
-    seen.look(&mut core);
-    for call in &seen.out {
+    observer.take_commands(&mut core);
+    for call in &observer.in_flight {
         core.call_timed_out(now + 2000.0, call.no);
     }
     prop_assert_eq!(core.counters.ends.iter().sum::<u64>(), core.counters.sent);
-    proved.set(proved.get() + seen.proved);
+    awaiting_proof.set(awaiting_proof.get() + observer.awaiting_proof);
     Ok(())
 }
 
 #[test]
-fn every_end_is_counted_once_and_nothing_stays_active() {
+fn every_end_is_counted_once_and_no_query_stays_active() {
     // A fixed seed keeps the result reproducible.
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
-    let proved = Cell::new(0);
-    TestRunner::new_with_rng(config, rng).run(&steps(), |steps| walk(&steps, &proved)).unwrap();
-    assert!(proved.get() > 100, "too few attempts awaited proof: {}", proved.get());
+    let awaiting_proof = Cell::new(0);
+    TestRunner::new_with_rng(config, rng).run(&steps(), |steps| run_steps(&steps, &awaiting_proof)).unwrap();
+    assert!(awaiting_proof.get() > 100, "too few attempts awaited proof: {}", awaiting_proof.get());
 }
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -13,7 +13,7 @@
 const STEP: f64 = 5.0;
 
 /// A core with two run stores and one query, whose only part is in flight.
-struct Day {
+struct Scenario {
     core: Core,
     now: f64,
     query: QueryNo,
@@ -21,24 +21,24 @@
     /// All attempts sent so far.
     sent: Vec<CallNo>,
     /// The abandoned attempts, and whether the core awaits proof of their end.
-    given_up: Vec<(CallNo, bool)>,
-    finals: Vec<FinalAnswer>,
+    abandoned: Vec<(CallNo, bool)>,
+    final_answers: Vec<FinalAnswer>,
 }
 
 /// Returns settings that allow second copies if `copies` is true.
 fn site(copies: bool) -> SiteSettings {
-    let kind = |name: &str, repeat: &str| json!({"name": name, "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": repeat, "window_ms": 5000.0});
+    let class = |name: &str, repeat: &str| json!({"name": name, "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": repeat, "window_ms": 5000.0});
     serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "max_retry_after_ms": 2000.0, "may_cancel": true, "parallel_tries": copies},
         "domain": {"cells": 1, "width": 1, "shards": 9},
-        "request_classes": [kind("search", "read_like"), kind("entry", "non_idempotent")],
+        "request_classes": [class("search", "read_like"), class("entry", "non_idempotent")],
         "tick_ms": 5.0,
     }))
     .unwrap()
 }
 
-impl Day {
-    fn begin(copies: bool, class: &str, timeout: f64) -> Self {
+impl Scenario {
+    fn start(copies: bool, class: &str, timeout: f64) -> Self {
         let mut core = Core::new(&site(copies), 7).unwrap();
         let line = |name: &str| fixture::listed(name, ReplicaState::Active, 0.0);
         core.apply_directory_update(DirectoryUpdate::Cached(vec![line("a"), line("b")]));
@@ -47,11 +47,11 @@
         core.step(STEP);
         let first = calls(&commands(&mut core)).remove(0);
         let sent = vec![first.no];
-        Day { core, now: STEP, query, first, sent, given_up: Vec::new(), finals: Vec::new() }
+        Scenario { core, now: STEP, query, first, sent, abandoned: Vec::new(), final_answers: Vec::new() }
     }
 
     /// Steps the core for `time` ms, times out the first attempt when its time is up, and returns the new calls.
-    fn pass(&mut self, time: f64) -> Vec<Call> {
+    fn advance(&mut self, time: f64) -> Vec<Call> {
         let (until, mut new) = (self.now + time, Vec::new());
         while self.now < until {
             self.now += STEP;
@@ -65,8 +65,8 @@
                         self.sent.push(call.no);
                         new.push(call);
                     }
-                    Command::Abandon { no, await_proof, .. } => self.given_up.push((no, await_proof)),
-                    Command::Answer { answer, .. } => self.finals.push(answer),
+                    Command::Abandon { no, await_proof, .. } => self.abandoned.push((no, await_proof)),
+                    Command::Answer { answer, .. } => self.final_answers.push(answer),
                     _ => {}
                 }
             }
@@ -84,105 +84,123 @@
     }
 
     /// Starts a query whose first attempt was silent and has been abandoned, without proof of its end.
-    fn in_silence(copies: bool) -> Self {
-        let mut day = Day::begin(copies, "search", 3000.0);
-        assert!(day.pass(390.0).is_empty() && day.given_up.is_empty());
-        let again = day.pass(400.0);
-        assert_eq!(again.len(), usize::from(copies));
-        assert_eq!(day.given_up, [(day.first.no, !copies)]);
-        assert_eq!(day.ends(), u64::from(copies));
-        day
+    fn with_silent_attempt(copies: bool) -> Self {
+        let mut scenario = Scenario::start(copies, "search", 3000.0);
+        assert!(scenario.advance(390.0).is_empty() && scenario.abandoned.is_empty());
+        let retries = scenario.advance(400.0);
+        assert_eq!(retries.len(), usize::from(copies));
+        assert_eq!(scenario.abandoned, [(scenario.first.no, !copies)]);
+        assert_eq!(scenario.ends(), u64::from(copies));
+        scenario
     }
 }
 
 #[test]
-fn a_repeat_follows_at_once_on_the_proof_that_the_attempt_is_over() {
+fn a_retry_follows_at_once_when_the_end_of_the_attempt_is_proved() {
     for proof in
         [Outcome::Cancelled, Outcome::Reset, Outcome::Errored, Outcome::ConnectFailed, Outcome::NotSent]
     {
-        let mut day = Day::in_silence(false);
-        day.end(day.first.no, proof);
-        let again = day.pass(2.0 * STEP);
-        assert!(again.len() == 1 && again[0].run_store != day.first.run_store, "{proof:?}: {again:?}");
+        let mut scenario = Scenario::with_silent_attempt(false);
+        scenario.end(scenario.first.no, proof);
+        let retries = scenario.advance(2.0 * STEP);
+        assert!(
+            retries.len() == 1 && retries[0].run_store != scenario.first.run_store,
+            "{proof:?}: {retries:?}"
+        );
         // A reset of the connection proves only that the abandoned attempt has ended.
-        let told = if proof == Outcome::Reset { Outcome::Cancelled } else { proof };
-        assert_eq!(day.core.counters.ends[place(told)], 1, "{proof:?}");
-        day.end(again[0].no, Outcome::Completed);
-        day.pass(STEP);
-        assert!(matches!(day.finals[..], [FinalAnswer::Served { whole: true, .. }]), "{proof:?}");
-        assert_eq!(day.ends(), 2, "{proof:?}");
+        let counted = if proof == Outcome::Reset { Outcome::Cancelled } else { proof };
+        assert_eq!(scenario.core.counters.ends[outcome_index(counted)], 1, "{proof:?}");
+        scenario.end(retries[0].no, Outcome::Completed);
+        scenario.advance(STEP);
+        assert!(matches!(scenario.final_answers[..], [FinalAnswer::Served { whole: true, .. }]), "{proof:?}");
+        assert_eq!(scenario.ends(), 2, "{proof:?}");
     }
 }
 
 /// Returns the index of an outcome in the counters of attempt ends.
-fn place(outcome: Outcome) -> usize {
+fn outcome_index(outcome: Outcome) -> usize {
     use Outcome::*;
     let all = [Completed, Errored, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent];
     all.iter().position(|known| *known == outcome).unwrap()
 }
 
 #[test]
-fn an_answer_that_crosses_its_being_given_up_is_served() {
-    let mut day = Day::in_silence(false);
-    day.end(day.first.no, Outcome::Completed);
-    assert!(day.pass(100.0).is_empty());
-    assert!(matches!(day.finals[..], [FinalAnswer::Served { whole: true, .. }]), "{:?}", day.finals);
-    assert_eq!((day.ends(), day.core.counters.ends[0]), (1, 1));
+fn an_answer_that_crosses_the_cancellation_is_served() {
+    let mut scenario = Scenario::with_silent_attempt(false);
+    scenario.end(scenario.first.no, Outcome::Completed);
+    assert!(scenario.advance(100.0).is_empty());
+    assert!(
+        matches!(scenario.final_answers[..], [FinalAnswer::Served { whole: true, .. }]),
+        "{:?}",
+        scenario.final_answers
+    );
+    assert_eq!((scenario.ends(), scenario.core.counters.ends[0]), (1, 1));
 }
 
 #[test]
-fn without_proof_it_ends_with_its_query_and_there_is_no_repeat() {
-    let none = |_: &mut Day| {};
-    let leaves = |day: &mut Day| day.core.client_gone(day.now, day.query);
-    let overdue = |day: &mut Day| day.core.set_exit_time(day.now);
-    for (end, finals) in [(none as fn(&mut Day), 1), (leaves, 0), (overdue, 1)] {
-        let mut day = Day::in_silence(false);
-        end(&mut day);
-        assert!(day.pass(3000.0).is_empty());
-        assert_eq!(day.finals.len(), finals);
-        assert!(!matches!(day.finals.first(), Some(FinalAnswer::Served { .. })), "{:?}", day.finals);
-        assert_eq!(day.given_up, [(day.first.no, true), (day.first.no, false)]);
+fn without_proof_an_attempt_ends_with_its_query_and_is_not_retried() {
+    let none = |_: &mut Scenario| {};
+    let leaves = |scenario: &mut Scenario| scenario.core.client_gone(scenario.now, scenario.query);
+    let overdue = |scenario: &mut Scenario| scenario.core.set_exit_time(scenario.now);
+    for (end, final_answers) in [(none as fn(&mut Scenario), 1), (leaves, 0), (overdue, 1)] {
+        let mut scenario = Scenario::with_silent_attempt(false);
+        end(&mut scenario);
+        assert!(scenario.advance(3000.0).is_empty());
+        assert_eq!(scenario.final_answers.len(), final_answers);
+        assert!(
+            !matches!(scenario.final_answers.first(), Some(FinalAnswer::Served { .. })),
+            "{:?}",
+            scenario.final_answers
+        );
+        assert_eq!(scenario.abandoned, [(scenario.first.no, true), (scenario.first.no, false)]);
         // A later report of the transport does not count as a second end.
-        day.end(day.first.no, Outcome::Completed);
-        day.pass(STEP);
-        assert_eq!((day.ends(), day.core.counters.ends[place(Outcome::Cancelled)]), (1, 1));
+        scenario.end(scenario.first.no, Outcome::Completed);
+        scenario.advance(STEP);
+        assert_eq!((scenario.ends(), scenario.core.counters.ends[outcome_index(Outcome::Cancelled)]), (1, 1));
     }
 }
 
 #[test]
-fn an_attempt_whose_time_is_over_before_its_query_is_out_until_it_is_proved_over() {
-    let mut day = Day::begin(false, "search", 3000.0);
+fn a_timed_out_attempt_stays_in_flight_until_its_end_is_proved_while_its_query_is_open() {
+    let mut scenario = Scenario::start(false, "search", 3000.0);
     // It times out before it would count as silent.
-    day.first.until = 200.0;
-    assert!(day.pass(600.0).is_empty());
-    assert_eq!((&day.given_up[..], day.ends()), (&[(day.first.no, true)][..], 0));
-    day.end(day.first.no, Outcome::Cancelled);
-    assert_eq!(day.pass(2.0 * STEP).len(), 1);
-    assert_eq!(day.core.counters.ends[place(Outcome::TimedOut)], 1, "it counts as timed out");
+    scenario.first.until = 200.0;
+    assert!(scenario.advance(600.0).is_empty());
+    assert_eq!((&scenario.abandoned[..], scenario.ends()), (&[(scenario.first.no, true)][..], 0));
+    scenario.end(scenario.first.no, Outcome::Cancelled);
+    assert_eq!(scenario.advance(2.0 * STEP).len(), 1);
+    assert_eq!(scenario.core.counters.ends[outcome_index(Outcome::TimedOut)], 1, "it counts as timed out");
 }
 
 #[test]
-fn what_cannot_be_repeated_ends_at_once() {
+fn an_attempt_that_cannot_be_retried_ends_at_once() {
     // An unsafe part, and a part whose query has reached its deadline too.
     for (class, until) in [("entry", 200.0), ("search", 3001.0)] {
-        let mut day = Day::begin(false, class, 3000.0);
-        day.first.until = until;
-        day.core.call_timed_out(until, day.first.no);
-        assert_eq!(day.core.counters.ends[place(Outcome::TimedOut)], 1, "{class}");
-        let given_up = |command: &Command| matches!(command, Command::Abandon { await_proof: false, .. });
-        assert!(commands(&mut day.core).iter().any(given_up), "{class}");
+        let mut scenario = Scenario::start(false, class, 3000.0);
+        scenario.first.until = until;
+        scenario.core.call_timed_out(until, scenario.first.no);
+        assert_eq!(scenario.core.counters.ends[outcome_index(Outcome::TimedOut)], 1, "{class}");
+        let abandoned = |command: &Command| matches!(command, Command::Abandon { await_proof: false, .. });
+        assert!(commands(&mut scenario.core).iter().any(abandoned), "{class}");
     }
-    assert_eq!(Day::in_silence(true).given_up.len(), 1, "with second copies no proof is awaited");
+    assert_eq!(
+        Scenario::with_silent_attempt(true).abandoned.len(),
+        1,
+        "with second copies no proof is awaited"
+    );
 }
 
 /// New settings disallow second copies. An attempt abandoned before that may still run, and its end is not reported.
 #[test]
-fn second_copies_that_are_switched_off_stay_off_for_what_was_given_up_before() {
-    let mut day = Day::in_silence(true);
-    day.core.apply_settings(&site(false)).unwrap();
-    day.end(day.sent[1], Outcome::Errored);
-    let again = day.pass(800.0);
-    assert!(again.is_empty(), "the first attempt may still run: {again:?}");
-    assert_eq!(day.core.take_in(day.now, fixture::ask("r2", "search", 1, 3000.0)).map(drop), Ok(()));
-    assert_eq!(day.pass(2.0 * STEP).len(), 1, "new queries are sent as before");
+fn disallowing_second_copies_also_covers_attempts_abandoned_before() {
+    let mut scenario = Scenario::with_silent_attempt(true);
+    scenario.core.apply_settings(&site(false)).unwrap();
+    scenario.end(scenario.sent[1], Outcome::Errored);
+    let retries = scenario.advance(800.0);
+    assert!(retries.is_empty(), "the first attempt may still run: {retries:?}");
+    assert_eq!(
+        scenario.core.take_in(scenario.now, fixture::ask("r2", "search", 1, 3000.0)).map(drop),
+        Ok(())
+    );
+    assert_eq!(scenario.advance(2.0 * STEP).len(), 1, "new queries are sent as before");
 }
--- a/tests/http.rs
+++ b/tests/http.rs
@@ -17,13 +17,13 @@
 }
 
 /// Two requests, one of them chunked, with an extra line break between them.
-const TWO: &[u8] = b"POST /a HTTP/1.1\r\nX-Tenant-Id:  acme \r\nContent-Length: 3\r\n\r\nabc\r\n\
+const TWO_REQUESTS: &[u8] = b"POST /a HTTP/1.1\r\nX-Tenant-Id:  acme \r\nContent-Length: 3\r\n\r\nabc\r\n\
     POST /b HTTP/1.1\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n2\r\nde\r\n1;x=y\r\nf\r\n0\r\nT: t\r\n\r\n";
 
 #[test]
-fn messages_split_anywhere_are_read_alike() {
-    for cut in 0..TWO.len() {
-        let messages = read(MessageKind::Request, &[&TWO[..cut], &TWO[cut..]]).unwrap();
+fn messages_split_at_any_byte_parse_the_same() {
+    for cut in 0..TWO_REQUESTS.len() {
+        let messages = read(MessageKind::Request, &[&TWO_REQUESTS[..cut], &TWO_REQUESTS[cut..]]).unwrap();
         assert_eq!(messages.len(), 2, "cut at {cut}");
         assert_eq!((&messages[0].body[..], messages[0].keep_alive), (&b"abc"[..], true));
         assert_eq!(messages[0].headers.get("x-tenant-id"), Some("acme"));
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn what_could_be_read_in_two_ways_is_refused() {
-    for (head, bad) in [
+fn ambiguous_malformed_or_oversized_messages_are_rejected() {
+    for (head, error) in [
         ("GET /\r\n\r\n", MessageError::StartLine),
         ("GET / HTTP/3\r\n\r\n", MessageError::Version),
         ("GET / HTTP/1.1\r\nA : b\r\n\r\n", MessageError::Header),
@@ -48,7 +48,7 @@
         ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", MessageError::Chunk),
         ("GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", MessageError::BodyTooLong),
     ] {
-        assert_eq!(read(MessageKind::Request, &[head.as_bytes()]), Err(bad), "{head:?}");
+        assert_eq!(read(MessageKind::Request, &[head.as_bytes()]), Err(error), "{head:?}");
     }
     let long = format!("GET / HTTP/1.1\r\nA: {}\r\n", "b".repeat(20_000));
     assert_eq!(read(MessageKind::Request, &[long.as_bytes()]), Err(MessageError::HeadTooLong));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn no_input_panics_and_what_is_kept_is_bounded() {
+fn no_input_panics_and_bodies_are_no_longer_than_the_input() {
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner =
         TestRunner::new_with_rng(Config { cases: 500, failure_persistence: None, ..Config::default() }, rng);
@@ -92,8 +92,10 @@
         .run(&pieces, |pieces| {
             for kind in [MessageKind::Request, MessageKind::Response(4)] {
                 if let Ok(messages) = read(kind, &pieces) {
-                    let most = pieces.iter().map(|piece| piece.len()).sum::<usize>();
-                    prop_assert!(messages.iter().map(|message| message.body.len()).sum::<usize>() <= most);
+                    let input_bytes = pieces.iter().map(|piece| piece.len()).sum::<usize>();
+                    prop_assert!(
+                        messages.iter().map(|message| message.body.len()).sum::<usize>() <= input_bytes
+                    );
                 }
             }
             Ok(())
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn what_follows_an_answer_ends_its_connection() {
+fn bytes_after_an_answer_end_its_connection() {
     use std::io::{Read, Write};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -65,15 +65,15 @@
 
 /// A retry is decided within its window, but its connection is established after the window has ended.
 #[test]
-fn a_call_that_is_late_when_it_could_be_written_is_not_written() {
-    type Made = fn(Rc<Driver>, Limits) -> Rc<dyn RunStores>;
-    let made: [Made; 2] = [
+fn a_call_that_expires_before_its_connection_is_up_is_not_written() {
+    type Constructor = fn(Rc<Driver>, Limits) -> Rc<dyn RunStores>;
+    let constructors: [Constructor; 2] = [
         |driver, limits| Rc::new(FrameTransport::new(driver, limits)),
         |driver, limits| Rc::new(SearchTransport::new(driver, limits)),
     ];
-    for made in made {
+    for construct in constructors {
         let driver = driver();
-        let stores = made(driver.clone(), Limits::from_settings(&site(), 10));
+        let stores = construct(driver.clone(), Limits::from_settings(&site(), 10));
         let (address, first) = listener();
         let (id, now) = (ReplicaId::from("s"), driver.now());
         stores.locate(&id, address, None);
@@ -96,7 +96,7 @@
 
 /// One part is in flight on a connection, and the next frame cannot be written in time.
 #[test]
-fn a_connection_that_is_too_slow_is_over_once_its_run_store_has_ended_it_where_copies_may_not_be_out() {
+fn without_second_copies_a_slow_connection_is_kept_until_its_run_store_closes_it() {
     for copies in [true, false] {
         let (driver, mut site) = (driver(), site());
         site.caps.parallel_tries = copies;
@@ -109,22 +109,22 @@
         let text = vec![b'x'; 32_000_000].into();
         stores.send(Call { payload: text, ..call(2, "s", now + 9000.0, now + 200.0) });
         let executor = driver.executor().clone();
-        let a_while = || async_io::block_on(executor.run(Timer::after(Duration::from_millis(700))));
-        a_while();
+        let run_for_700_ms = || async_io::block_on(executor.run(Timer::after(Duration::from_millis(700))));
+        run_for_700_ms();
         assert_eq!(stores.connections(), usize::from(!copies), "copies {copies}");
         drop(listener.accept().unwrap());
-        a_while();
+        run_for_700_ms();
         assert_eq!(stores.connections(), 0, "copies {copies}");
     }
 }
 
 /// A transport to run stores that reject every call.
-struct Full {
+struct RejectingRunStores {
     driver: Rc<Driver>,
     sent: Rc<Cell<usize>>,
 }
 
-impl RunStores for Full {
+impl RunStores for RejectingRunStores {
     fn send(&self, call: Call) {
         self.sent.set(self.sent.get() + 1);
         self.driver.call_ended(call.no, CallEnd::bare(Outcome::Rejected));
@@ -156,10 +156,13 @@
 /// The last attempt waits for its time. The process stalls past it, and the client disconnects meanwhile: on resume,
 /// the timer and the end of the connection are both ready.
 #[test]
-fn a_step_that_comes_late_sends_nothing_for_a_client_that_left_meanwhile() {
+fn a_late_step_sends_nothing_for_a_client_that_has_left() {
     let driver = driver();
     let sent = Rc::new(Cell::new(0));
-    driver.connect(Rc::new(Full { driver: driver.clone(), sent: sent.clone() }), Rc::new(NoDirectory));
+    driver.connect(
+        Rc::new(RejectingRunStores { driver: driver.clone(), sent: sent.clone() }),
+        Rc::new(NoDirectory),
+    );
     let lines = ["a", "b"].map(|name| fixture::listed(name, ReplicaState::Active, 0.0));
     driver.apply_directory_update(DirectoryUpdate::Cached(lines.to_vec()));
     let executor = driver.executor().clone();
@@ -167,7 +170,7 @@
     let (mut client, server) = std::os::unix::net::UnixStream::pair().unwrap();
     let mut server = Async::new(server).unwrap();
     let pending = driver.submit(fixture::ask("r1", "search", 1, 9000.0)).unwrap();
-    let serves = async {
+    let serve = async {
         let left = async {
             let _ = server.read(&mut [0]).await;
         };
@@ -177,7 +180,7 @@
         future::or(left, answered).await;
         drop(pending);
     };
-    let tries = async {
+    let client_leaves = async {
         // Two attempts are rejected at once, and the third waits for four tenths of the aim.
         Timer::after(Duration::from_millis(200)).await;
         let before = sent.get();
@@ -186,6 +189,6 @@
         Timer::after(Duration::from_millis(300)).await;
         (before, sent.get())
     };
-    let (counts, ()) = async_io::block_on(executor.run(future::zip(tries, serves)));
+    let (counts, ()) = async_io::block_on(executor.run(future::zip(client_leaves, serve)));
     assert_eq!(counts, (2, 2), "attempts before the client left, and in all");
 }
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -17,24 +17,24 @@
     Written,
     Answer(usize, char),
     GiveUp(usize),
-    CallBack(usize),
-    Probed,
+    GiveUpWithProof(usize),
+    ProbeAnswered,
     Retire,
     Break,
 }
 
 /// The state of a call in the model.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Stands {
+enum CallState {
     Queued,
     Writing,
     Written,
     /// Written and abandoned; it ends once the run store has proved that it read the cancellation.
-    Told,
+    AwaitingProof,
     /// Ended after its last byte was written or while it was being written on this connection.
-    Past,
+    Ended,
     /// Ended before any byte of it was written on this connection.
-    Unsent,
+    NeverWritten,
 }
 
 /// Usual response time of a run store, with which each connection starts.
@@ -64,8 +64,8 @@
         4 => Just(Step::Written),
         3 => (0..20usize, ends).prop_map(|(at, end)| Step::Answer(at, end)),
         2 => (0..20usize).prop_map(Step::GiveUp),
-        2 => (0..20usize).prop_map(Step::CallBack),
-        2 => Just(Step::Probed),
+        2 => (0..20usize).prop_map(Step::GiveUpWithProof),
+        2 => Just(Step::ProbeAnswered),
         1 => Just(Step::Retire),
         1 => Just(Step::Break),
     ];
@@ -81,40 +81,40 @@
 }
 
 /// Returns the text of a frame without its length prefix.
-fn said(frame: &[u8]) -> String {
+fn frame_text(frame: &[u8]) -> String {
     String::from_utf8(frame[4..].to_vec()).unwrap()
 }
 
 #[test]
-fn every_call_ends_once_and_as_its_last_byte_says() {
+fn every_call_ends_once_with_the_outcome_that_its_written_bytes_imply() {
     // A fixed seed keeps the result reproducible.
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner =
         TestRunner::new_with_rng(Config { cases: 400, failure_persistence: None, ..Config::default() }, rng);
     let strategy = (1..4usize, steps());
-    runner.run(&strategy, |(bundle, steps)| walk(bundle, &steps)).unwrap();
+    runner.run(&strategy, |(bundle, steps)| run_steps(bundle, &steps)).unwrap();
 }
 
-fn walk(bundle: usize, steps: &[Step]) -> Result<(), TestCaseError> {
+fn run_steps(bundle: usize, steps: &[Step]) -> Result<(), TestCaseError> {
     let start = Instant::now();
     let mut link = ConnectionState::new(bundle, start, USUAL);
-    let mut model: BTreeMap<u64, Stands> = BTreeMap::new();
+    let mut model: BTreeMap<u64, CallState> = BTreeMap::new();
     // Whether a frame is being written.
     let mut writing = false;
     let (mut in_frame, mut in_proof) = (0, false);
     // Calls abandoned with proof while being written; calls cancelled by a `2` frame; and per probe in flight, the
     // calls that it proves ended.
-    let (mut back, mut twos): (BTreeSet<u64>, BTreeSet<u64>) = Default::default();
+    let (mut cancel_after_write, mut cancelled): (BTreeSet<u64>, BTreeSet<u64>) = Default::default();
     let mut proofs: VecDeque<Vec<u64>> = VecDeque::new();
     for (at, step) in steps.iter().enumerate() {
         let now = start + Duration::from_millis(at as u64);
-        let pick = |model: &BTreeMap<u64, Stands>, at: usize| model.keys().copied().nth(at);
+        let pick = |model: &BTreeMap<u64, CallState>, at: usize| model.keys().copied().nth(at);
         let mut ended = Vec::new();
         match step {
             Step::Push => {
                 let no = model.len() as u64;
                 link.push(call(no));
-                model.insert(no, Stands::Queued);
+                model.insert(no, CallState::Queued);
             }
             Step::Frame if !writing => {
                 if let Some(frame) = link.next_frame(|_| 5) {
@@ -123,16 +123,17 @@
                         u32::from_le_bytes(frame[..4].try_into().unwrap()) as usize,
                         frame.len() - 4
                     );
-                    if let Some(part) = said(&frame).strip_prefix("2q") {
-                        twos.insert(part.trim_end_matches(".0").parse().unwrap());
+                    if let Some(part) = frame_text(&frame).strip_prefix("2q") {
+                        cancelled.insert(part.trim_end_matches(".0").parse().unwrap());
                     }
                     if frame[4] == b'3' {
                         let proved: BTreeSet<u64> = proofs.iter().flatten().copied().collect();
-                        let told = |no: &&u64| model[*no] == Stands::Told && !proved.contains(no);
-                        let new: Vec<u64> = model.keys().filter(told).copied().collect();
+                        let unproved =
+                            |no: &&u64| model[*no] == CallState::AwaitingProof && !proved.contains(no);
+                        let new: Vec<u64> = model.keys().filter(unproved).copied().collect();
                         prop_assert!(!new.is_empty(), "a probe that proves no end");
                         prop_assert!(
-                            new.iter().all(|no| twos.contains(no)),
+                            new.iter().all(|no| cancelled.contains(no)),
                             "the probe follows the cancellations of all calls that it proves ended"
                         );
                         proofs.push_back(new);
@@ -141,8 +142,8 @@
                         // A frame carries calls up to the limit, or up to an abandoned call between them.
                         let carried = frame.windows(4).filter(|words| words == b"text").count();
                         prop_assert!((1..=bundle).contains(&carried));
-                        let queued = model.values_mut().filter(|stands| **stands == Stands::Queued);
-                        let taken = queued.take(carried).map(|stands| *stands = Stands::Writing).count();
+                        let queued = model.values_mut().filter(|state| **state == CallState::Queued);
+                        let taken = queued.take(carried).map(|state| *state = CallState::Writing).count();
                         prop_assert_eq!(carried, taken);
                         in_frame = carried;
                     }
@@ -152,59 +153,63 @@
                 writing = false;
                 // A call abandoned while it was being written is still written to its end.
                 prop_assert_eq!(link.mark_written(now), in_frame);
-                let begun = model.values_mut().filter(|stands| **stands == Stands::Writing);
-                begun.for_each(|stands| *stands = Stands::Written);
-                for no in std::mem::take(&mut back) {
-                    model.insert(no, Stands::Told);
+                let being_written = model.values_mut().filter(|state| **state == CallState::Writing);
+                being_written.for_each(|state| *state = CallState::Written);
+                for no in std::mem::take(&mut cancel_after_write) {
+                    model.insert(no, CallState::AwaitingProof);
                 }
             }
-            Step::Answer(which, end) => {
-                if let Some(no) = pick(&model, *which) {
-                    let came;
-                    (ended, came) = link.receive(&answer(&format!("q{no}.0"), *end), now);
-                    let wanted = match (model[&no], end) {
-                        (Stands::Written | Stands::Told, 'S') => Some(Outcome::Completed),
-                        (Stands::Written | Stands::Told, 'E') => Some(Outcome::Errored),
-                        (Stands::Written | Stands::Told, _) => Some(Outcome::Rejected),
+            Step::Answer(index, end) => {
+                if let Some(no) = pick(&model, *index) {
+                    let received;
+                    (ended, received) = link.receive(&answer(&format!("q{no}.0"), *end), now);
+                    let expected = match (model[&no], end) {
+                        (CallState::Written | CallState::AwaitingProof, 'S') => Some(Outcome::Completed),
+                        (CallState::Written | CallState::AwaitingProof, 'E') => Some(Outcome::Errored),
+                        (CallState::Written | CallState::AwaitingProof, _) => Some(Outcome::Rejected),
                         _ => None,
                     };
                     // An answer to an ended call is ignored; one to a call never written here is a protocol error.
-                    let known = matches!(model[&no], Stands::Written | Stands::Told | Stands::Past);
-                    prop_assert_eq!(came.is_ok(), known);
+                    let known = matches!(
+                        model[&no],
+                        CallState::Written | CallState::AwaitingProof | CallState::Ended
+                    );
+                    prop_assert_eq!(received.is_ok(), known);
                     if !known {
-                        return broken(&mut link, &mut model, writing, true);
+                        return end_connection(&mut link, &mut model, writing, true);
                     }
-                    prop_assert_eq!(ended.len(), usize::from(wanted.is_some()));
-                    if let (Some(EndEvent::Call(_, end)), Some(wanted)) = (ended.first(), wanted) {
-                        prop_assert_eq!(end.outcome, wanted);
+                    prop_assert_eq!(ended.len(), usize::from(expected.is_some()));
+                    if let (Some(EndEvent::Call(_, end)), Some(expected)) = (ended.first(), expected) {
+                        prop_assert_eq!(end.outcome, expected);
                     }
                 }
             }
-            Step::GiveUp(which) => {
-                if let Some(no) = pick(&model, *which).filter(|no| !over(model[no])) {
+            Step::GiveUp(index) => {
+                if let Some(no) = pick(&model, *index).filter(|no| !has_ended(model[no])) {
                     prop_assert!(link.give_up(CallNo(no), now));
                     // A call that is being written is cancelled after its last byte.
-                    let queued = model[&no] == Stands::Queued;
-                    model.insert(no, if queued { Stands::Unsent } else { Stands::Past });
-                    back.remove(&no);
+                    let queued = model[&no] == CallState::Queued;
+                    model.insert(no, if queued { CallState::NeverWritten } else { CallState::Ended });
+                    cancel_after_write.remove(&no);
                 }
             }
-            Step::CallBack(which) => {
-                if let Some(no) = pick(&model, *which).filter(|no| !over(model[no])) {
+            Step::GiveUpWithProof(index) => {
+                if let Some(no) = pick(&model, *index).filter(|no| !has_ended(model[no])) {
                     ended.extend(link.give_up_with_proof(CallNo(no), now));
-                    prop_assert_eq!(ended.len(), usize::from(model[&no] == Stands::Queued));
+                    prop_assert_eq!(ended.len(), usize::from(model[&no] == CallState::Queued));
                     match model[&no] {
-                        Stands::Writing => drop(back.insert(no)),
-                        Stands::Written => drop(model.insert(no, Stands::Told)),
+                        CallState::Writing => drop(cancel_after_write.insert(no)),
+                        CallState::Written => drop(model.insert(no, CallState::AwaitingProof)),
                         _ => {}
                     }
                 }
             }
-            Step::Probed if !(writing && in_proof) => {
+            Step::ProbeAnswered if !(writing && in_proof) => {
                 let proved = proofs.pop_front().unwrap_or_default();
-                let wanted: Vec<u64> = proved.into_iter().filter(|no| model[no] == Stands::Told).collect();
+                let expected: Vec<u64> =
+                    proved.into_iter().filter(|no| model[no] == CallState::AwaitingProof).collect();
                 ended = link.receive(&frame("3S"), now).0;
-                let proved: Vec<_> = wanted
+                let proved: Vec<_> = expected
                     .iter()
                     .map(|no| EndEvent::Call(CallNo(*no), CallEnd::bare(Outcome::Cancelled)))
                     .collect();
@@ -217,58 +222,59 @@
                     prop_assert_eq!(end.outcome, Outcome::NotSent);
                     prop_assert_eq!(
                         model[&no.0],
-                        Stands::Queued,
+                        CallState::Queued,
                         "only calls that have not begun are taken back"
                     );
                 }
-                prop_assert!(!model.values().any(|stands| *stands == Stands::Queued) || !ended.is_empty());
+                prop_assert!(!model.values().any(|state| *state == CallState::Queued) || !ended.is_empty());
             }
-            Step::Break => return broken(&mut link, &mut model, writing, at % 2 == 0),
-            Step::Frame | Step::Written | Step::Probed => {}
+            Step::Break => return end_connection(&mut link, &mut model, writing, at % 2 == 0),
+            Step::Frame | Step::Written | Step::ProbeAnswered => {}
         }
         for end in ended {
             if let EndEvent::Call(no, end) = end {
-                let stands = if end.outcome == Outcome::NotSent { Stands::Unsent } else { Stands::Past };
-                prop_assert!(!model.insert(no.0, stands).is_some_and(over), "each call ends once");
+                let state =
+                    if end.outcome == Outcome::NotSent { CallState::NeverWritten } else { CallState::Ended };
+                prop_assert!(!model.insert(no.0, state).is_some_and(has_ended), "each call ends once");
             }
         }
     }
     Ok(())
 }
 
-fn over(stands: Stands) -> bool {
-    matches!(stands, Stands::Past | Stands::Unsent)
+fn has_ended(state: CallState) -> bool {
+    matches!(state, CallState::Ended | CallState::NeverWritten)
 }
 
 /// Ends the connection: queued calls are taken back, and the outcome of each other call depends on whether its last
 /// byte was written.
-fn broken(
+fn end_connection(
     link: &mut ConnectionState,
-    model: &mut BTreeMap<u64, Stands>,
+    model: &mut BTreeMap<u64, CallState>,
     writing: bool,
-    spoilt: bool,
+    malformed: bool,
 ) -> Result<(), TestCaseError> {
     let queued: Vec<u64> = link.take_queued().iter().map(|call| call.no.0).collect();
     for no in &queued {
-        prop_assert_eq!(model.insert(*no, Stands::Unsent), Some(Stands::Queued));
+        prop_assert_eq!(model.insert(*no, CallState::NeverWritten), Some(CallState::Queued));
     }
-    for end in link.end_all(spoilt) {
+    for end in link.end_all(malformed) {
         let EndEvent::Call(no, end) = end else { continue };
-        match model.insert(no.0, Stands::Past) {
-            Some(Stands::Written) if spoilt => prop_assert_eq!(end.outcome, Outcome::Errored),
-            Some(Stands::Written) => prop_assert_eq!(end.outcome, Outcome::Reset),
-            Some(Stands::Told) => prop_assert_eq!(end.outcome, Outcome::Cancelled),
-            Some(Stands::Writing) => prop_assert_eq!(end.outcome, Outcome::ConnectFailed),
+        match model.insert(no.0, CallState::Ended) {
+            Some(CallState::Written) if malformed => prop_assert_eq!(end.outcome, Outcome::Errored),
+            Some(CallState::Written) => prop_assert_eq!(end.outcome, Outcome::Reset),
+            Some(CallState::AwaitingProof) => prop_assert_eq!(end.outcome, Outcome::Cancelled),
+            Some(CallState::Writing) => prop_assert_eq!(end.outcome, Outcome::ConnectFailed),
             // A call abandoned while being written may end again here; the core ignores that.
-            other => prop_assert!(writing && other == Some(Stands::Past), "{:?}", other),
+            other => prop_assert!(writing && other == Some(CallState::Ended), "{:?}", other),
         }
     }
-    prop_assert!(model.values().all(|stands| over(*stands)), "every call has ended");
+    prop_assert!(model.values().all(|state| has_ended(*state)), "every call has ended");
     Ok(())
 }
 
 #[test]
-fn frames_split_anywhere_are_read_alike() {
+fn frames_split_at_any_byte_parse_the_same() {
     let now = Instant::now();
     let bytes = [answer("q0.0", 'S'), answer("q1.0", 'E')].concat();
     for cut in 0..bytes.len() {
@@ -279,9 +285,9 @@
             link.mark_written(now);
         }
         let (mut ended, _) = link.receive(&bytes[..cut], now);
-        let (rest, came) = link.receive(&bytes[cut..], now);
+        let (rest, received) = link.receive(&bytes[cut..], now);
         ended.extend(rest);
-        assert!(came.is_ok() && link.partial_frame_since().is_none());
+        assert!(received.is_ok() && link.partial_frame_since().is_none());
         assert_eq!(ended.len(), 2, "cut at {cut}");
         let EndEvent::Call(_, end) = &ended[0] else { panic!("a call") };
         assert_eq!(end.value.as_deref(), Some(&b"value"[..]));
@@ -290,7 +296,7 @@
 }
 
 #[test]
-fn a_connection_that_is_silent_long_after_a_call_takes_no_more() {
+fn a_connection_that_stays_silent_long_after_a_call_is_presumed_dead() {
     let start = Instant::now();
     let mut link = ConnectionState::new(1, start, USUAL);
     link.push(call(0));
@@ -317,7 +323,7 @@
 }
 
 /// Returns a connection with this number of calls in flight.
-fn out(calls: u64, now: Instant) -> ConnectionState {
+fn connection_with_calls(calls: u64, now: Instant) -> ConnectionState {
     let mut link = ConnectionState::new(1, now, USUAL);
     for no in 0..calls {
         link.push(call(no));
@@ -328,15 +334,15 @@
 }
 
 #[test]
-fn good_answers_before_a_spoilt_one_hold_and_all_that_is_out_has_failed() {
+fn answers_before_a_malformed_one_count_and_all_calls_in_flight_fail() {
     let now = Instant::now();
-    for spoilt in
+    for malformed in
         [&b"\0\xb2\xd0\x5e5q1.0 S"[..], b"\x03\0\0\0qno", &answer("q7.0", 'S'), &answer("q1.0", '?')]
     {
-        let mut link = out(3, now);
-        let (ended, came) = link.receive(&[&answer("q0.0", 'S'), spoilt].concat(), now);
-        assert_eq!(ended.len(), 1, "{spoilt:?}");
-        assert!(came.is_err(), "{spoilt:?}");
+        let mut link = connection_with_calls(3, now);
+        let (ended, received) = link.receive(&[&answer("q0.0", 'S'), malformed].concat(), now);
+        assert_eq!(ended.len(), 1, "{malformed:?}");
+        assert!(received.is_err(), "{malformed:?}");
         let ends = link.end_all(true);
         let errored =
             |end: &EndEvent| matches!(end, EndEvent::Call(_, end) if end.outcome == Outcome::Errored);
@@ -345,45 +351,47 @@
 }
 
 #[test]
-fn a_second_copy_changes_nothing_and_noise_after_an_answer_ends_the_connection_alone() {
+fn a_duplicate_answer_changes_nothing_and_stray_bytes_end_only_the_connection() {
     let now = Instant::now();
-    let mut link = out(2, now);
+    let mut link = connection_with_calls(2, now);
     assert_eq!(link.receive(&[answer("q0.0", 'S'), answer("q0.0", 'S')].concat(), now).0.len(), 1);
-    let (ended, came) = link.receive(&answer("q1.0", 'E'), now);
-    assert!(ended.len() == 1 && came.is_ok());
+    let (ended, received) = link.receive(&answer("q1.0", 'E'), now);
+    assert!(ended.len() == 1 && received.is_ok());
     // Too short for a frame: if kept, it would be read as the beginning of the next answer.
     assert!(link.receive(b"x", now).1.is_err());
     assert!(link.end_all(true).is_empty());
 }
 
 #[test]
-fn a_report_that_cannot_be_read_does_not_spoil_its_answer() {
+fn an_unreadable_load_report_does_not_invalidate_its_answer() {
     let now = Instant::now();
-    for (report, told) in [("what is this", None), ("", None), ("utilization=0.5,throughput=3", Some(0.5))] {
+    for (report, expected) in
+        [("what is this", None), ("", None), ("utilization=0.5,throughput=3", Some(0.5))]
+    {
         let bytes = frame(&format!("5q0.0 S 9 {report}\nvalue"));
-        let (ended, came) = out(1, now).receive(&bytes, now);
+        let (ended, received) = connection_with_calls(1, now).receive(&bytes, now);
         let [EndEvent::Call(_, end)] = &ended[..] else { panic!("{report}: {ended:?}") };
-        assert!(came.is_ok() && end.value.is_some(), "{report}");
-        assert_eq!(end.load.and_then(|load| load.utilization), told, "{report}");
+        assert!(received.is_ok() && end.value.is_some(), "{report}");
+        assert_eq!(end.load.and_then(|load| load.utilization), expected, "{report}");
     }
 }
 
 #[test]
-fn a_frame_that_has_begun_is_known_by_its_time_and_a_huge_one_is_not_kept() {
+fn the_start_time_of_a_partial_frame_is_known_and_an_oversized_frame_is_rejected() {
     let now = Instant::now();
-    let mut link = out(1, now);
+    let mut link = connection_with_calls(1, now);
     assert!(link.receive(b"\x00\x10\x00\x005q0.0", now).1.is_ok());
     assert_eq!(link.partial_frame_since(), Some(now));
     assert!(link.receive(b" S", now + Duration::from_millis(9)).1.is_ok());
     assert_eq!(link.partial_frame_since(), Some(now), "further bytes do not restart its time");
-    assert!(out(1, now).receive(&(1_000_000u32).to_le_bytes(), now).1.is_err());
+    assert!(connection_with_calls(1, now).receive(&(1_000_000u32).to_le_bytes(), now).1.is_err());
 }
 
 #[test]
-fn a_connection_with_nothing_heard_for_three_usual_answers_is_silent_until_it_speaks() {
+fn a_connection_is_unresponsive_after_three_usual_response_times_until_an_answer_arrives() {
     let now = Instant::now();
     let after = |millis| now + Duration::from_millis(millis);
-    let mut link = out(2, now);
+    let mut link = connection_with_calls(2, now);
     assert!(!link.is_unresponsive(after(299)) && link.is_unresponsive(after(300)));
     assert!(!link.is_presumed_dead(), "the run store may only be slow");
     // An answer arrives: the other call is still in flight, and the silence timer restarts.
@@ -395,9 +403,9 @@
 }
 
 #[test]
-fn the_late_answer_to_a_part_that_was_given_up_may_come_in_pieces() {
+fn a_late_answer_to_an_abandoned_call_may_arrive_in_pieces() {
     let now = Instant::now();
-    let mut link = out(1, now);
+    let mut link = connection_with_calls(1, now);
     assert!(link.give_up(CallNo(0), now));
     // The cancellation is written, and nothing is in flight.
     link.next_frame(|_| 5).unwrap();
@@ -407,34 +415,34 @@
         assert!(link.receive(&[*byte], now).1.is_ok(), "part of an answer to an abandoned call");
         assert!(link.is_unresponsive(now), "no call is sent while a frame is incomplete");
     }
-    let (ended, came) = link.receive(&late[late.len() - 1..], now);
-    assert!(ended.is_empty() && came.is_ok() && !link.is_unresponsive(now));
+    let (ended, received) = link.receive(&late[late.len() - 1..], now);
+    assert!(ended.is_empty() && received.is_ok() && !link.is_unresponsive(now));
     // The answer is complete: a further byte is a protocol error.
     assert!(link.receive(b"x", now).1.is_err());
 }
 
 /// Writes all pending frames and returns their texts.
-fn frames(link: &mut ConnectionState, now: Instant) -> Vec<String> {
+fn write_frames(link: &mut ConnectionState, now: Instant) -> Vec<String> {
     let mut all = Vec::new();
     while let Some(frame) = link.next_frame(|_| 5) {
-        all.push(said(&frame));
+        all.push(frame_text(&frame));
         link.mark_written(now);
     }
     all
 }
 
-fn over_by_proof(no: u64) -> EndEvent {
+fn cancelled_end(no: u64) -> EndEvent {
     EndEvent::Call(CallNo(no), CallEnd::bare(Outcome::Cancelled))
 }
 
 #[test]
-fn one_probe_behind_all_that_is_given_up_proves_it_to_be_over() {
+fn one_probe_after_the_cancellations_proves_all_abandoned_calls_ended() {
     let now = Instant::now();
-    let mut link = out(4, now);
+    let mut link = connection_with_calls(4, now);
     for no in 0..3 {
         assert_eq!(link.give_up_with_proof(CallNo(no), now), None, "it does not end before the proof");
     }
-    assert_eq!(frames(&mut link, now), ["2q0.0", "2q1.0", "2q2.0", "3"]);
+    assert_eq!(write_frames(&mut link, now), ["2q0.0", "2q1.0", "2q2.0", "3"]);
     assert!(link.pending_calls() == 4 && !link.is_idle(), "the run store may not have read the cancellation");
     // One call is answered meanwhile, and the core no longer awaits proof for another.
     let (ended, _) = link.receive(&answer("q0.0", 'S'), now);
@@ -442,16 +450,16 @@
     assert!(link.give_up(CallNo(1), now));
     // A call abandoned after the probe needs another probe.
     assert_eq!(link.give_up_with_proof(CallNo(3), now), None);
-    assert_eq!(link.receive(&frame("3E"), now).0, [over_by_proof(2)]);
-    assert_eq!(frames(&mut link, now), ["2q3.0", "3"]);
-    assert_eq!(link.receive(&frame("3S"), now).0, [over_by_proof(3)]);
+    assert_eq!(link.receive(&frame("3E"), now).0, [cancelled_end(2)]);
+    assert_eq!(write_frames(&mut link, now), ["2q3.0", "3"]);
+    assert_eq!(link.receive(&frame("3S"), now).0, [cancelled_end(3)]);
     assert!(link.is_idle());
     // An answer that crossed the cancellation is ignored.
     assert!(link.receive(&answer("q2.0", 'S'), now).1.is_ok());
 }
 
 #[test]
-fn what_is_given_up_before_its_last_byte_is_told_of_behind_it_or_never_ran() {
+fn a_call_abandoned_before_its_last_byte_is_cancelled_after_it_or_never_ran() {
     let now = Instant::now();
     for whole in [true, false] {
         let mut link = ConnectionState::new(1, now, USUAL);
@@ -463,10 +471,10 @@
         assert_eq!(link.give_up_with_proof(CallNo(0), now), None);
         if whole {
             link.mark_written(now);
-            assert_eq!(frames(&mut link, now), ["2q0.0", "3"]);
+            assert_eq!(write_frames(&mut link, now), ["2q0.0", "3"]);
             assert_eq!(
                 link.end_all(false),
-                [over_by_proof(0)],
+                [cancelled_end(0)],
                 "the end of the connection proves it as well"
             );
         } else {
@@ -477,10 +485,10 @@
 }
 
 #[test]
-fn without_probes_only_the_end_of_a_connection_proves_it_and_that_comes_once_nothing_else_is_out() {
+fn without_probes_the_write_side_is_shut_down_for_proof_once_no_other_call_is_in_flight() {
     let now = Instant::now();
     for retired in [false, true] {
-        let mut link = out(2, now);
+        let mut link = connection_with_calls(2, now);
         if !retired {
             link.allow_proof_probes(false);
         }
@@ -488,29 +496,29 @@
         if retired {
             assert!(link.retire().is_empty());
         }
-        assert_eq!(frames(&mut link, now), ["2q0.0"]);
+        assert_eq!(write_frames(&mut link, now), ["2q0.0"]);
         assert_eq!(link.write_shutdown_at(), None, "the other call is in flight");
         assert_eq!(link.receive(&answer("q1.0", 'S'), now).0.len(), 1);
         assert_eq!(link.write_shutdown_at(), Some(now));
         assert_eq!(link.stop_writing(), [], "closed for writing here; the run store has not closed yet");
-        assert_eq!(link.end_all(false), [over_by_proof(0)]);
+        assert_eq!(link.end_all(false), [cancelled_end(0)]);
     }
 }
 
 #[test]
-fn this_side_is_shut_once_a_probe_is_not_answered_as_soon_as_usual() {
+fn the_write_side_is_shut_down_if_a_probe_is_not_answered_within_the_usual_time() {
     let now = Instant::now();
     let after = |millis| now + Duration::from_millis(millis);
-    let mut link = out(2, now);
+    let mut link = connection_with_calls(2, now);
     assert_eq!(link.give_up_with_proof(CallNo(0), now), None);
     assert_eq!(link.write_shutdown_at(), None, "the cancellation is written first");
-    assert_eq!(frames(&mut link, after(10)), ["2q0.0", "3"]);
+    assert_eq!(write_frames(&mut link, after(10)), ["2q0.0", "3"]);
     assert_eq!(link.write_shutdown_at(), None, "the other call is in flight");
     assert_eq!(link.give_up_with_proof(CallNo(1), after(10)), None);
-    assert_eq!(frames(&mut link, after(20)), ["2q1.0", "3"]);
+    assert_eq!(write_frames(&mut link, after(20)), ["2q1.0", "3"]);
     assert_eq!(link.write_shutdown_at(), Some(after(10) + USUAL));
-    assert_eq!(link.receive(&frame("3S"), after(30)).0, [over_by_proof(0)]);
+    assert_eq!(link.receive(&frame("3S"), after(30)).0, [cancelled_end(0)]);
     assert_eq!(link.write_shutdown_at(), Some(after(30) + USUAL), "a probe response counts as activity");
-    assert_eq!(link.receive(&frame("3S"), after(40)).0, [over_by_proof(1)]);
+    assert_eq!(link.receive(&frame("3S"), after(40)).0, [cancelled_end(1)]);
     assert_eq!(link.write_shutdown_at(), None);
 }
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -41,8 +41,8 @@
 struct Reference(BTreeMap<String, (ReplicaState, Located)>);
 
 impl Reference {
-    fn take(&mut self, news: &DirectoryUpdate) -> Vec<Command> {
-        let (lines, whole) = match news {
+    fn take(&mut self, update: &DirectoryUpdate) -> Vec<Command> {
+        let (lines, whole) = match update {
             DirectoryUpdate::Cached(lines) | DirectoryUpdate::Full(lines) => (&lines[..], true),
             DirectoryUpdate::Changes(lines) => (&lines[..], false),
             DirectoryUpdate::Failed | DirectoryUpdate::Silent => (&[][..], false),
@@ -78,7 +78,7 @@
     }
 }
 
-fn news() -> impl Strategy<Value = DirectoryUpdate> {
+fn update() -> impl Strategy<Value = DirectoryUpdate> {
     let state = prop_oneof![
         6 => Just(ReplicaState::Active),
         2 => Just(ReplicaState::Draining),
@@ -102,11 +102,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn any_list_makes_the_orders_of_the_reference_in_their_order(told in prop::collection::vec(news(), 1..20)) {
+    fn every_update_gives_the_commands_of_the_reference_in_the_same_order(
+        updates in prop::collection::vec(update(), 1..20),
+    ) {
         let (mut core, mut reference) = (core(), Reference::default());
-        for news in told {
-            let expected = reference.take(&news);
-            core.apply_directory_update(news);
+        for update in updates {
+            let expected = reference.take(&update);
+            core.apply_directory_update(update);
             prop_assert_eq!(commands(&mut core), expected);
             let names: Vec<_> = core.directory().iter().map(|line| line.replica.id.0.to_string()).collect();
             prop_assert_eq!(names, reference.0.keys().cloned().collect::<Vec<_>>());
@@ -128,31 +130,31 @@
 }
 
 /// How the discovery service responds to a call.
-enum Does {
+enum Response {
     /// Sends this body.
-    Tells(String),
+    Body(String),
     /// Sends only the head of a response with this content length.
-    Begins(usize),
+    HeadOnly(usize),
 }
 
 /// Starts a discovery service that answers the calls of one connection in order until the caller closes it. Its thread
 /// returns the number of answered calls.
-fn discovery(does: Vec<Does>) -> (SocketAddr, thread::JoinHandle<usize>) {
+fn discovery(responses: Vec<Response>) -> (SocketAddr, thread::JoinHandle<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let served = thread::spawn(move || {
         let mut stream = listener.accept().unwrap().0;
         let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
-        let mut does = does.into_iter();
+        let mut responses = responses.into_iter();
         let mut answered = 0;
         // An empty line ends a call. A caller that has left closes or resets the connection.
         while let Some(Ok(line)) = lines.next() {
             if !line.is_empty() {
                 continue;
             }
-            let (length, body) = match does.next() {
-                Some(Does::Tells(body)) => (body.len(), body),
-                Some(Does::Begins(length)) => (length, String::new()),
+            let (length, body) = match responses.next() {
+                Some(Response::Body(body)) => (body.len(), body),
+                Some(Response::HeadOnly(length)) => (length, String::new()),
                 None => break,
             };
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
@@ -167,9 +169,9 @@
 
 /// Watches a service that responds like this until the watch has closed its connection, and returns the number of known
 /// run stores.
-fn known_after(does: Vec<Does>) -> usize {
-    let calls = does.len();
-    let (address, served) = discovery(does);
+fn known_run_stores_after(responses: Vec<Response>) -> usize {
+    let calls = responses.len();
+    let (address, served) = discovery(responses);
     let executor = Rc::new(async_executor::LocalExecutor::new());
     let driver = Driver::new(core(), executor.clone());
     Rc::clone(&Watch::new(driver.clone(), address, None)).watch();
@@ -189,12 +191,16 @@
 }
 
 #[test]
-fn a_list_of_57_000_lines_is_taken_and_one_beyond_the_bounds_leaves_it_as_it_was() {
-    let whole = || Does::Tells(body(57_000));
-    let too_many = Does::Tells(body(MAX_LINES + 1));
-    assert_eq!(known_after(vec![whole(), too_many]), 57_000, "too many lines");
-    assert_eq!(known_after(vec![whole(), Does::Begins(MAX_LIST_BYTES + 1)]), 57_000, "too many bytes");
+fn a_list_of_57_000_lines_is_accepted_and_one_beyond_the_limits_changes_nothing() {
+    let whole = || Response::Body(body(57_000));
+    let too_many = Response::Body(body(MAX_LINES + 1));
+    assert_eq!(known_run_stores_after(vec![whole(), too_many]), 57_000, "too many lines");
+    assert_eq!(
+        known_run_stores_after(vec![whole(), Response::HeadOnly(MAX_LIST_BYTES + 1)]),
+        57_000,
+        "too many bytes"
+    );
     // A list within the limits replaces the old one.
-    let fewer = Does::Tells(body(600));
-    assert_eq!(known_after(vec![whole(), fewer, Does::Begins(MAX_LIST_BYTES + 1)]), 600);
+    let fewer = Response::Body(body(600));
+    assert_eq!(known_run_stores_after(vec![whole(), fewer, Response::HeadOnly(MAX_LIST_BYTES + 1)]), 600);
 }
--- a/tests/manual_drain.rs
+++ b/tests/manual_drain.rs
@@ -11,14 +11,16 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
 
-const WARM: f64 = 10_000.0;
+const WARM_WITHIN_MS: f64 = 10_000.0;
 
 fn core() -> Core {
     let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "max_open": 500, "may_cancel": true, "probes": true, "connect_timeout_ms": 50.0},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [1.0], "complete_from": [1.0]},
         "request_classes": [{"name": "search", "aim_ms": 300.0, "deadline_ms": 900.0, "repeat": "read_like"}],
-        "rules": {"cold_from": 0.3, "fall_multiple": 2.0, "overload_for_ms": 1000.0, "warm_within_ms": WARM},
+        "rules": {
+            "cold_from": 0.3, "fall_multiple": 2.0, "overload_for_ms": 1000.0, "warm_within_ms": WARM_WITHIN_MS,
+        },
         "tick_ms": 5.0,
     }))
     .unwrap();
@@ -36,19 +38,19 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Out,
-    Back,
+    Drain,
+    Undrain,
     /// A full list with the run store `a` in this state, started this long ago if that is known.
     Full(ReplicaState, Option<f64>),
     /// The same as a change of one entry.
     Change(ReplicaState, Option<f64>),
     /// A full list without `a`.
     Unlisted,
-    Broken,
-    Retune,
-    Ask,
+    ListFailed,
+    ApplySettings,
+    Query,
     End(Outcome),
-    Pass(f64),
+    Wait(f64),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -57,50 +59,50 @@
         1 => Just(ReplicaState::Draining),
         1 => Just(ReplicaState::Gone)
     ];
-    let told = (state, prop::option::of(0.0..3000.0));
+    let entry = (state, prop::option::of(0.0..3000.0));
     let step = prop_oneof![
-        2 => Just(Step::Out),
-        2 => Just(Step::Back),
-        2 => told.clone().prop_map(|(state, since)| Step::Full(state, since)),
-        2 => told.prop_map(|(state, since)| Step::Change(state, since)),
+        2 => Just(Step::Drain),
+        2 => Just(Step::Undrain),
+        2 => entry.clone().prop_map(|(state, since)| Step::Full(state, since)),
+        2 => entry.prop_map(|(state, since)| Step::Change(state, since)),
         1 => Just(Step::Unlisted),
-        1 => Just(Step::Broken),
-        1 => Just(Step::Retune),
-        8 => Just(Step::Ask),
+        1 => Just(Step::ListFailed),
+        1 => Just(Step::ApplySettings),
+        8 => Just(Step::Query),
         4 => prop_oneof![Just(Outcome::Completed), Just(Outcome::ConnectFailed)].prop_map(Step::End),
-        3 => (1.0..1500.0).prop_map(Step::Pass),
+        3 => (1.0..1500.0).prop_map(Step::Wait),
     ];
     prop::collection::vec(step, 1..80)
 }
 
-fn walk(steps: &[Step]) -> Result<(), TestCaseError> {
-    let (mut core, mut now, mut out) = (core(), 1e6, false);
+fn run_steps(steps: &[Step]) -> Result<(), TestCaseError> {
+    let (mut core, mut now, mut drained) = (core(), 1e6, false);
     let mut queue = Vec::new();
     core.step(now);
     commands(&mut core);
     for (at, step) in steps.iter().enumerate() {
-        let told = |state, since: Option<f64>| line("a", state, since.map_or(0.0, |since| now - since));
+        let entry = |state, since: Option<f64>| line("a", state, since.map_or(0.0, |since| now - since));
         match step {
-            Step::Out | Step::Back => {
-                out = matches!(step, Step::Out);
-                prop_assert!(core.set_manual_drain(now, &"a".into(), out), "`a` has been listed");
-                prop_assert!(!core.set_manual_drain(now, &"c".into(), out), "`c` has never been listed");
+            Step::Drain | Step::Undrain => {
+                drained = matches!(step, Step::Drain);
+                prop_assert!(core.set_manual_drain(now, &"a".into(), drained), "`a` has been listed");
+                prop_assert!(!core.set_manual_drain(now, &"c".into(), drained), "`c` has never been listed");
             }
             Step::Full(state, since) => {
                 core.apply_directory_update(DirectoryUpdate::Full(vec![
-                    told(*state, *since),
+                    entry(*state, *since),
                     line("b", ReplicaState::Active, 0.0),
                 ]));
             }
             Step::Change(state, since) => {
-                core.apply_directory_update(DirectoryUpdate::Changes(vec![told(*state, *since)]))
+                core.apply_directory_update(DirectoryUpdate::Changes(vec![entry(*state, *since)]))
             }
             Step::Unlisted => {
                 core.apply_directory_update(DirectoryUpdate::Full(vec![line("b", ReplicaState::Active, 0.0)]))
             }
-            Step::Broken => core.apply_directory_update(DirectoryUpdate::Failed),
-            Step::Retune => core.apply_settings(&site()).unwrap(),
-            Step::Ask => {
+            Step::ListFailed => core.apply_directory_update(DirectoryUpdate::Failed),
+            Step::ApplySettings => core.apply_settings(&site()).unwrap(),
+            Step::Query => {
                 core.take_in(now, ask(at)).unwrap();
             }
             Step::End(outcome) if !queue.is_empty() => {
@@ -108,7 +110,7 @@
                 let value = (*outcome == Outcome::Completed).then(|| b"v"[..].into());
                 core.call_ended(now, call.no, CallEnd { outcome: *outcome, value, load: None });
             }
-            Step::Pass(time) => now += time,
+            Step::Wait(time) => now += time,
             Step::End(_) => {}
         }
         now += 5.0;
@@ -117,7 +119,7 @@
             match command {
                 Command::Send(call) => {
                     prop_assert!(
-                        !out || call.run_store == "b".into(),
+                        !drained || call.run_store == "b".into(),
                         "an attempt at step {} while it is drained",
                         at
                     );
@@ -125,7 +127,7 @@
                 }
                 Command::Probe { run_store, no } => {
                     prop_assert!(
-                        !out || run_store == "b".into(),
+                        !drained || run_store == "b".into(),
                         "a probe at step {} while it is drained",
                         at
                     );
@@ -133,7 +135,7 @@
                 }
                 Command::Locate { run_store, .. } => {
                     prop_assert!(
-                        !out || run_store == "b".into(),
+                        !drained || run_store == "b".into(),
                         "located at step {} while it is drained",
                         at
                     );
@@ -150,21 +152,23 @@
         "caps": {"max_attempts": 2, "max_open": 500, "may_cancel": true, "probes": true},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [1.0], "complete_from": [1.0]},
         "request_classes": [{"name": "search", "aim_ms": 400.0, "deadline_ms": 900.0, "repeat": "read_like"}],
-        "rules": {"cold_from": 0.3, "fall_multiple": 2.0, "overload_for_ms": 1000.0, "warm_within_ms": WARM},
+        "rules": {
+            "cold_from": 0.3, "fall_multiple": 2.0, "overload_for_ms": 1000.0, "warm_within_ms": WARM_WITHIN_MS,
+        },
     }))
     .unwrap()
 }
 
 #[test]
-fn nothing_goes_to_a_run_store_that_is_out_whatever_is_told_of_it() {
+fn a_drained_run_store_gets_nothing_whatever_the_directory_reports() {
     // A fixed seed keeps the result reproducible.
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
-    TestRunner::new_with_rng(config, rng).run(&steps(), |steps| walk(&steps)).unwrap();
+    TestRunner::new_with_rng(config, rng).run(&steps(), |steps| run_steps(&steps)).unwrap();
 }
 
 #[test]
-fn one_that_is_back_is_used_at_once_as_cold_with_nothing_held_against_it() {
+fn a_run_store_put_back_is_used_at_once_as_cold_and_is_no_longer_parked() {
     let mut core = core();
     let mut now = 1e6;
     core.step(now);
@@ -186,7 +190,7 @@
     assert!(core.set_manual_drain(now, &"a".into(), false));
     core.step(now);
     assert_eq!(core.gauges().pool_ejected, 0);
-    let back = now;
+    let undrained_at = now;
     let mut sent = (0, 0);
     let mut located = 0;
     for number in 100..200 {
@@ -212,7 +216,7 @@
             core.apply_directory_update(DirectoryUpdate::Changes(vec![line(
                 "a",
                 ReplicaState::Active,
-                back - 200.0,
+                undrained_at - 200.0,
             )]));
         }
     }
@@ -222,6 +226,10 @@
     );
     assert_eq!(located, 1, "a late report of the same restart does not count as another process");
     // A later start time does.
-    core.apply_directory_update(DirectoryUpdate::Changes(vec![line("a", ReplicaState::Active, back + 10.0)]));
+    core.apply_directory_update(DirectoryUpdate::Changes(vec![line(
+        "a",
+        ReplicaState::Active,
+        undrained_at + 10.0,
+    )]));
     assert!(commands(&mut core).iter().any(|command| matches!(command, Command::Locate { .. })));
 }
--- a/tests/net.rs
+++ b/tests/net.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn calls_that_were_interrupted_or_lacked_memory_are_made_again() {
+fn calls_that_were_interrupted_or_lacked_memory_are_retried() {
     for errno in [Errno::INTR, Errno::NOBUFS, Errno::NOMEM] {
         let mut stream = Stream::from(Scripted::new(&[Err(errno), Err(errno), Ok(2)]));
         assert_eq!(future::block_on(stream.read(&mut [0; 4])).unwrap(), 2, "{errno}");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_connection_that_is_at_fault_ends() {
+fn an_error_of_the_connection_is_not_retried() {
     for errno in [Errno::CONNRESET, Errno::PIPE, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
         let mut stream = Stream::from(Scripted::new(&[Err(errno), Ok(2)]));
         assert!(future::block_on(stream.read(&mut [0; 4])).is_err(), "{errno}");
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn errors_of_accept_and_connect_say_whose_fault_they_are() {
-    for (errnos, fault) in [
+fn errors_of_accept_and_connect_are_classified_by_origin() {
+    for (errnos, kind) in [
         (&[Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM][..], SocketErrorKind::ResourceLimit),
         (
             &[Errno::ADDRNOTAVAIL, Errno::NETUNREACH, Errno::NETDOWN, Errno::PERM, Errno::INTR],
@@ -82,7 +82,7 @@
         ),
     ] {
         for errno in errnos {
-            assert_eq!(SocketErrorKind::of(&(*errno).into()), fault, "{errno}");
+            assert_eq!(SocketErrorKind::of(&(*errno).into()), kind, "{errno}");
         }
     }
 }
--- a/tests/ordinary.rs
+++ b/tests/ordinary.rs
@@ -5,7 +5,7 @@
 use ironpaddle::api::*;
 
 /// Returns a router at 230 ms with one sample of each replica: `a` took 50 ms for one cost unit, `b` 200 ms.
-fn heard() -> ironpaddle::Router {
+fn router_with_samples() -> ironpaddle::Router {
     let mut router = start(Settings { max_parts_per_call: 1, ..settings(RepeatPolicy::Safe) }, &["a", "b"]);
     // Without samples, both count as taking a tenth of the aim (100 ms) per unit, so each replica gets one part.
     let sent = sends(&router.step(10.0, query(1, 2, 3000.0)));
@@ -23,35 +23,35 @@
     router
 }
 
-fn to_a(sent: &[(String, String)]) -> usize {
+fn count_to_a(sent: &[(String, String)]) -> usize {
     sent.iter().filter(|(_, to)| to == "a").count()
 }
 
 #[test]
-fn parts_go_to_the_least_finish_counting_what_was_sent_in_the_interval() {
+fn parts_go_to_the_earliest_finish_including_parts_sent_in_the_interval() {
     // At the start of an interval, a finishes in 50, 100 and 150 ms where b would take 200. Then both tie at 200 ms:
     // one takes the fourth part and the other the fifth.
-    let sent = sends(&heard().step(250.0, query(2, 5, 3250.0)));
-    assert_eq!((sent.len(), to_a(&sent[..3]), to_a(&sent)), (5, 3, 4));
+    let sent = sends(&router_with_samples().step(250.0, query(2, 5, 3250.0)));
+    assert_eq!((sent.len(), count_to_a(&sent[..3]), count_to_a(&sent)), (5, 3, 4));
 }
 
 #[test]
-fn a_replica_past_dr_times_the_time_left_is_skipped_while_another_has_room() {
+fn a_replica_without_capacity_for_the_rest_of_the_interval_is_skipped_while_another_has_some() {
     // 60 ms are left: a has capacity for 1.2 units, b for 0.3. Beyond that, the earliest finish takes all parts.
-    let mut router = heard();
+    let mut router = router_with_samples();
     run(&mut router, 235.0, 435.0);
     let sent = sends(&router.step(440.0, query(2, 3, 3440.0)));
-    assert_eq!((sent.len(), to_a(&sent)), (3, 3));
+    assert_eq!((sent.len(), count_to_a(&sent)), (3, 3));
     // 220 ms are left: a has capacity for 4.4 units, b for 1.1. Of six parts b gets one, whichever way ties go.
-    let mut router = heard();
+    let mut router = router_with_samples();
     run(&mut router, 235.0, 275.0);
     let sent = sends(&router.step(280.0, query(2, 6, 3280.0)));
-    assert_eq!((sent.len(), to_a(&sent)), (6, 5));
+    assert_eq!((sent.len(), count_to_a(&sent)), (6, 5));
 }
 
 #[test]
 fn the_last_sample_alone_sets_the_rate() {
-    let mut router = heard();
+    let mut router = router_with_samples();
     let sent = sends(&router.step(250.0, query(2, 1, 3250.0)));
     assert_eq!(sent[0].1, "a");
     run(&mut router, 255.0, 545.0);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_partial_answer_leaves_at_its_moment_counted_from_when_the_query_came_in() {
+fn a_partial_answer_leaves_just_before_the_aim_counted_from_the_arrival_of_its_query() {
     let mut s = settings(RepeatPolicy::Safe);
     s.classes[0].least_share = 0.4;
     let mut router = start(s, &["a"]);
@@ -75,7 +75,7 @@
     run(&mut router, 105.0, 295.0);
     router.step(300.0, vec![ended("q1.0", 0, "a", Outcome::Completed, 196.0)]);
     // The answer leaves two sweeps of 10 ms before the aim of 1000 ms, counted from the arrival.
-    assert!(finals(&run(&mut router, 305.0, 1075.0)).is_empty());
-    assert!(finals(&router.step(1079.0, vec![Event::Wake])).is_empty());
-    assert_eq!(finals(&router.step(1080.0, vec![Event::Wake])), ["partial q1"]);
+    assert!(final_answers(&run(&mut router, 305.0, 1075.0)).is_empty());
+    assert!(final_answers(&router.step(1079.0, vec![Event::Wake])).is_empty());
+    assert_eq!(final_answers(&router.step(1080.0, vec![Event::Wake])), ["partial q1"]);
 }
--- a/tests/recorder.rs
+++ b/tests/recorder.rs
@@ -19,19 +19,19 @@
 use ironpaddle_trace::record::Record;
 use serde_json::json;
 
-const BEGIN: f64 = 1_764_608_400_000.0;
+const START: f64 = 1_764_608_400_000.0;
 
 /// A disk whose writes block while it is held.
 #[derive(Clone, Default)]
-struct Disk(Arc<(Mutex<State>, Condvar)>);
+struct Disk(Arc<(Mutex<DiskState>, Condvar)>);
 
 #[derive(Default)]
-struct State {
+struct DiskState {
     held: bool,
     files: Vec<Vec<u8>>,
 }
 
-struct Open(Disk, usize);
+struct OpenFile(Disk, usize);
 
 impl Disk {
     fn hold(&self, held: bool) {
@@ -40,7 +40,7 @@
     }
 }
 
-impl Write for Open {
+impl Write for OpenFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let state = self.0 .0 .0.lock().unwrap();
         let mut state = self.0 .0 .1.wait_while(state, |state| state.held).unwrap();
@@ -54,12 +54,12 @@
 }
 
 impl Storage for Disk {
-    type File = Open;
+    type File = OpenFile;
 
-    fn create(&mut self, _: &str) -> io::Result<Open> {
+    fn create(&mut self, _: &str) -> io::Result<OpenFile> {
         let mut state = self.0 .0.lock().unwrap();
         state.files.push(Vec::new());
-        Ok(Open(self.clone(), state.files.len() - 1))
+        Ok(OpenFile(self.clone(), state.files.len() - 1))
     }
 
     fn list(&mut self) -> io::Result<Vec<(String, u64, bool)>> {
@@ -85,14 +85,14 @@
 }
 
 #[test]
-fn a_slow_disk_costs_records_that_are_counted_and_never_a_wait() {
+fn a_slow_disk_drops_counted_records_and_never_blocks_a_step() {
     let (disk, mut core) = (Disk::default(), core());
     let limits = Limits { bytes: u64::MAX, age: f64::INFINITY };
     let keep = Keep { dir: "unused".into(), limits, most: u64::MAX };
     let control = Control::new(keep, Source { aggregator: "n0".into(), ..Source::default() });
-    control.begin(Recorder::over(disk.clone(), u64::MAX).unwrap(), &mut core, || BEGIN);
-    let mut now = BEGIN;
-    let mut pass = |core: &mut Core, steps: usize| {
+    control.begin(Recorder::over(disk.clone(), u64::MAX).unwrap(), &mut core, || START);
+    let mut now = START;
+    let mut run_steps = |core: &mut Core, steps: usize| {
         for _ in 0..steps {
             // A block is closed every 250 ms.
             now += 260.0;
@@ -105,14 +105,14 @@
     };
     disk.hold(true);
     // Far more blocks than the queue holds. If a step blocked on the disk, this test would hang.
-    pass(&mut core, QUEUE * 4);
+    run_steps(&mut core, QUEUE * 4);
     let lost = control.standing().lost;
     assert!(lost > 0, "{:?}", control.standing());
     disk.hold(false);
     while control.standing().kept == 0 {
         std::thread::yield_now();
     }
-    let now = pass(&mut core, 20);
+    let now = run_steps(&mut core, 20);
     control.stop(&mut core, now);
     while !control.is_done() {
         std::thread::yield_now();
@@ -122,7 +122,7 @@
     // The files report every lost record, and each segment replays from its checkpoint.
     let files = disk.0 .0.lock().unwrap().files.clone();
     assert!(files.len() > 1, "a new segment follows a loss");
-    let (mut told, mut replay) = (0, Replay::new(None));
+    let (mut reported, mut replay) = (0, Replay::new(None));
     for file in &files {
         let mut reader = Reader::open(Cursor::new(file.as_slice())).unwrap();
         assert!(reader.is_complete(), "each segment is complete");
@@ -130,13 +130,13 @@
             let block = reader.block(no).unwrap();
             for entry in &block.entries {
                 if let Record::Loss(loss) = entry.record {
-                    told += loss.records;
+                    reported += loss.records;
                 }
                 replay.take(&block, entry);
             }
         }
     }
-    assert!(told >= lost && told <= standing.lost, "{told} of {lost} and then {}", standing.lost);
+    assert!(reported >= lost && reported <= standing.lost, "{reported} of {lost} and then {}", standing.lost);
     let report = replay.report();
     assert_eq!((report.difference, report.checkpoints as usize), (None, files.len()));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,23 +10,23 @@
     let sent = sends(&router.step(10.0, query(1, 1, 3000.0)));
     assert_eq!(sent.len(), 1);
     let done = router.step(60.0, vec![ended("q1.0", 0, &sent[0].1, Outcome::Completed, 50.0)]);
-    assert_eq!(finals(&done), ["whole q1"]);
+    assert_eq!(final_answers(&done), ["whole q1"]);
     let later = run(&mut router, 65.0, 3100.0);
-    assert!(finals(&later).is_empty() && sends(&later).is_empty());
+    assert!(final_answers(&later).is_empty() && sends(&later).is_empty());
 }
 
 #[test]
 fn an_unanswered_query_ends_before_its_client_leaves() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a"]);
     router.step(10.0, query(1, 1, 2000.0));
-    assert_eq!(finals(&run(&mut router, 15.0, 2000.0)).len(), 1);
+    assert_eq!(final_answers(&run(&mut router, 15.0, 2000.0)).len(), 1);
 }
 
 #[test]
 fn a_query_without_any_replica_is_refused_in_time() {
     let mut router = start(settings(RepeatPolicy::Unsafe), &[]);
     router.step(10.0, query(1, 1, 2000.0));
-    assert_eq!(finals(&run(&mut router, 15.0, 2000.0)), ["refuse q1"]);
+    assert_eq!(final_answers(&run(&mut router, 15.0, 2000.0)), ["refuse q1"]);
 }
 
 #[test]
@@ -37,7 +37,7 @@
         let mut after = router.step(60.0, vec![ended("q1.0", 0, &sent[0].1, outcome, 50.0)]);
         after.extend(run(&mut router, 65.0, 2100.0));
         assert!(sends(&after).is_empty(), "{outcome:?}");
-        assert_eq!(finals(&after), ["fail q1"], "{outcome:?}");
+        assert_eq!(final_answers(&after), ["fail q1"], "{outcome:?}");
     }
 }
 
@@ -46,8 +46,8 @@
     let mut router = start(settings(RepeatPolicy::Unsafe), &["a", "b"]);
     assert_eq!(sends(&router.step(10.0, query(1, 1, 2500.0))).len(), 1);
     let after = run(&mut router, 15.0, 2400.0);
-    assert!(sends(&after).is_empty() && finals(&after).is_empty());
-    assert_eq!(finals(&run(&mut router, 2405.0, 2500.0)), ["fail q1"]);
+    assert!(sends(&after).is_empty() && final_answers(&after).is_empty());
+    assert_eq!(final_answers(&run(&mut router, 2405.0, 2500.0)), ["fail q1"]);
 }
 
 #[test]
@@ -74,11 +74,11 @@
     assert_eq!(sends(&router.step(10.0, query(1, 1, 2000.0))), sent);
     let late = router.step(311.0, vec![error(301.0)]);
     assert!(sends(&late).is_empty());
-    assert_eq!(finals(&late), ["fail q1"]);
+    assert_eq!(final_answers(&late), ["fail q1"]);
 }
 
 #[test]
-fn the_window_of_a_keyed_part_runs_from_its_first_send_though_a_later_one_never_ran() {
+fn the_window_of_a_keyed_part_runs_from_its_first_send_even_if_a_later_attempt_never_ran() {
     let keyed = settings(RepeatPolicy::Keyed { window: 900.0 });
     let mut router = start(Settings { max_attempts: 4, ..keyed }, &["a", "b", "c"]);
     let sent = sends(&router.step(10.0, query(1, 1, 3000.0)));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_drain_told_mid_query_gets_nothing_new() {
+fn a_replica_that_starts_draining_during_a_query_gets_no_new_parts() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a", "b"]);
     let sent = sends(&router.step(10.0, query(1, 1, 2000.0)));
     let other = if sent[0].1 == "a" { "b" } else { "a" };
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_cold_replica_gets_an_own_share_that_shrinks_with_more_routers() {
+fn a_cold_replica_gets_a_limited_share_that_shrinks_with_more_routers() {
     let cold = ColdStartRule {
         initial_share: 0.2,
         warm_within: 10_000.0,
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn shares_under_a_part_still_feed_a_cold_replica_and_add_up_to_no_more_than_it_bears() {
+fn router_shares_below_one_part_still_reach_a_cold_replica_and_add_up_to_no_more_than_its_limit() {
     let cold = ColdStartRule {
         initial_share: 0.2,
         warm_within: 100_000.0,
@@ -145,7 +145,7 @@
         let mut router = ironpaddle::Router::new(s, seed).expect("valid settings");
         let mut new = replica("new");
         new.started = Some(100.0);
-        router.step(100.0, vec![fleet(&["old"])]);
+        router.step(100.0, vec![list_event(&["old"])]);
         router.step(100.0, vec![Event::List(ListUpdate::Changes(vec![new]))]);
         for (second, sent) in (0u32..).zip(&mut sent) {
             let now = 1100.0 + 1000.0 * f64::from(second);
@@ -166,25 +166,25 @@
     // Each wake is on time; after a late one the answer would leave earlier.
     run(&mut router, 15.0, 55.0);
     let first = router.step(60.0, vec![ended("q1.0", 0, &sent[0].1, Outcome::Completed, 50.0)]);
-    assert!(finals(&first).is_empty());
+    assert!(final_answers(&first).is_empty());
     let mut all = run(&mut router, 65.0, 900.0);
-    assert!(finals(&all).is_empty());
+    assert!(final_answers(&all).is_empty());
     all.extend(run(&mut router, 905.0, 1010.0));
-    assert_eq!(finals(&all), ["partial q1"]);
+    assert_eq!(final_answers(&all), ["partial q1"]);
 }
 
 #[test]
-fn an_answer_never_rests_on_less_than_the_least_share() {
+fn an_answer_never_contains_less_than_the_least_share() {
     let mut s = settings(RepeatPolicy::Safe);
     s.classes[0].least_share = 0.6;
     let mut router = start(s, &["a", "b"]);
     let sent = sends(&router.step(10.0, query(1, 2, 3000.0)));
     router.step(60.0, vec![ended("q1.0", 0, &sent[0].1, Outcome::Completed, 50.0)]);
-    assert_eq!(finals(&run(&mut router, 65.0, 3000.0)), ["fail q1"]);
+    assert_eq!(final_answers(&run(&mut router, 65.0, 3000.0)), ["fail q1"]);
 }
 
 #[test]
-fn a_late_outcome_of_an_ended_query_and_unknown_ids_are_passed_over() {
+fn a_late_outcome_of_an_ended_query_and_unknown_ids_are_ignored() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a"]);
     router.step(10.0, query(1, 1, 3000.0));
     router.step(20.0, vec![Event::ClientGone("q1".into())]);
@@ -194,11 +194,11 @@
         Event::ClientGone("q1".into()),
     ];
     let after = router.step(60.0, events);
-    assert!(finals(&after).is_empty() && sends(&after).is_empty());
+    assert!(final_answers(&after).is_empty() && sends(&after).is_empty());
 }
 
 #[test]
-fn a_stated_budget_caps_further_attempts_in_its_window() {
+fn a_configured_budget_limits_further_attempts_in_its_window() {
     let budget = AttemptBudget { base_attempts: 1.0, ratio: 0.0, window: 10_000.0 };
     let mut router =
         start(Settings { budget: Some(budget), ..settings(RepeatPolicy::Safe) }, &["a", "b", "c"]);
@@ -209,12 +209,12 @@
 }
 
 #[test]
-fn attempts_end_at_the_stated_most() {
+fn attempts_stop_at_the_configured_maximum() {
     let mut router = start(Settings { max_attempts: 2, ..settings(RepeatPolicy::Safe) }, &["a", "b", "c"]);
     let sent = sends(&router.step(10.0, query(1, 1, 3000.0)));
     let again = sends(&router.step(20.0, vec![ended("q1.0", 0, &sent[0].1, Outcome::ConnectFailed, 5.0)]));
     assert_eq!(again.len(), 1);
     let last = router.step(30.0, vec![ended("q1.0", 1, &again[0].1, Outcome::Rejected, 5.0)]);
     assert!(sends(&last).is_empty());
-    assert_eq!(finals(&last).len(), 1);
+    assert_eq!(final_answers(&last).len(), 1);
 }
--- a/tests/takeover.rs
+++ b/tests/takeover.rs
@@ -29,7 +29,7 @@
 
 /// Submits queries of a class and returns the run store of each part. Connections to `a` fail.
 fn load(core: &mut Core, now: &mut f64, class: &str, queries: usize) -> Vec<String> {
-    let mut went = Vec::new();
+    let mut destinations = Vec::new();
     for number in 0..queries {
         let ask = fixture::ask(&format!("r{number}"), class, 1, 900.0);
         core.take_in(*now, ask).unwrap();
@@ -40,14 +40,14 @@
             let lost = call.run_store == "a".into();
             let outcome = if lost { Outcome::ConnectFailed } else { Outcome::Completed };
             core.call_ended(*now, call.no, CallEnd { outcome, value: Some(b"v"[..].into()), load: None });
-            went.push(call.run_store.0.to_string());
+            destinations.push(call.run_store.0.to_string());
         }
     }
-    went
+    destinations
 }
 
 #[test]
-fn who_is_parked_or_out_by_hand_stays_so_in_the_process_that_takes_over() {
+fn parked_and_manually_drained_run_stores_stay_so_after_a_takeover() {
     let mut now = 1e6;
     let mut old = Core::new(&site(&["search", "lookup"]), 7).unwrap();
     old.apply_directory_update(list());
@@ -65,14 +65,14 @@
         new.step(now);
         assert_eq!((new.gauges().pool_size, new.gauges().pool_ejected), (3, 2));
         for class in classes {
-            let went = load(&mut new, &mut now, class, 5);
-            assert_eq!(went, ["c"; 5], "{class}");
+            let destinations = load(&mut new, &mut now, class, 5);
+            assert_eq!(destinations, ["c"; 5], "{class}");
         }
     }
 }
 
 #[test]
-fn what_cannot_be_read_of_it_leaves_a_core_that_serves() {
+fn a_core_that_cannot_read_the_learned_state_still_serves() {
     let mut now = 1e6;
     let mut old = Core::new(&site(&["search"]), 7).unwrap();
     old.apply_directory_update(list());
@@ -86,6 +86,9 @@
         Ok(false)
     );
     new.apply_directory_update(list());
-    let went = load(&mut new, &mut now, "search", 9);
-    assert!(went.contains(&"c".to_string()) && !went.contains(&"b".to_string()), "{went:?}");
+    let destinations = load(&mut new, &mut now, "search", 9);
+    assert!(
+        destinations.contains(&"c".to_string()) && !destinations.contains(&"b".to_string()),
+        "{destinations:?}"
+    );
 }
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn quick_errors_draw_no_parts() {
+fn a_replica_that_fails_quickly_does_not_attract_parts() {
     let mut router = start(settings(RepeatPolicy::Safe), &["bad", "good"]);
     let mut to_bad = 0;
     for n in 0..60u32 {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_repeat_does_not_go_to_a_replica_that_fails_most_parts() {
+fn a_retry_does_not_go_to_a_replica_that_fails_most_parts() {
     let mut router = start(settings(RepeatPolicy::Safe), &["bad", "g1", "g2"]);
     let mut now = 10.0;
     // Each replica gets several parts at once, and the bad one fails all of its own in turn.
@@ -152,17 +152,17 @@
 }
 
 #[test]
-fn under_pressure_light_parts_are_left_out_where_that_pays() {
+fn under_load_light_parts_are_left_out() {
     let mut s = settings(RepeatPolicy::Safe);
     s.classes[0].least_share = 0.5;
     s.worth_by_work = true;
-    let parts = |pressed: bool| {
+    let parts = |loaded: bool| {
         let mut router = start(s.clone(), &["a", "b", "c", "d"]);
         let mut now = 10.0;
         for n in 1..30 {
             let sent = sends(&router.step(now, query(n, 1, now + 3000.0)));
             let (part, to) = sent.first().cloned().unwrap_or_default();
-            let took = if pressed { 700.0 } else { 100.0 };
+            let took = if loaded { 700.0 } else { 100.0 };
             run(&mut router, now + 5.0, now + took - 5.0);
             router.step(now + took, vec![ended(&part, 0, &to, Outcome::Completed, took)]);
             run(&mut router, now + took + 5.0, now + 995.0);
@@ -181,21 +181,21 @@
 }
 
 #[test]
-fn a_list_that_must_be_asked_for_is_asked_again_with_growing_waits() {
+fn a_failing_list_request_is_retried_with_growing_backoff() {
     let mut router = start(Settings { discovery: Discovery::Asked, ..settings(RepeatPolicy::Safe) }, &["a"]);
-    let mut asked = Vec::new();
+    let mut requests = Vec::new();
     let mut now = 5.0;
     while now < 20_000.0 {
-        let broken = asked.last().is_some_and(|at| now - at < 5.5);
+        let broken = requests.last().is_some_and(|at| now - at < 5.5);
         let event = if broken { Event::List(ListUpdate::Failed) } else { Event::Wake };
         if router.step(now, vec![event]).contains(&Action::Subscribe) {
-            asked.push(now);
+            requests.push(now);
         }
         now += 5.0;
     }
-    assert!(asked.len() >= 3, "{asked:?}");
-    assert!(asked.len() <= 12, "{asked:?}");
-    let gaps: Vec<f64> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(requests.len() >= 3, "{requests:?}");
+    assert!(requests.len() <= 12, "{requests:?}");
+    let gaps: Vec<f64> = requests.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(gaps.last() > gaps.first(), "{gaps:?}");
 }
 
@@ -206,7 +206,7 @@
     let mut router = start(s, &["a", "b"]);
     let sent = sends(&router.step(10.0, query(1, 1, 3000.0)));
     let first = router.step(60.0, vec![ended("q1.0", 0, &sent[0].1, Outcome::Completed, 50.0)]);
-    assert_eq!(finals(&first), ["whole q1"]);
+    assert_eq!(final_answers(&first), ["whole q1"]);
     let part = Event::Part(NewPart {
         id: "q1.f".into(),
         query: 1,
@@ -218,7 +218,7 @@
     let sent = sends(&router.step(65.0, vec![part]));
     assert_eq!(sent.len(), 1);
     let second = router.step(99.0, vec![ended("q1.f", 0, &sent[0].1, Outcome::Completed, 30.0)]);
-    assert_eq!(finals(&second), ["whole q1"]);
+    assert_eq!(final_answers(&second), ["whole q1"]);
 }
 
 #[test]
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn contradicting_settings_are_told() {
+fn invalid_settings_are_rejected() {
     let broken = [
         Settings { classes: Vec::new(), ..settings(RepeatPolicy::Safe) },
         Settings { cells: 0, ..settings(RepeatPolicy::Safe) },
@@ -245,7 +245,7 @@
 }
 
 /// Returns a router for which each of `names` has served some queries, and the current time.
-fn settled(s: Settings, names: &[&str]) -> (ironpaddle::Router, f64) {
+fn warmed_up(s: Settings, names: &[&str]) -> (ironpaddle::Router, f64) {
     let mut router = start(Settings { max_parts_per_call: 1, ..s }, names);
     let mut now = 10.0;
     for n in 1000..1010 {
@@ -259,16 +259,16 @@
     (router, now)
 }
 
-fn closed(actions: &[Action]) -> usize {
+fn count_closes(actions: &[Action]) -> usize {
     actions.iter().filter(|action| matches!(action, Action::CloseIdle { .. })).count()
 }
 
 #[test]
-fn connections_are_closed_early_where_sends_on_idle_ones_are_lost_and_their_parts_go_again() {
+fn idle_connections_are_closed_early_after_losses_on_them_and_the_lost_parts_are_resent() {
     let names = ["a", "b", "c", "d"];
     let (mut router, now) =
-        settled(Settings { keep_alive: Some(15_000.0), ..settings(RepeatPolicy::Safe) }, &names);
-    assert_eq!(closed(&run(&mut router, now, now + 1500.0)), 0);
+        warmed_up(Settings { keep_alive: Some(15_000.0), ..settings(RepeatPolicy::Safe) }, &names);
+    assert_eq!(count_closes(&run(&mut router, now, now + 1500.0)), 0);
     let now = now + 1500.0;
     let sent = sends(&router.step(now, query(1, 4, now + 3000.0)));
     let events = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::Reset, 1.0)).collect();
@@ -278,7 +278,7 @@
     let (part, to) = sends(&after)[0].clone();
     let after = router.step(now + 55.0, vec![ended(&part, 1, &to, Outcome::Completed, 50.0)]);
     assert_eq!(sends(&after).len(), 3);
-    assert!(closed(&run(&mut router, now + 60.0, now + 1500.0)) > 0);
+    assert!(count_closes(&run(&mut router, now + 60.0, now + 1500.0)) > 0);
 }
 
 /// With many routers, each has idle connections, and replicas stall now and then. If such silence counted as dropped
@@ -287,7 +287,7 @@
 fn silence_on_idle_connections_closes_none() {
     let names = ["a", "b", "c", "d"];
     let (mut router, mut now) =
-        settled(Settings { keep_alive: Some(15_000.0), ..settings(RepeatPolicy::Safe) }, &names);
+        warmed_up(Settings { keep_alive: Some(15_000.0), ..settings(RepeatPolicy::Safe) }, &names);
     let mut actions = Vec::new();
     for n in 1..=4 {
         // Idle for longer than the aim, then silent for longer than the silence timeout, then all parts are answered.
@@ -299,27 +299,27 @@
         actions.extend(router.step(now + 705.0, events));
         now += 710.0;
     }
-    assert_eq!(closed(&actions), 0);
+    assert_eq!(count_closes(&actions), 0);
 }
 
 #[test]
-fn without_a_told_keep_alive_no_connection_is_closed() {
-    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
+fn without_a_configured_keep_alive_no_connection_is_closed() {
+    let (mut router, now) = warmed_up(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     let sent = sends(&router.step(now, query(1, 4, now + 3000.0)));
     let events = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::Reset, 1.0)).collect();
     let mut after = router.step(now + 5.0, events);
     after.extend(run(&mut router, now + 10.0, now + 3000.0));
-    assert_eq!(closed(&after), 0);
+    assert_eq!(count_closes(&after), 0);
 }
 
 #[test]
-fn a_query_whose_parts_only_kill_is_ended_and_its_kind_is_served_again_later() {
+fn a_query_whose_parts_crash_replicas_fails_and_later_queries_are_served() {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &names);
+    let (mut router, now) = warmed_up(settings(RepeatPolicy::Safe), &names);
     let sent = sends(&router.step(now, query(1, 8, now + 3000.0)));
     let events = sent.iter().take(4).map(|(part, to)| ended(part, 0, to, Outcome::Reset, 5.0)).collect();
     let after = router.step(now + 5.0, events);
-    assert_eq!(finals(&after), ["fail q1"]);
+    assert_eq!(final_answers(&after), ["fail q1"]);
     assert!(sends(&after).is_empty());
     // Half of the fleet failed at once: the next query uses one replica until a part has completed.
     let now = now + 100.0;
@@ -334,20 +334,20 @@
 }
 
 #[test]
-fn a_failed_connection_parks_past_the_quarter_that_bounds_silence() {
-    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
+fn failed_connections_park_more_than_the_quarter_that_limits_parking_for_silence() {
+    let (mut router, now) = warmed_up(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     let sent = sends(&router.step(now, query(1, 4, now + 3000.0)));
     let events = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::ConnectFailed, 1.0)).collect();
     let after = router.step(now + 5.0, events);
     assert_eq!(parked(&after).len(), 4);
     // All are parked: the parts wait for the silence timeout before the next attempt, and the query stays open.
-    assert!(sends(&after).is_empty() && finals(&after).is_empty());
+    assert!(sends(&after).is_empty() && final_answers(&after).is_empty());
     assert!(!sends(&run(&mut router, now + 10.0, now + 600.0)).is_empty());
 }
 
 #[test]
-fn an_own_stall_parks_nobody_and_calls_nothing_back() {
-    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
+fn a_stall_of_the_router_parks_no_replica_and_cancels_nothing() {
+    let (mut router, now) = warmed_up(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     assert_eq!(sends(&router.step(now, query(1, 1, now + 3000.0))).len(), 1);
     // The wake requested within a few ticks arrives after 900 ms: the router itself stalled.
     let after = router.step(now + 900.0, vec![Event::Wake]);
@@ -358,26 +358,26 @@
 }
 
 #[test]
-fn a_part_turned_away_as_full_keeps_its_last_try_for_a_patience() {
+fn the_last_attempt_of_a_rejected_part_waits_for_the_silence_timeout() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c"]);
     let mut to = sends(&router.step(10.0, query(1, 1, 3000.0)))[0].1.clone();
     let second = sends(&router.step(15.0, vec![ended("q1.0", 0, &to, Outcome::Rejected, 1.0)]));
     to.clone_from(&second[0].1);
     let third = router.step(20.0, vec![ended("q1.0", 1, &to, Outcome::Rejected, 1.0)]);
-    assert!(sends(&third).is_empty() && finals(&third).is_empty(), "{third:?}");
+    assert!(sends(&third).is_empty() && final_answers(&third).is_empty(), "{third:?}");
     assert!(sends(&run(&mut router, 25.0, 400.0)).is_empty());
     assert_eq!(sends(&run(&mut router, 405.0, 500.0)).len(), 1);
 }
 
 #[test]
-fn a_class_turned_away_after_a_bad_moment_is_let_in_again() {
-    let (mut router, mut now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
+fn a_class_refused_after_a_slow_period_is_admitted_again() {
+    let (mut router, mut now) = warmed_up(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     // Replicas stay silent until queries of the class are refused at once.
     let refused = (1..200u64).any(|n| {
         now += 250.0;
         let actions = router.step(now, query(n, 1, now + 3000.0));
         run(&mut router, now + 5.0, now + 245.0);
-        finals(&actions).contains(&format!("refuse q{n}"))
+        final_answers(&actions).contains(&format!("refuse q{n}"))
     });
     assert!(refused);
     // While all queries are refused, nothing is measured, so the estimate has to expire with time. By then nothing is
@@ -385,13 +385,13 @@
     let end = now + 12_000.0;
     run(&mut router, now + 250.0, end);
     let actions = router.step(end + 5.0, query(999, 1, end + 3000.0));
-    assert_eq!((sends(&actions).len(), finals(&actions)), (1, Vec::new()));
+    assert_eq!((sends(&actions).len(), final_answers(&actions)), (1, Vec::new()));
 }
 
 /// Sends single parts until `victim` has lost one and answered four that were sent after it. Returns the lost part, the
 /// actions of the last step and the time.
 fn lose_one(router: &mut ironpaddle::Router, mut now: f64, victim: &str) -> (String, Vec<Action>, f64) {
-    let (mut lost, mut passed, mut actions) = (None, 0, Vec::new());
+    let (mut lost, mut answered_after, mut actions) = (None, 0, Vec::new());
     for n in 1..100 {
         let sent = sends(&router.step(now, query(n, 1, now + 30_000.0)));
         let (part, to) = sent[0].clone();
@@ -400,22 +400,22 @@
             lost = Some(part);
             continue;
         }
-        passed += u32::from(to == victim && lost.is_some());
+        answered_after += u32::from(to == victim && lost.is_some());
         actions = router.step(now, vec![ended(&part, 0, &to, Outcome::Completed, 50.0)]);
-        if passed == 4 {
+        if answered_after == 4 {
             break;
         }
     }
-    assert_eq!(passed, 4);
+    assert_eq!(answered_after, 4);
     (lost.expect("one was sent there"), actions, now)
 }
 
 #[test]
-fn a_part_that_its_replica_passed_over_goes_elsewhere_at_once() {
+fn an_overtaken_part_is_sent_elsewhere_at_once() {
     // With this long aim, the silence timeout alone would take 20 s.
     let mut s = settings(RepeatPolicy::Safe);
     s.classes[0].aim = 50_000.0;
-    let (mut router, now) = settled(s, &["a", "b"]);
+    let (mut router, now) = warmed_up(s, &["a", "b"]);
     let (lost, actions, now) = lose_one(&mut router, now, "a");
     let (part, attempt, reason) = (lost.as_str().into(), Attempt(0), AttemptReason::Overtaken);
     assert!(actions.contains(&Action::Cancel { part, attempt, reason }), "{actions:?}");
@@ -425,10 +425,10 @@
 }
 
 #[test]
-fn an_unsafe_part_that_was_passed_over_stays_out_and_others_avoid_its_replica() {
+fn an_overtaken_unsafe_part_stays_in_flight_and_others_avoid_its_replica() {
     let mut s = settings(RepeatPolicy::Unsafe);
     s.classes[0].aim = 50_000.0;
-    let (mut router, now) = settled(s, &["a", "b"]);
+    let (mut router, now) = warmed_up(s, &["a", "b"]);
     let (_, actions, now) = lose_one(&mut router, now, "a");
     assert!(!actions.iter().any(|action| matches!(action, Action::Cancel { .. })), "{actions:?}");
     let sent = sends(&router.step(now + 5.0, (200..204).flat_map(|n| query(n, 1, now + 3000.0)).collect()));
@@ -436,8 +436,8 @@
 }
 
 #[test]
-fn a_connection_that_breaks_is_one_failure_and_no_kill() {
-    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
+fn a_broken_connection_is_one_failure_and_not_a_crash() {
+    let (mut router, now) = warmed_up(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     let reset = |sent: &[(String, String)], at: &[&str]| -> Vec<Event> {
         let lost = sent.iter().filter(|(_, to)| at.contains(&to.as_str()));
         lost.map(|(part, to)| ended(part, 0, to, Outcome::Reset, 30.0)).collect()
@@ -449,12 +449,12 @@
     let after = router.step(now + 30.0, events);
     let again = sends(&after);
     assert!(lost >= 2, "{sent:?}");
-    assert_eq!((finals(&after).len(), again.len()), (0, lost), "all are sent again");
+    assert_eq!((final_answers(&after).len(), again.len()), (0, lost), "all are sent again");
     let others = sent.iter().filter(|(_, to)| to != "c").map(|(part, to)| (part, 0, to));
     let again = again.iter().map(|(part, to)| (part, 1, to));
     let events =
         others.chain(again).map(|(part, n, to)| ended(part, n, to, Outcome::Completed, 50.0)).collect();
-    assert_eq!(finals(&router.step(now + 80.0, events)), ["whole q1"]);
+    assert_eq!(final_answers(&router.step(now + 80.0, events)), ["whole q1"]);
     // Nor does each lost part count as a failure of the replica, which still gets parts.
     let now = now + 500.0;
     run(&mut router, now - 415.0, now - 5.0);
@@ -462,16 +462,16 @@
     assert!(sent.iter().any(|(_, to)| to == "c"), "{sent:?}");
     // If three replicas reset parts of a query of which no part has completed, the query may be the cause.
     let events = reset(&sent, &["a", "b"]);
-    assert!(finals(&router.step(now + 25.0, events)).is_empty());
+    assert!(final_answers(&router.step(now + 25.0, events)).is_empty());
     let events = reset(&sent, &["d"]);
-    assert_eq!(finals(&router.step(now + 30.0, events)), ["fail q2"]);
+    assert_eq!(final_answers(&router.step(now + 30.0, events)), ["fail q2"]);
 }
 
 #[test]
-fn nothing_is_refused_while_replicas_report_that_they_have_room() {
+fn nothing_is_refused_while_replicas_report_spare_capacity() {
     let refused = |utilization: Option<f64>| {
         let names = ["a", "b", "c", "d"];
-        let (mut router, mut now) = settled(settings(RepeatPolicy::Safe), &names);
+        let (mut router, mut now) = warmed_up(settings(RepeatPolicy::Safe), &names);
         // Three of four queries get no answer before their deadline.
         (1..60u64).any(|n| {
             now += 250.0;
@@ -485,7 +485,7 @@
                 router.step(now + 5.0, vec![end]);
             }
             run(&mut router, now + 10.0, now + 245.0);
-            finals(&actions).contains(&format!("refuse q{n}"))
+            final_answers(&actions).contains(&format!("refuse q{n}"))
         })
     };
     assert!(refused(None), "without load reports, slow queries are the only signal");
@@ -497,7 +497,7 @@
 fn unsafe_parts_avoid_a_replica_that_loses_one_part_in_ten() {
     let mut s = settings(RepeatPolicy::Unsafe);
     s.classes.push(class(RepeatPolicy::Safe));
-    let (mut router, mut now) = settled(s, &["a", "b"]);
+    let (mut router, mut now) = warmed_up(s, &["a", "b"]);
     // Safe parts continue, and every tenth at `a` is lost; the last eight parts there were all answered.
     let mut at_a = 0;
     for n in 1..200u64 {
@@ -526,9 +526,9 @@
 }
 
 #[test]
-fn resets_at_replicas_that_go_on_answering_hold_nothing_back() {
+fn resets_at_replicas_that_keep_answering_do_not_limit_new_queries() {
     let names = ["a", "b", "c", "d"];
-    let (mut router, now) = settled(settings(RepeatPolicy::Safe), &names);
+    let (mut router, now) = warmed_up(settings(RepeatPolicy::Safe), &names);
     let sent = sends(&router.step(now, query(1, 16, now + 3000.0)));
     // Half of the fleet breaks a connection; other parts on these replicas are answered soon after.
     let broken: Vec<_> = sent.iter().filter(|(_, to)| to == "a" || to == "b").collect();
@@ -543,7 +543,7 @@
 /// A hanging replica may read a cancellation late, so the attempt stays in flight until its end is reported, and the
 /// part is not resent on a guess. After that it goes to any replica that is not parked, even if none has answered yet.
 #[test]
-fn a_part_given_up_in_silence_goes_again_once_its_attempt_has_ended_and_not_before() {
+fn a_part_cancelled_for_silence_is_resent_only_once_its_attempt_has_ended() {
     let all = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
     for (queries, parallel_attempts) in [(1, false), (1, true), (3, false), (3, true)] {
         let s = Settings { parallel_attempts, ..settings(RepeatPolicy::Safe) };
