--- a/tests/alone.rs
+++ b/tests/alone.rs
@@ -104,7 +104,7 @@
     assert!((1..10).contains(&costly), "{costly} after {cheap} cheap ones");
 }
 
-/// At most a quarter of the fleet is parked for silence, so other silent replicas would otherwise still get parts.
+/// Only a quarter of the fleet may be parked for silence; without this rule, further silent replicas would get parts.
 #[test]
 fn parts_avoid_silent_replicas_while_another_answers() {
     let mut router = start(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -7,7 +7,7 @@
 };
 use ironpaddle::hash::draw;
 
-/// Simulates a discovery service that answers one call at a time in `each` ms. Calls that have waited for 2 s fail
+/// Simulates a discovery service that answers one call at a time in `call_ms` ms. Calls that have waited for 2 s fail
 /// without using service time. Returns when each router received the list, or `None` if that took over a minute.
 fn delivery_times(routers: u32, aim: f64, call_ms: u32) -> Vec<Option<u32>> {
     let mut requests = vec![ListRequests::default(); routers as usize];
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -1,5 +1,5 @@
-//! Invariants of the core without a transport: one answer per query, one end per attempt, and a refusal only for what
-//! has not run.
+//! Invariants of the core without a transport: one answer per query, one end per attempt, and a refusal of an unsafe
+//! query only if it has not run.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -252,23 +252,29 @@
     let unsafe_query = core.take_in(1.0, ask("entry", 1)).unwrap();
     core.step(5.0);
     let sent = calls(&commands(&mut core));
-    let of = |no| sent.iter().find(|call| call.query_attempt.0 == no).unwrap().no;
+    let call_of = |no| sent.iter().find(|call| call.query_attempt.0 == no).unwrap().no;
     core.set_exit_time(300.0);
-    core.call_ended(20.0, of(half_answered), completed(b"in"));
+    core.call_ended(20.0, call_of(half_answered), completed(b"in"));
     core.step(25.0);
     let late = core.take_in(100.0, ask("search", 1)).unwrap();
     core.step(105.0);
     assert!(final_answers(&commands(&mut core)).is_empty());
     core.step(300.0);
     let verdicts = final_answers(&commands(&mut core));
-    let of = |no| &verdicts.iter().find(|(query, _)| *query == no).unwrap().1;
-    assert!(matches!(of(half_answered), FinalAnswer::Served { whole: false, parts: 2, .. }), "{verdicts:?}");
+    let answer_of = |no| &verdicts.iter().find(|(query, _)| *query == no).unwrap().1;
     assert!(
-        matches!(of(unanswered), FinalAnswer::Refused { retry_after, .. } if *retry_after > 0.0),
+        matches!(answer_of(half_answered), FinalAnswer::Served { whole: false, parts: 2, .. }),
         "{verdicts:?}"
     );
-    assert!(matches!(of(late), FinalAnswer::Refused { .. }), "{verdicts:?}");
-    assert!(matches!(of(unsafe_query), FinalAnswer::Failed { .. }), "{verdicts:?}: the part may have run");
+    assert!(
+        matches!(answer_of(unanswered), FinalAnswer::Refused { retry_after, .. } if *retry_after > 0.0),
+        "{verdicts:?}"
+    );
+    assert!(matches!(answer_of(late), FinalAnswer::Refused { .. }), "{verdicts:?}");
+    assert!(
+        matches!(answer_of(unsafe_query), FinalAnswer::Failed { .. }),
+        "{verdicts:?}: the part may have run"
+    );
     // A query that arrives after the exit time is refused at once.
     core.take_in(301.0, ask("search", 1)).unwrap();
     assert!(matches!(final_answers(&commands(&mut core))[..], [(_, FinalAnswer::Refused { .. })]));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,8 +8,9 @@
 use ironpaddle::api::*;
 use ironpaddle::Router;
 
+/// Milliseconds per tick.
 const TICK: Millis = 5.0;
-const TICKS_A_SECOND: u64 = 200;
+const TICKS_PER_SECOND: u64 = 200;
 
 /// How a replica handles parts.
 #[derive(Clone, Copy)]
@@ -62,7 +63,7 @@
     /// Returns the number of parts that each replica was sent.
     fn run(&mut self, seconds: u64, parts: u32) -> BTreeMap<String, usize> {
         self.sent.clear();
-        for _ in 0..seconds * TICKS_A_SECOND {
+        for _ in 0..seconds * TICKS_PER_SECOND {
             self.tick += 1;
             let mut events: Vec<Vec<Event>> = vec![vec![Event::Wake]; self.routers.len()];
             for ((router_index, part, attempt, replica, sent), outcome) in
@@ -77,7 +78,7 @@
             }
             for (router_index, mut events) in events.into_iter().enumerate() {
                 let now = self.tick as f64 * TICK;
-                if (self.tick + router_index as u64 * 7).is_multiple_of(TICKS_A_SECOND) {
+                if (self.tick + router_index as u64 * 7).is_multiple_of(TICKS_PER_SECOND) {
                     self.queries += 1;
                     events.extend(query(self.queries, parts, now + 3000.0));
                 }
--- a/tests/given_up.rs
+++ b/tests/given_up.rs
@@ -10,6 +10,7 @@
 use ironpaddle::settings::SiteSettings;
 use serde_json::json;
 
+/// Milliseconds between two steps of the core.
 const STEP: f64 = 5.0;
 
 /// A core with two run stores and one query, whose only part is in flight.
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -171,13 +171,13 @@
     let mut server = Async::new(server).unwrap();
     let pending = driver.submit(fixture::ask("r1", "search", 1, 9000.0)).unwrap();
     let serve = async {
-        let left = async {
+        let disconnected = async {
             let _ = server.read(&mut [0]).await;
         };
         let answered = async {
             pending.answer().await;
         };
-        future::or(left, answered).await;
+        future::or(disconnected, answered).await;
         drop(pending);
     };
     let client_leaves = async {
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -142,7 +142,7 @@
 fn discovery(responses: Vec<Response>) -> (SocketAddr, thread::JoinHandle<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let served = thread::spawn(move || {
+    let server = thread::spawn(move || {
         let mut stream = listener.accept().unwrap().0;
         let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
         let mut responses = responses.into_iter();
@@ -164,29 +164,29 @@
         }
         answered
     });
-    (address, served)
+    (address, server)
 }
 
 /// Watches a service that responds like this until the watch has closed its connection, and returns the number of known
 /// run stores.
 fn known_run_stores_after(responses: Vec<Response>) -> usize {
     let calls = responses.len();
-    let (address, served) = discovery(responses);
+    let (address, server) = discovery(responses);
     let executor = Rc::new(async_executor::LocalExecutor::new());
     let driver = Driver::new(core(), executor.clone());
     Rc::clone(&Watch::new(driver.clone(), address, None)).watch();
-    let left = async {
-        while !served.is_finished() {
+    let finished = async {
+        while !server.is_finished() {
             async_io::Timer::after(Duration::from_millis(5)).await;
         }
     };
-    let late = async {
+    let timeout = async {
         async_io::Timer::after(Duration::from_secs(60)).await;
         panic!("the watch has not closed its connection");
     };
-    future::block_on(executor.run(future::or(left, late)));
+    future::block_on(executor.run(future::or(finished, timeout)));
     while executor.try_tick() {}
-    assert_eq!(served.join().unwrap(), calls, "each response was requested once");
+    assert_eq!(server.join().unwrap(), calls, "each response was requested once");
     driver.run_stores()
 }
 
--- a/tests/recorder.rs
+++ b/tests/recorder.rs
@@ -19,6 +19,7 @@
 use ironpaddle_trace::record::Record;
 use serde_json::json;
 
+/// Start time of the recording, in Unix milliseconds.
 const START: f64 = 1_764_608_400_000.0;
 
 /// A disk whose writes block while it is held.
