--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! Tests `ironpaddle-simhost` end to end with hand-written batches.
+//! Runs the simulator adapter as a process on hand-written batches of events.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,7 +13,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("piped");
-    // The adapter may have stopped at bad input before all of it is written.
+    // The adapter may exit on invalid input before all of it is written.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
@@ -66,14 +66,14 @@
     let has = |reply: usize, kind: &str| {
         replies[reply]["cmds"].as_array().expect("cmds").iter().find(|c| c["type"] == kind).cloned()
     };
-    let send = has(2, "HAND_OFF").expect("a send");
+    let send = has(2, "HAND_OFF").expect("a HAND_OFF command");
     assert_eq!((&send["request_id"], &send["replica"]), (&json!("p"), &json!("r-1")));
-    let answer = has(3, "SETTLE_QUERY").expect("an answer");
+    let answer = has(3, "SETTLE_QUERY").expect("a SETTLE_QUERY command");
     assert_eq!((&answer["request_id"], &answer["entire"]), (&json!("q"), &json!(true)));
 }
 
 #[test]
-fn a_sheet_reused_within_a_batch_means_what_it_meant_at_each_event() {
+fn a_sheet_number_reused_within_a_batch_is_resolved_at_each_event() {
     let [register, registry] = list();
     let empty = json!({"type": "REGISTER", "sheet": 0, "members_list": []});
     let events = [hello(), register, registry, empty, accept("q", -1), accept("p", 0)];
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_restart_forgets_all() {
+fn a_restart_clears_all_state() {
     let [register, registry] = list();
     let down = json!({"type": "DOWN", "co-ordinator": 3});
     let mut again = hello();
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_a_plain_message_and_no_panic() {
+fn invalid_input_is_reported_without_a_panic() {
     let zero_cells = {
         let mut hello = hello();
         hello["info"]["domain"]["cells"] = json!(0);
@@ -113,18 +113,18 @@
         (batch(5.0, 1, &[hello(), list()[1].clone()]), "sheet"),
         (zero_cells, "cells"),
     ];
-    for (input, names) in cases {
+    for (input, expected) in cases {
         let output = play(&input);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success(), "{input}");
-        assert!(error.contains(names) && error.contains("batch 1"), "{input}: {error}");
+        assert!(error.contains(expected) && error.contains("batch 1"), "{input}: {error}");
         assert!(!error.contains("panicked"), "{error}");
         assert!(output.stdout.is_empty());
     }
 }
 
 #[test]
-fn idle_connections_are_let_go_in_the_wires_form() {
+fn idle_connections_are_closed_with_a_let_go_command() {
     let [register, registry] = list();
     let mut hello = hello();
     hello["info"]["caps"]["keepalive_ms"] = json!(15000.0);
@@ -142,8 +142,8 @@
     let tick = json!({"type": "TICK_DUE", "co-ordinator": 3, "cookie": "wake"});
     let mut input = batch(5.0, 1, &[hello, register, registry]);
     let (mut now, mut seq) = (10.0, 2);
-    // The first part is served. Each later one is sent after the connection was idle for longer than the aim, and its
-    // connection fails at once.
+    // The first part is served. Each later one is sent after the connection was idle for more than the aim, and is
+    // lost at once.
     for (job, status) in (1u64..).zip(["completed", "severed", "severed", "severed"]) {
         let (query, id) = (format!("q{job}"), format!("p{job}"));
         input += &batch(now, seq, &[part(&query, job, -1, now), part(&id, job, 0, now)]);
@@ -155,7 +155,7 @@
             again["attempt"] = json!(1);
             input += &batch(now + 12.0, seq + 3, &[again]);
         }
-        // The requested wakes arrive in time, so the module does not conclude that it was stalled itself.
+        // The requested wakes arrive on time, so the router does not attribute the loss to a stall of its own.
         let wakes = (2..24).map(|n| now + 25.0 * f64::from(n));
         for wake in wakes {
             input += &batch(wake, seq + 4, std::slice::from_ref(&tick));
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -1,4 +1,4 @@
-//! What a transport or the driver finds out of date in the instant of acting on it.
+//! Calls and timers that have become obsolete by the time the transport or the driver acts on them.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -50,7 +50,7 @@
     }
 }
 
-/// A listener, and the first bytes that come there.
+/// Returns the address of a listener and a thread that returns the first bytes received there.
 fn listener() -> (SocketAddr, std::thread::JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -63,21 +63,21 @@
     (address, first)
 }
 
-/// A repeat is decided on within its window, and its connection comes up after that.
+/// A retry is decided within its window, but its connection is established after the window has ended.
 #[test]
-fn a_call_that_is_late_when_it_could_be_written_is_not_written() {
-    type Made = fn(Rc<Driver>, Limits) -> Rc<dyn RunStores>;
-    let made: [Made; 2] = [
+fn a_call_that_expires_before_its_connection_is_up_is_not_written() {
+    type Constructor = fn(Rc<Driver>, Limits) -> Rc<dyn RunStores>;
+    let constructors: [Constructor; 2] = [
         |driver, limits| Rc::new(FrameTransport::new(driver, limits)),
         |driver, limits| Rc::new(SearchTransport::new(driver, limits)),
     ];
-    for made in made {
+    for construct in constructors {
         let driver = driver();
-        let stores = made(driver.clone(), Limits::from_settings(&site(), 10));
+        let stores = construct(driver.clone(), Limits::from_settings(&site(), 10));
         let (address, first) = listener();
         let (id, now) = (ReplicaId::from("s"), driver.now());
         stores.locate(&id, address, None);
-        // The window of one is over when its connection is up, and the time of another.
+        // When the connection is up, the window of call 1 and the time of call 2 have passed.
         stores.send(call(1, "s", now + 9000.0, now));
         stores.send(call(2, "s", now, Millis::INFINITY));
         stores.send(call(3, "s", now + 9000.0, now + 9000.0));
@@ -94,9 +94,9 @@
     }
 }
 
-/// A part is out on a connection on which the next frame cannot be written in time.
+/// One part is in flight on a connection, and the next frame cannot be written in time.
 #[test]
-fn a_connection_that_is_too_slow_is_over_once_its_run_store_has_ended_it_where_copies_may_not_be_out() {
+fn without_second_copies_a_slow_connection_is_kept_until_its_run_store_closes_it() {
     for copies in [true, false] {
         let (driver, mut site) = (driver(), site());
         site.caps.parallel_tries = copies;
@@ -105,26 +105,26 @@
         let now = driver.now();
         stores.locate(&"s".into(), listener.local_addr().unwrap(), None);
         stores.send(call(1, "s", now + 9000.0, Millis::INFINITY));
-        // More than the system takes for one that does not read.
+        // More than the socket buffers hold while the peer does not read.
         let text = vec![b'x'; 32_000_000].into();
         stores.send(Call { payload: text, ..call(2, "s", now + 9000.0, now + 200.0) });
         let executor = driver.executor().clone();
-        let a_while = || async_io::block_on(executor.run(Timer::after(Duration::from_millis(700))));
-        a_while();
+        let run_for_700_ms = || async_io::block_on(executor.run(Timer::after(Duration::from_millis(700))));
+        run_for_700_ms();
         assert_eq!(stores.connections(), usize::from(!copies), "copies {copies}");
         drop(listener.accept().unwrap());
-        a_while();
+        run_for_700_ms();
         assert_eq!(stores.connections(), 0, "copies {copies}");
     }
 }
 
-/// Run stores that turn away all that is sent to them.
-struct Full {
+/// A transport to run stores that reject every call.
+struct RejectingRunStores {
     driver: Rc<Driver>,
     sent: Rc<Cell<usize>>,
 }
 
-impl RunStores for Full {
+impl RunStores for RejectingRunStores {
     fn send(&self, call: Call) {
         self.sent.set(self.sent.get() + 1);
         self.driver.call_ended(call.no, CallEnd::bare(Outcome::Rejected));
@@ -153,13 +153,16 @@
     fn watch(&self) {}
 }
 
-/// The last attempt waits its turn. The process stands still past that, and meanwhile the client leaves: both are there
-/// when it goes on, the timer and the connection's end.
+/// The last attempt waits for its time. The process stalls past it, and the client disconnects meanwhile: on resume,
+/// the timer and the end of the connection are both ready.
 #[test]
-fn a_step_that_comes_late_sends_nothing_for_a_client_that_left_meanwhile() {
+fn a_late_step_sends_nothing_for_a_client_that_has_left() {
     let driver = driver();
     let sent = Rc::new(Cell::new(0));
-    driver.connect(Rc::new(Full { driver: driver.clone(), sent: sent.clone() }), Rc::new(NoDirectory));
+    driver.connect(
+        Rc::new(RejectingRunStores { driver: driver.clone(), sent: sent.clone() }),
+        Rc::new(NoDirectory),
+    );
     let lines = ["a", "b"].map(|name| fixture::listed(name, ReplicaState::Active, 0.0));
     driver.apply_directory_update(DirectoryUpdate::Cached(lines.to_vec()));
     let executor = driver.executor().clone();
@@ -167,18 +170,18 @@
     let (mut client, server) = std::os::unix::net::UnixStream::pair().unwrap();
     let mut server = Async::new(server).unwrap();
     let pending = driver.submit(fixture::ask("r1", "search", 1, 9000.0)).unwrap();
-    let serves = async {
-        let left = async {
+    let serve = async {
+        let disconnected = async {
             let _ = server.read(&mut [0]).await;
         };
         let answered = async {
             pending.answer().await;
         };
-        future::or(left, answered).await;
+        future::or(disconnected, answered).await;
         drop(pending);
     };
-    let tries = async {
-        // Two attempts are turned away at once, and the third waits for four tenths of the aim.
+    let client_leaves = async {
+        // Two attempts are rejected at once, and the third waits for four tenths of the aim.
         Timer::after(Duration::from_millis(200)).await;
         let before = sent.get();
         client.write_all(b"x").unwrap();
@@ -186,6 +189,6 @@
         Timer::after(Duration::from_millis(300)).await;
         (before, sent.get())
     };
-    let (counts, ()) = async_io::block_on(executor.run(future::zip(tries, serves)));
+    let (counts, ()) = async_io::block_on(executor.run(future::zip(client_leaves, serve)));
     assert_eq!(counts, (2, 2), "attempts before the client left, and in all");
 }
