--- a/tests/common/histories.rs
+++ b/tests/common/histories.rs
@@ -7,6 +7,8 @@
 use ironpaddle::hash::{draw, hash};
 use ironpaddle::Router;
 
+mod encoding;
+
 /// A seeded random number generator.
 struct Random(u64);
 
