--- a/crates/faults/src/calls.rs
+++ b/crates/faults/src/calls.rs
@@ -7,7 +7,7 @@
 use crate::plan::{Fault, Plan};
 
 /// The environment variable that holds the fault plan.
-pub const VARIABLE: &str = "FAULTS";
+pub const FAULTS_VARIABLE: &str = "FAULTS";
 
 const NANOS_PER_MS: i64 = 1_000_000;
 const NANOS_PER_S: i64 = 1_000_000_000;
@@ -15,14 +15,14 @@
 fn plan() -> &'static Plan {
     static PLAN: OnceLock<Plan> = OnceLock::new();
     PLAN.get_or_init(|| {
-        let plan = std::env::var(VARIABLE).ok().and_then(|text| Plan::read(&text));
+        let plan = std::env::var(FAULTS_VARIABLE).ok().and_then(|text| Plan::parse(&text));
         plan.unwrap_or_else(|| std::process::abort())
     })
 }
 
 /// Returns whether the current call fails, and sets the thread's `errno` if it does.
-fn fails(fault: Option<Fault>) -> bool {
-    let Some(error) = plan().strikes(fault) else { return false };
+fn inject(fault: Option<Fault>) -> bool {
+    let Some(error) = plan().injected_error(fault) else { return false };
     // SAFETY: the pointer is to this thread's own error number.
     unsafe { *libc::__errno_location() = error };
     true
@@ -46,7 +46,7 @@
 /// As recv(2).
 #[no_mangle]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, length: size_t, flags: c_int) -> ssize_t {
-    if fails(plan().recv) {
+    if inject(plan().recv) {
         return -1;
     }
     next!(c"recv", unsafe extern "C" fn(c_int, *mut c_void, size_t, c_int) -> ssize_t)(
@@ -60,7 +60,7 @@
 /// As send(2).
 #[no_mangle]
 pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, length: size_t, flags: c_int) -> ssize_t {
-    if fails(plan().send) {
+    if inject(plan().send) {
         return -1;
     }
     next!(c"send", unsafe extern "C" fn(c_int, *const c_void, size_t, c_int) -> ssize_t)(
@@ -79,7 +79,7 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if fails(plan().accept) {
+    if inject(plan().accept) {
         return -1;
     }
     next!(c"accept4", unsafe extern "C" fn(c_int, *mut sockaddr, *mut socklen_t, c_int) -> c_int)(
@@ -97,16 +97,16 @@
         next!(c"clock_gettime", unsafe extern "C" fn(libc::clockid_t, *mut timespec) -> c_int)(clock, time);
     if done == 0 && clock == libc::CLOCK_REALTIME {
         let time = &mut *time;
-        let ahead = plan().wall_ahead(since_first_look());
-        let nanos = time.tv_nsec + ahead % 1000 * NANOS_PER_MS;
-        time.tv_sec += ahead / 1000 + nanos.div_euclid(NANOS_PER_S);
+        let offset_ms = plan().wall_offset_ms(ms_since_first_call());
+        let nanos = time.tv_nsec + offset_ms % 1000 * NANOS_PER_MS;
+        time.tv_sec += offset_ms / 1000 + nanos.div_euclid(NANOS_PER_S);
         time.tv_nsec = nanos.rem_euclid(NANOS_PER_S);
     }
     done
 }
 
 /// Returns the milliseconds of monotonic time since the first call of this function.
-fn since_first_look() -> i64 {
+fn ms_since_first_call() -> i64 {
     static FIRST: OnceLock<i64> = OnceLock::new();
     let mut time = timespec { tv_sec: 0, tv_nsec: 0 };
     // SAFETY: the pointer is to a local variable. The call does not recurse, as only CLOCK_REALTIME is shifted.
--- a/tests/sockets/endings.rs
+++ b/tests/sockets/endings.rs
@@ -4,14 +4,14 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use crate::aggregator::{answer, Aggregator, Answer};
-use crate::stand_in::{Act, WIRES};
+use crate::aggregator::{read_answer, Aggregator, Answer};
+use crate::stand_in::{Behavior, WIRES};
 
 /// Reads answers until the aggregator closes the connection.
-fn answers(stream: &mut TcpStream) -> Vec<Answer> {
+fn read_answers(stream: &mut TcpStream) -> Vec<Answer> {
     let mut all = Vec::new();
     while stream.peek(&mut [0]).is_ok_and(|count| count > 0) {
-        all.push(answer(stream));
+        all.push(read_answer(stream));
     }
     all
 }
@@ -28,13 +28,13 @@
         let aggregator = Aggregator::start(wire, 1);
         let mut kept = aggregator.connect();
         kept.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-        assert_eq!(answer(&mut kept).status, 200, "{wire:?}");
+        assert_eq!(read_answer(&mut kept).status, 200, "{wire:?}");
         aggregator.signal("TERM");
-        aggregator.logged("draining");
+        aggregator.wait_for_log("draining");
         let requests: String =
-            (0..3).map(|shard| aggregator.query("", "run-lookup", &[shard], 2000)).collect();
+            (0..3).map(|shard| aggregator.query_bytes("", "run-lookup", &[shard], 2000)).collect();
         kept.write_all(requests.as_bytes()).unwrap();
-        let answers = answers(&mut kept);
+        let answers = read_answers(&mut kept);
         assert_eq!(statuses(&answers), [200; 3], "{wire:?}: {answers:?}");
         let closes: Vec<_> = answers.iter().map(|answer| answer.head.contains("connection: close")).collect();
         assert_eq!(closes, [false, false, true], "{wire:?}: only the last answer announces the close");
@@ -46,18 +46,18 @@
 fn whole_requests_before_a_flood_are_each_answered() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
-        let mut client = aggregator.begin("run-lookup", &[0], 9000);
-        aggregator.board.wait("the part", |state| state.parts.len() == 1);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
+        let mut client = aggregator.send_query("run-lookup", &[0], 9000);
+        aggregator.backends.wait("the part", |state| state.parts.len() == 1);
         let mut flood: String =
-            (0..3).map(|shard| aggregator.query("", "run-lookup", &[shard], 9000)).collect();
+            (0..3).map(|shard| aggregator.query_bytes("", "run-lookup", &[shard], 9000)).collect();
         flood.push_str(&"x".repeat(200_000));
         let _ = client.write_all(flood.as_bytes());
-        let answers = answers(&mut client);
+        let answers = read_answers(&mut client);
         assert!(answers.len() >= 4, "{wire:?}: {:?}", statuses(&answers));
         assert!(answers.iter().all(|answer| answer.status >= 400), "{wire:?}: {:?}", statuses(&answers));
         assert_eq!(
-            aggregator.board.read(|state| state.parts.len()),
+            aggregator.backends.read(|state| state.parts.len()),
             1,
             "{wire:?}: no part of the later requests is sent"
         );
@@ -72,28 +72,28 @@
     const SLACK_MS: u64 = 150;
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
         let mut client = aggregator.connect();
-        let requests = aggregator.query("", "shift-entry", &[0], 1500)
-            + &aggregator.query("", "run-lookup", &[1], TIMEOUT_MS);
+        let requests = aggregator.query_bytes("", "shift-entry", &[0], 1500)
+            + &aggregator.query_bytes("", "run-lookup", &[1], TIMEOUT_MS);
         let written = Instant::now();
         client.write_all(requests.as_bytes()).unwrap();
-        aggregator.board.wait("the first part", |state| state.parts.len() == 1);
-        assert_eq!(answer(&mut client).status, 500, "{wire:?}");
-        aggregator.board.act(0, Act::Serve);
-        assert!(answer(&mut client).whole(), "{wire:?}");
+        aggregator.backends.wait("the first part", |state| state.parts.len() == 1);
+        assert_eq!(read_answer(&mut client).status, 500, "{wire:?}");
+        aggregator.backends.set_behavior(0, Behavior::Serve);
+        assert!(read_answer(&mut client).is_whole(), "{wire:?}");
         let waited = written.elapsed();
         assert!(
             waited > Duration::from_millis(500),
             "{wire:?}: the first request must delay the second, but took {waited:?}"
         );
-        let told = aggregator.board.read(|state| state.told_ms.clone());
+        let timeouts_ms = aggregator.backends.read(|state| state.timeouts_ms.clone());
         let left = u64::from(TIMEOUT_MS).saturating_sub(waited.as_millis() as u64);
         // The second answer follows its part closely.
         assert!(
-            told[1] <= left + SLACK_MS,
+            timeouts_ms[1] <= left + SLACK_MS,
             "{wire:?}: the part carries {} ms and the client has {left} ms left",
-            told[1]
+            timeouts_ms[1]
         );
     }
 }
@@ -105,14 +105,14 @@
     const LATEST: Duration = Duration::from_millis(800 + 500);
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
         let mut client = aggregator.connect();
-        let requests =
-            aggregator.query("", "run-lookup", &[0], 9000) + &aggregator.query("", "run-lookup", &[1], 800);
+        let requests = aggregator.query_bytes("", "run-lookup", &[0], 9000)
+            + &aggregator.query_bytes("", "run-lookup", &[1], 800);
         let written = Instant::now();
         client.write_all(requests.as_bytes()).unwrap();
-        let first = answer(&mut client);
-        let second = answer(&mut client);
+        let first = read_answer(&mut client);
+        let second = read_answer(&mut client);
         assert!(written.elapsed() < LATEST, "{wire:?}: {:?}, {first:?}, {second:?}", written.elapsed());
     }
 }
@@ -123,11 +123,12 @@
 fn what_comes_after_the_last_answer_stays_unread() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        let mut client = aggregator.begin_with("Connection: close\r\n", "run-lookup", &[0], 9000);
-        assert!(answer(&mut client).whole(), "{wire:?}");
+        let mut client =
+            aggregator.send_query_with_headers("Connection: close\r\n", "run-lookup", &[0], 9000);
+        assert!(read_answer(&mut client).is_whole(), "{wire:?}");
         assert_eq!(client.read(&mut [0]).unwrap(), 0, "{wire:?}: the aggregator has shut down its side");
-        client.write_all(aggregator.query("", "run-lookup", &[1], 9000).as_bytes()).unwrap();
-        aggregator.logged("end client");
+        client.write_all(aggregator.query_bytes("", "run-lookup", &[1], 9000).as_bytes()).unwrap();
+        aggregator.wait_for_log("end client");
         let reset = (0..100).any(|_| {
             std::thread::sleep(Duration::from_millis(10));
             client.take_error().unwrap().is_some()
@@ -136,7 +137,7 @@
             reset,
             "{wire:?}: no reset: the request was read, and its client does not know that it has no answer"
         );
-        assert_eq!(aggregator.board.read(|state| state.parts.len()), 1, "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.parts.len()), 1, "{wire:?}");
     }
 }
 
@@ -148,18 +149,18 @@
     const SLACK_MS: u64 = 150;
     for wire in WIRES {
         // Nearly all calls of accept fail, and each failure delays the next call by 5 ms.
-        let aggregator = Aggregator::failing(wire, 1, Some("seed=6 accept=ENFILE@98"), |_, _| {});
+        let aggregator = Aggregator::start_with_faults(wire, 1, Some("seed=6 accept=ENFILE@98"), |_, _| {});
         let mut longest = 0;
         for no in 0..12 {
-            let mut client = aggregator.begin("run-lookup", &[no % 4], TIMEOUT_MS);
+            let mut client = aggregator.send_query("run-lookup", &[no % 4], TIMEOUT_MS);
             let written = Instant::now();
-            assert!(answer(&mut client).whole(), "{wire:?}");
+            assert!(read_answer(&mut client).is_whole(), "{wire:?}");
             let waited = written.elapsed().as_millis() as u64;
-            let told = aggregator.board.read(|state| *state.told_ms.last().unwrap());
+            let sent_timeout_ms = aggregator.backends.read(|state| *state.timeouts_ms.last().unwrap());
             // The answer follows its part closely.
             assert!(
-                told + waited <= u64::from(TIMEOUT_MS) + SLACK_MS,
-                "{wire:?}: the part carries {told} ms after {waited} ms"
+                sent_timeout_ms + waited <= u64::from(TIMEOUT_MS) + SLACK_MS,
+                "{wire:?}: the part carries {sent_timeout_ms} ms after {waited} ms"
             );
             longest = longest.max(waited);
         }
@@ -175,11 +176,11 @@
 fn an_answer_that_is_read_after_the_process_has_ended_is_there() {
     for wire in WIRES {
         let mut aggregator = Aggregator::start(wire, 1);
-        let mut client = aggregator.begin("run-lookup", &[0, 1, 2, 3], 9000);
-        aggregator.board.wait("the parts", |state| state.parts.len() == 4);
+        let mut client = aggregator.send_query("run-lookup", &[0, 1, 2, 3], 9000);
+        aggregator.backends.wait("the parts", |state| state.parts.len() == 4);
         aggregator.signal("TERM");
         assert_eq!(aggregator.wait().code(), Some(0), "{wire:?}");
-        assert!(answer(&mut client).whole(), "{wire:?}");
+        assert!(read_answer(&mut client).is_whole(), "{wire:?}");
         assert_eq!(client.read(&mut [0]).unwrap(), 0, "{wire:?}");
     }
 }
@@ -196,8 +197,8 @@
         let request = b"GET /counters HTTP/1.1\r\n\r\n".repeat(2000);
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_secs(20) && lazy.write(&request).is_ok() {}
-        assert!(aggregator.ask("run-lookup", &[0], 2000).whole(), "{wire:?}");
-        let ended = aggregator.logged("code=too_slow");
+        assert!(aggregator.ask("run-lookup", &[0], 2000).is_whole(), "{wire:?}");
+        let ended = aggregator.wait_for_log("code=too_slow");
         assert!(ended.contains("end client"), "{wire:?}: {ended}");
     }
 }
@@ -206,19 +207,19 @@
 /// connection is still being answered. The time for the second request must not begin only after the first answer.
 #[test]
 fn half_a_request_behind_another_has_its_own_time() {
-    const OWED: Duration = Duration::from_millis(3000);
+    const ERROR_LIMIT: Duration = Duration::from_millis(3000);
     const FIRST: Duration = Duration::from_millis(2500);
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
         let mut client = aggregator.connect();
-        let whole = aggregator.query("", "shift-entry", &[0], FIRST.as_millis() as u32);
-        let half = aggregator.query("", "run-lookup", &[1], 9000);
+        let whole = aggregator.query_bytes("", "shift-entry", &[0], FIRST.as_millis() as u32);
+        let half = aggregator.query_bytes("", "run-lookup", &[1], 9000);
         let stopped = Instant::now();
         client.write_all((whole + &half[..half.len() / 2]).as_bytes()).unwrap();
-        assert_eq!(answer(&mut client).status, 500, "{wire:?}");
-        assert_eq!(answer(&mut client).status, 408, "{wire:?}");
-        assert!(stopped.elapsed() < OWED, "{wire:?}: {:?}", stopped.elapsed());
+        assert_eq!(read_answer(&mut client).status, 500, "{wire:?}");
+        assert_eq!(read_answer(&mut client).status, 408, "{wire:?}");
+        assert!(stopped.elapsed() < ERROR_LIMIT, "{wire:?}: {:?}", stopped.elapsed());
     }
 }
 
@@ -229,18 +230,18 @@
     const LATEST_MS: u128 = 500;
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
         for timeout_ms in [0, 1, 5, 20, 50] {
-            let sent = aggregator.board.read(|state| state.parts.len());
+            let sent = aggregator.backends.read(|state| state.parts.len());
             let asked = Instant::now();
             let answer = aggregator.ask("run-lookup", &[0], timeout_ms);
             let took = asked.elapsed().as_millis();
             assert!(answer.status >= 429, "{wire:?} {timeout_ms}: {answer:?}");
             assert!(took <= u128::from(timeout_ms) + LATEST_MS, "{wire:?} {timeout_ms}: {took}");
-            let sent = aggregator.board.read(|state| state.parts.len()) - sent;
-            assert!(timeout_ms > 0 || (sent == 0 && answer.refused()), "{wire:?}: {sent}, {answer:?}");
+            let sent = aggregator.backends.read(|state| state.parts.len()) - sent;
+            assert!(timeout_ms > 0 || (sent == 0 && answer.is_refused()), "{wire:?}: {sent}, {answer:?}");
         }
-        let told = aggregator.board.read(|state| state.told_ms.clone());
-        assert!(told.iter().all(|told| *told <= 50), "{wire:?}: {told:?}");
+        let timeouts_ms = aggregator.backends.read(|state| state.timeouts_ms.clone());
+        assert!(timeouts_ms.iter().all(|timeout_ms| *timeout_ms <= 50), "{wire:?}: {timeouts_ms:?}");
     }
 }
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -18,21 +18,21 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use aggregator::{answer, line, Aggregator, Answer};
+use aggregator::{endpoint, read_answer, Aggregator, Answer};
 use serde_json::{json, Value};
-use stand_in::{discovery, in_pieces, Act, Board, Wire, WIRES};
+use stand_in::{start_discovery, write_byte_by_byte, Backends, Behavior, Wire, WIRES};
 
 #[test]
 fn a_query_is_served_whole_with_the_values_as_given() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         let answer = aggregator.ask("run-lookup", &[0, 3], 8000);
-        assert!(answer.whole(), "{wire:?}: {answer:?}");
+        assert!(answer.is_whole(), "{wire:?}: {answer:?}");
         for value in ["\"v0\"", "\"v3\""] {
             assert!(answer.body.contains(value), "{wire:?}: {}", answer.body);
         }
         let mut parts =
-            aggregator.board.read(|state| state.parts.iter().map(|part| part.1).collect::<Vec<_>>());
+            aggregator.backends.read(|state| state.parts.iter().map(|part| part.1).collect::<Vec<_>>());
         parts.sort_unstable();
         assert_eq!(parts, [0, 3], "{wire:?}: each part is sent once");
     }
@@ -43,10 +43,10 @@
     for wire in WIRES {
         for class in ["run-lookup", "shift-entry"] {
             let aggregator = Aggregator::start(wire, 2);
-            aggregator.board.act(0, Act::TurnAway);
+            aggregator.backends.set_behavior(0, Behavior::Reject);
             for shard in 0..4 {
                 let answer = aggregator.ask(class, &[shard], 8000);
-                assert!(answer.whole(), "{wire:?} {class}: {answer:?}");
+                assert!(answer.is_whole(), "{wire:?} {class}: {answer:?}");
             }
         }
     }
@@ -55,13 +55,13 @@
 #[test]
 fn an_unsafe_part_that_may_have_run_is_neither_repeated_nor_refused() {
     for wire in WIRES {
-        for act in [Act::Error, Act::Break] {
+        for behavior in [Behavior::Error, Behavior::Disconnect] {
             let aggregator = Aggregator::start(wire, 2);
-            aggregator.board.act(0, act);
-            aggregator.board.act(1, act);
+            aggregator.backends.set_behavior(0, behavior);
+            aggregator.backends.set_behavior(1, behavior);
             let answer = aggregator.ask("shift-entry", &[1], 8000);
-            assert_eq!(answer.status, 500, "{wire:?} {act:?}: {answer:?}");
-            assert_eq!(aggregator.board.read(|state| state.parts.len()), 1, "{wire:?} {act:?}");
+            assert_eq!(answer.status, 500, "{wire:?} {behavior:?}: {answer:?}");
+            assert_eq!(aggregator.backends.read(|state| state.parts.len()), 1, "{wire:?} {behavior:?}");
         }
     }
 }
@@ -69,12 +69,12 @@
 #[test]
 fn a_safe_part_that_failed_is_served_by_another_run_store() {
     for wire in WIRES {
-        for act in [Act::Error, Act::Break] {
+        for behavior in [Behavior::Error, Behavior::Disconnect] {
             let aggregator = Aggregator::start(wire, 2);
-            aggregator.board.act(0, act);
+            aggregator.backends.set_behavior(0, behavior);
             for shard in 0..4 {
                 let answer = aggregator.ask("run-lookup", &[shard], 8000);
-                assert!(answer.whole(), "{wire:?} {act:?}: {answer:?}");
+                assert!(answer.is_whole(), "{wire:?} {behavior:?}: {answer:?}");
             }
         }
     }
@@ -84,11 +84,11 @@
 fn silence_ends_in_one_final_answer_and_a_refusal_never_where_an_unsafe_part_may_run() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
-        aggregator.board.act(0, Act::Silent);
-        aggregator.board.act(1, Act::Silent);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
+        aggregator.backends.set_behavior(1, Behavior::NeverAnswer);
         let answer = aggregator.ask("shift-entry", &[2], 700);
         assert_eq!(answer.status, 500, "{wire:?}: {answer:?}");
-        assert_eq!(aggregator.board.read(|state| state.parts.len()), 1, "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.parts.len()), 1, "{wire:?}");
     }
 }
 
@@ -96,10 +96,10 @@
 fn an_answer_from_enough_parts_is_given_and_not_marked_whole() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Half);
+        aggregator.backends.set_behavior(0, Behavior::AnswerEvenShards);
         let answer = aggregator.ask("run-search", &[0, 1, 2, 3], 9000);
         assert_eq!(answer.status, 200, "{wire:?}: {answer:?}");
-        assert!(!answer.whole(), "{wire:?}: {answer:?}");
+        assert!(!answer.is_whole(), "{wire:?}: {answer:?}");
         for (value, there) in [("\"v0\"", true), ("\"v1\"", false), ("\"v2\"", true), ("\"v3\"", false)] {
             assert_eq!(answer.body.contains(value), there, "{wire:?}: {answer:?}");
         }
@@ -116,11 +116,11 @@
 #[test]
 fn whoever_wants_no_partial_results_gets_none() {
     let aggregator = Aggregator::start(Wire::OpenSearch, 1);
-    aggregator.board.act(0, Act::Half);
+    aggregator.backends.set_behavior(0, Behavior::AnswerEvenShards);
     let mut stream = aggregator.connect();
     let target = "/run-search/_search?allow_partial_search_results=false&timeout=1s";
     stream.write_all(format!("POST {target} HTTP/1.1\r\n\r\n").as_bytes()).unwrap();
-    let answer = answer(&mut stream);
+    let answer = read_answer(&mut stream);
     assert_eq!(answer.status, 500, "{answer:?}");
     assert!(answer.head.contains("\r\nretry-after: 1\r\n"), "{answer:?}");
 }
@@ -129,62 +129,68 @@
 fn a_client_that_leaves_mid_search_has_its_parts_called_back() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
-        let client = aggregator.begin("run-search", &[0, 1], 8000);
-        aggregator.board.wait("both parts", |state| state.parts.len() == 2);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
+        let client = aggregator.send_query("run-search", &[0, 1], 8000);
+        aggregator.backends.wait("both parts", |state| state.parts.len() == 2);
         drop(client);
-        aggregator.board.wait("both parts to be cancelled", |state| state.given_up.len() == 2);
+        aggregator.backends.wait("both parts to be cancelled", |state| state.cancelled.len() == 2);
         let counters = aggregator.counters();
         assert!(counters.contains("clients_gone=1 "), "{wire:?}: {counters}");
-        aggregator.board.act(0, Act::Serve);
-        assert!(aggregator.ask("run-lookup", &[0], 8000).whole(), "{wire:?}: the next query is served");
+        aggregator.backends.set_behavior(0, Behavior::Serve);
+        assert!(aggregator.ask("run-lookup", &[0], 8000).is_whole(), "{wire:?}: the next query is served");
     }
 }
 
 #[test]
 fn nothing_is_sent_to_a_run_store_that_is_told_to_drain() {
     for (wire, mode) in WIRES.into_iter().flat_map(|wire| [(wire, "subscribe"), (wire, "automatic")]) {
-        let aggregator = Aggregator::changed(wire, 2, |config, _| {
+        let aggregator = Aggregator::start_with_config(wire, 2, |config, _| {
             config["settings"]["discovery"] = json!(mode);
         });
         let drained = aggregator.stores[0];
-        aggregator.board.tell(json!([line(0, drained, "draining", 0)]));
+        aggregator.backends.publish_and_wait(json!([endpoint(0, drained, "draining", 0)]));
         for shard in 0..4 {
-            assert!(aggregator.ask("run-lookup", &[shard], 8000).whole(), "{wire:?}");
+            assert!(aggregator.ask("run-lookup", &[shard], 8000).is_whole(), "{wire:?}");
         }
-        let stores = aggregator.board.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
+        let stores =
+            aggregator.backends.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
         assert_eq!(stores, [1, 1, 1, 1], "{wire:?}");
-        aggregator
-            .board
-            .tell(json!([line(0, drained, "ready", 0), line(1, aggregator.stores[1], "gone", 0)]));
-        assert!(aggregator.ask("run-lookup", &[0], 8000).whole(), "{wire:?}");
-        assert_eq!(aggregator.board.read(|state| state.parts.last().map(|part| part.0)), Some(0), "{wire:?}");
+        aggregator.backends.publish_and_wait(json!([
+            endpoint(0, drained, "ready", 0),
+            endpoint(1, aggregator.stores[1], "gone", 0)
+        ]));
+        assert!(aggregator.ask("run-lookup", &[0], 8000).is_whole(), "{wire:?}");
+        assert_eq!(
+            aggregator.backends.read(|state| state.parts.last().map(|part| part.0)),
+            Some(0),
+            "{wire:?}"
+        );
     }
 }
 
 #[test]
 fn discovery_that_fails_is_asked_again_and_the_old_list_stands_meanwhile() {
     let aggregator = Aggregator::start(Wire::Frames, 2);
-    aggregator.board.change(|state| state.failures = 3);
+    aggregator.backends.change(|state| state.discovery_failures = 3);
     // The call in flight is answered first; the next ones fail.
-    aggregator.board.tell(json!([line(0, aggregator.stores[0], "draining", 0)]));
-    aggregator.board.wait("the failures", |state| state.failures == 0);
+    aggregator.backends.publish_and_wait(json!([endpoint(0, aggregator.stores[0], "draining", 0)]));
+    aggregator.backends.wait("the failures", |state| state.discovery_failures == 0);
     for shard in 0..4 {
-        assert!(aggregator.ask("run-lookup", &[shard], 8000).whole());
+        assert!(aggregator.ask("run-lookup", &[shard], 8000).is_whole());
     }
-    aggregator.logged("end discovery");
-    aggregator.board.tell(json!([line(0, aggregator.stores[0], "ready", 0)]));
+    aggregator.wait_for_log("end discovery");
+    aggregator.backends.publish_and_wait(json!([endpoint(0, aggregator.stores[0], "ready", 0)]));
 }
 
 #[test]
 fn what_discovery_turned_down_is_not_asked_again_at_once() {
     let aggregator = Aggregator::start(Wire::Frames, 2);
-    let ready = || json!([line(0, aggregator.stores[0], "ready", 0)]);
-    aggregator.board.tell(ready());
+    let ready = || json!([endpoint(0, aggregator.stores[0], "ready", 0)]);
+    aggregator.backends.publish_and_wait(ready());
     // The call in flight is answered, and the next one gets a 503 on the same connection.
-    aggregator.board.change(|state| state.failures = 2);
-    aggregator.board.list(ready());
-    let ended = aggregator.logged("end discovery");
+    aggregator.backends.change(|state| state.discovery_failures = 2);
+    aggregator.backends.publish(ready());
+    let ended = aggregator.wait_for_log("end discovery");
     assert!(ended.contains("status 503"), "{ended}");
 }
 
@@ -196,19 +202,19 @@
         config["settings"]["balancers"] = json!(300);
         config["settings"]["rules"] = json!({"ask_every_ms": 600_000.0});
     };
-    let all = WIRES.map(|wire| (wire, Aggregator::changed(wire, 2, many)));
+    let all = WIRES.map(|wire| (wire, Aggregator::start_with_config(wire, 2, many)));
     for (_, aggregator) in &all {
         // The call in flight is answered, and the next one never.
-        aggregator.board.change(|state| state.hangs = true);
-        let calls = aggregator.board.read(|state| state.calls);
-        aggregator.board.list(json!([line(0, aggregator.stores[0], "ready", 0)]));
-        aggregator.board.wait("a call that hangs", |state| state.calls > calls);
-        aggregator.board.change(|state| state.hangs = false);
+        aggregator.backends.change(|state| state.discovery_hangs = true);
+        let calls = aggregator.backends.read(|state| state.discovery_calls);
+        aggregator.backends.publish(json!([endpoint(0, aggregator.stores[0], "ready", 0)]));
+        aggregator.backends.wait("a call that hangs", |state| state.discovery_calls > calls);
+        aggregator.backends.change(|state| state.discovery_hangs = false);
     }
     for (wire, aggregator) in &all {
-        aggregator.board.tell(json!([line(0, aggregator.stores[0], "draining", 0)]));
-        assert!(aggregator.ask("run-lookup", &[0], 9000).whole(), "{wire:?}");
-        assert_eq!(aggregator.board.read(|state| state.parts.clone()), [(1, 0)], "{wire:?}");
+        aggregator.backends.publish_and_wait(json!([endpoint(0, aggregator.stores[0], "draining", 0)]));
+        assert!(aggregator.ask("run-lookup", &[0], 9000).is_whole(), "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.parts.clone()), [(1, 0)], "{wire:?}");
     }
 }
 
@@ -220,56 +226,62 @@
         config["settings"]["balancers"] = json!(300);
         config["settings"]["rules"] = json!({"ask_every_ms": 600_000.0});
     };
-    let told_within = Duration::from_millis(6000);
-    let all = [false, true].map(|silent| (silent, Aggregator::changed(Wire::Frames, 2, many)));
+    let time_limit = Duration::from_millis(6000);
+    let all = [false, true].map(|silent| (silent, Aggregator::start_with_config(Wire::Frames, 2, many)));
     let begun: Vec<_> = all
         .iter()
         .map(|(silent, aggregator)| {
-            let board = &aggregator.board;
-            board.wait("the watch", |state| state.calls > 0);
-            let calls = board.read(|state| state.calls);
-            board.change(|state| if *silent { state.hangs = true } else { state.failures = 3 });
-            board.list(json!([line(0, aggregator.stores[0], "ready", 0)]));
+            let backends = &aggregator.backends;
+            backends.wait("the watch", |state| state.discovery_calls > 0);
+            let calls = backends.read(|state| state.discovery_calls);
+            backends.change(|state| {
+                if *silent {
+                    state.discovery_hangs = true
+                } else {
+                    state.discovery_failures = 3
+                }
+            });
+            backends.publish(json!([endpoint(0, aggregator.stores[0], "ready", 0)]));
             if *silent {
-                board.wait("a call that hangs", |state| state.calls > calls);
-                board.change(|state| state.hangs = false);
+                backends.wait("a call that hangs", |state| state.discovery_calls > calls);
+                backends.change(|state| state.discovery_hangs = false);
             } else {
-                board.wait("the failures", |state| state.failures == 0);
+                backends.wait("the failures", |state| state.discovery_failures == 0);
             }
             Instant::now()
         })
         .collect();
     for ((silent, aggregator), begun) in all.iter().zip(begun) {
-        aggregator.board.tell(json!([line(0, aggregator.stores[0], "draining", 0)]));
-        assert!(begun.elapsed() < told_within, "silent: {silent}, {:?}", begun.elapsed());
+        aggregator.backends.publish_and_wait(json!([endpoint(0, aggregator.stores[0], "draining", 0)]));
+        assert!(begun.elapsed() < time_limit, "silent: {silent}, {:?}", begun.elapsed());
     }
 }
 
 /// The new discovery accepts connections and does not answer for a while: calls to it must time out and be retried.
 #[test]
 fn a_change_is_here_in_time_after_a_reload_to_a_discovery_that_says_nothing() {
-    let aggregator = Aggregator::changed(Wire::Frames, 2, |config, _| {
+    let aggregator = Aggregator::start_with_config(Wire::Frames, 2, |config, _| {
         config["settings"]["balancers"] = json!(300);
         config["settings"]["rules"] = json!({"ask_every_ms": 600_000.0});
     });
-    let silent = stand_in::socket();
+    let silent = stand_in::bind_socket();
     let address = silent.local_addr().unwrap();
     aggregator.reload(&aggregator.configuration(|config| config["discovery"] = json!(address.to_string())));
-    aggregator.logged("reload: done");
-    aggregator.logged("end discovery");
+    aggregator.wait_for_log("reload: done");
+    aggregator.wait_for_log("end discovery");
     // The first call there times out.
-    aggregator.logged("code=too_slow");
-    let board = Arc::new(Board::default());
-    board.list(json!([
-        line(0, aggregator.stores[0], "draining", 0),
-        line(1, aggregator.stores[1], "ready", 0)
+    aggregator.wait_for_log("code=too_slow");
+    let backends = Arc::new(Backends::default());
+    backends.publish(json!([
+        endpoint(0, aggregator.stores[0], "draining", 0),
+        endpoint(1, aggregator.stores[1], "ready", 0)
     ]));
     let begun = Instant::now();
-    stand_in::discovery_on(silent, &board);
-    board.tell(json!([line(1, aggregator.stores[1], "ready", 0)]));
+    stand_in::start_discovery_on(silent, &backends);
+    backends.publish_and_wait(json!([endpoint(1, aggregator.stores[1], "ready", 0)]));
     assert!(begun.elapsed() < Duration::from_millis(6000), "{:?}", begun.elapsed());
-    assert!(aggregator.ask("run-lookup", &[0], 8000).whole());
-    assert_eq!(aggregator.board.read(|state| state.parts.clone()), [(1, 0)]);
+    assert!(aggregator.ask("run-lookup", &[0], 8000).is_whole());
+    assert_eq!(aggregator.backends.read(|state| state.parts.clone()), [(1, 0)]);
 }
 
 /// All aggregators of a fleet may start at once, so each makes only one call to discovery, which fetches the list and
@@ -277,8 +289,8 @@
 #[test]
 fn the_first_call_to_discovery_is_the_watch() {
     let aggregator = Aggregator::start(Wire::Frames, 2);
-    aggregator.board.wait("a call", |state| state.calls > 0);
-    assert!(aggregator.board.read(|state| state.waits[0]) > 0);
+    aggregator.backends.wait("a call", |state| state.discovery_calls > 0);
+    assert!(aggregator.backends.read(|state| state.watch_waits_ms[0]) > 0);
 }
 
 #[test]
@@ -287,22 +299,23 @@
         let aggregator = Aggregator::start(wire, 2);
         let [drained, other] = aggregator.stores[..] else { panic!() };
         // The old service reaches version 2 and then hangs; the new one is at version 1.
-        aggregator.board.tell(json!([line(0, drained, "draining", 0)]));
-        aggregator.board.change(|state| state.hangs = true);
-        let calls = aggregator.board.read(|state| state.calls);
-        aggregator.board.list(json!([line(0, drained, "ready", 0)]));
-        aggregator.board.wait("a call that hangs", |state| state.calls > calls);
-        let elsewhere = Arc::new(Board::default());
-        elsewhere.list(json!([line(0, drained, "ready", 0), line(1, other, "draining", 0)]));
-        let address = discovery(&elsewhere).to_string();
+        aggregator.backends.publish_and_wait(json!([endpoint(0, drained, "draining", 0)]));
+        aggregator.backends.change(|state| state.discovery_hangs = true);
+        let calls = aggregator.backends.read(|state| state.discovery_calls);
+        aggregator.backends.publish(json!([endpoint(0, drained, "ready", 0)]));
+        aggregator.backends.wait("a call that hangs", |state| state.discovery_calls > calls);
+        let elsewhere = Arc::new(Backends::default());
+        elsewhere.publish(json!([endpoint(0, drained, "ready", 0), endpoint(1, other, "draining", 0)]));
+        let address = start_discovery(&elsewhere).to_string();
         aggregator.reload(&aggregator.configuration(|config| config["discovery"] = json!(address)));
-        let ended = aggregator.logged("end discovery");
+        let ended = aggregator.wait_for_log("end discovery");
         assert!(ended.contains("code=retired"), "{wire:?}: {ended}");
-        elsewhere.wait("the watch to continue at the new discovery", |state| state.calls >= 2);
+        elsewhere.wait("the watch to continue at the new discovery", |state| state.discovery_calls >= 2);
         for shard in 0..4 {
-            assert!(aggregator.ask("run-lookup", &[shard], 8000).whole(), "{wire:?}");
+            assert!(aggregator.ask("run-lookup", &[shard], 8000).is_whole(), "{wire:?}");
         }
-        let stores = aggregator.board.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
+        let stores =
+            aggregator.backends.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
         assert_eq!(stores, [0; 4], "{wire:?}: the new list is in effect");
     }
 }
@@ -313,20 +326,25 @@
         let aggregator = Aggregator::start(wire, 2);
         let sound = aggregator.configuration(|_| {});
         aggregator.reload(&aggregator.configuration(|config| config["discovery"] = json!("nowhere")));
-        let line = aggregator.logged("reload:");
+        let line = aggregator.wait_for_log("reload:");
         assert!(line.contains("the old configuration stays") && line.contains("key discovery"), "{line}");
         aggregator.reload("{");
-        let line = aggregator.logged("reload:");
+        let line = aggregator.wait_for_log("reload:");
         assert!(line.contains("the old configuration stays"), "{line}");
         aggregator.reload(&sound.replace("127.0.0.1:0", "127.0.0.1:1"));
         for key in ["listen", "operator"] {
-            let line = aggregator.logged("reload:");
+            let line = aggregator.wait_for_log("reload:");
             assert!(line.contains(&format!("key {key} has changed and needs a restart")), "{line}");
         }
-        assert_eq!(aggregator.logged("reload:"), "reload: done");
-        assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).whole(), "{wire:?}");
+        assert_eq!(aggregator.wait_for_log("reload:"), "reload: done");
+        assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).is_whole(), "{wire:?}");
         // The watch continues at the same discovery.
-        aggregator.board.tell(json!([aggregator::line(0, aggregator.stores[0], "draining", 0)]));
+        aggregator.backends.publish_and_wait(json!([aggregator::endpoint(
+            0,
+            aggregator.stores[0],
+            "draining",
+            0
+        )]));
     }
 }
 
@@ -334,12 +352,12 @@
 fn a_new_start_time_is_a_new_process_and_gets_a_new_connection() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        assert!(aggregator.ask("run-lookup", &[0], 8000).whole(), "{wire:?}");
-        assert_eq!(aggregator.board.read(|state| state.connections[&0]), 1, "{wire:?}");
-        aggregator.board.tell(json!([line(0, aggregator.stores[0], "ready", 1)]));
-        assert!(aggregator.ask("run-lookup", &[0], 8000).whole(), "{wire:?}");
-        assert_eq!(aggregator.board.read(|state| state.connections[&0]), 2, "{wire:?}");
-        let line = aggregator.logged("end run_store");
+        assert!(aggregator.ask("run-lookup", &[0], 8000).is_whole(), "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.connections[&0]), 1, "{wire:?}");
+        aggregator.backends.publish_and_wait(json!([endpoint(0, aggregator.stores[0], "ready", 1)]));
+        assert!(aggregator.ask("run-lookup", &[0], 8000).is_whole(), "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.connections[&0]), 2, "{wire:?}");
+        let line = aggregator.wait_for_log("end run_store");
         assert!(line.contains("code=retired"), "{wire:?}: {line}");
     }
 }
@@ -348,11 +366,11 @@
 fn a_burst_meets_a_new_run_store_with_one_connection_coming_up_at_a_time() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        let clients: Vec<_> = (0..20).map(|n| aggregator.begin("run-lookup", &[n % 4], 9000)).collect();
+        let clients: Vec<_> = (0..20).map(|n| aggregator.send_query("run-lookup", &[n % 4], 9000)).collect();
         for mut client in clients {
-            assert!(answer(&mut client).status < 600);
+            assert!(read_answer(&mut client).status < 600);
         }
-        let made = aggregator.board.read(|state| state.connections[&0]);
+        let made = aggregator.backends.read(|state| state.connections[&0]);
         let most = if wire == Wire::Frames { 1 } else { 20 };
         assert!(made <= most, "{wire:?}: {made} connections");
     }
@@ -361,16 +379,16 @@
 #[test]
 fn at_the_limit_queries_are_refused_at_once_with_advice() {
     for wire in WIRES {
-        let aggregator = Aggregator::with(wire, 1, 2);
-        aggregator.board.act(0, Act::Silent);
-        let held = aggregator.begin("run-lookup", &[0, 1], 8000);
-        aggregator.board.wait("the first query", |state| state.parts.len() == 2);
+        let aggregator = Aggregator::start_with_max_open(wire, 1, 2);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
+        let held = aggregator.send_query("run-lookup", &[0, 1], 8000);
+        aggregator.backends.wait("the first query", |state| state.parts.len() == 2);
         let answer = aggregator.ask("run-lookup", &[2], 8000);
-        assert!(answer.refused(), "{wire:?}: {answer:?}");
+        assert!(answer.is_refused(), "{wire:?}: {answer:?}");
         // About a quarter of the aim of 2 s, with jitter; the OpenSearch-style API rounds to whole seconds.
         let advice = |answer: &Answer| -> f64 {
-            let told = answer.head.lines().find_map(|line| line.strip_prefix("retry-after: "));
-            told.expect("a Retry-After header").parse().expect("a number of seconds")
+            let header = answer.head.lines().find_map(|line| line.strip_prefix("retry-after: "));
+            header.expect("a Retry-After header").parse().expect("a number of seconds")
         };
         let (first, second) = (advice(&answer), advice(&aggregator.ask("run-lookup", &[2], 8000)));
         match wire {
@@ -384,7 +402,7 @@
             Wire::OpenSearch => assert_eq!((first, second), (1.0, 1.0)),
         }
         assert_eq!(
-            aggregator.board.read(|state| state.parts.len()),
+            aggregator.backends.read(|state| state.parts.len()),
             2,
             "{wire:?}: no part of a refused query is sent"
         );
@@ -396,18 +414,18 @@
 fn sigterm_answers_what_is_held_and_exits_with_0() {
     for wire in WIRES {
         let mut aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
-        let mut held = aggregator.begin("run-lookup", &[0], 900);
-        aggregator.board.wait("the part", |state| state.parts.len() == 1);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
+        let mut held = aggregator.send_query("run-lookup", &[0], 900);
+        aggregator.backends.wait("the part", |state| state.parts.len() == 1);
         aggregator.signal("TERM");
-        aggregator.logged("draining");
+        aggregator.wait_for_log("draining");
         // The process still accepts connections for a while.
-        aggregator.board.act(0, Act::Serve);
+        aggregator.backends.set_behavior(0, Behavior::Serve);
         let late = aggregator.ask("run-lookup", &[1], 8000);
-        assert!(late.whole(), "{wire:?}: {late:?}");
+        assert!(late.is_whole(), "{wire:?}: {late:?}");
         assert!(late.head.contains("\r\nconnection: close"), "{wire:?}: {late:?}");
-        assert_ne!(answer(&mut held).status, 0);
-        let counters = aggregator.logged("counters ");
+        assert_ne!(read_answer(&mut held).status, 0);
+        let counters = aggregator.wait_for_log("counters ");
         assert!(counters.contains("taken=2 "), "{wire:?}: {counters}");
         assert_eq!(aggregator.wait().code(), Some(0), "{wire:?}");
     }
@@ -425,7 +443,12 @@
             (b"POST /run-lookup HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
             (b"GET / HTTP/2.0\r\n\r\n", 505),
         ] {
-            assert_eq!(aggregator.raw(bytes).status, status, "{wire:?}: {}", String::from_utf8_lossy(bytes));
+            assert_eq!(
+                aggregator.send_raw(bytes).status,
+                status,
+                "{wire:?}: {}",
+                String::from_utf8_lossy(bytes)
+            );
         }
         let aggregator = Aggregator::start(wire, 1);
         assert_eq!(aggregator.ask("no-such-class", &[0], 1000).status, 404, "{wire:?}");
@@ -434,14 +457,14 @@
         let head = "POST /run-lookup/_search HTTP/1.1\r\nX-Request-ID: a\r\nContent-Length: 1\r\n\r\n{";
         for _ in 0..2 {
             stream.write_all(head.as_bytes()).unwrap();
-            assert_eq!(answer(&mut stream).status, 400, "{wire:?}");
+            assert_eq!(read_answer(&mut stream).status, 400, "{wire:?}");
         }
-        assert_eq!(aggregator.board.read(|state| state.parts.len()), 0, "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.parts.len()), 0, "{wire:?}");
     }
 }
 
 /// Invalid answers of run stores: none may be passed to a client, and after each the part may have run.
-const UNEXPECTED: [&str; 7] = [
+const INVALID_ANSWERS: [&str; 7] = [
     "HTTP/1.1 502 Bad Gateway\r\nContent-Type: text/html\r\n\r\n<html><body>Bad Gateway</body></html>",
     "HTTP/1.1 200 OK\r\nContent-Type: text/html\r\n\r\n<html>welcome</html>",
     "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"took\":1,\"timed_out\":fal",
@@ -454,20 +477,20 @@
 
 #[test]
 fn an_answer_in_an_unexpected_form_is_no_answer() {
-    for form in UNEXPECTED {
+    for form in INVALID_ANSWERS {
         let aggregator = Aggregator::start(Wire::OpenSearch, 2);
-        aggregator.board.act(0, Act::Raw(form));
+        aggregator.backends.set_behavior(0, Behavior::Raw(form));
         for shard in 0..2 {
             let answer = aggregator.ask("run-lookup", &[shard], 8000);
-            assert!(answer.whole(), "{form}: {answer:?}");
+            assert!(answer.is_whole(), "{form}: {answer:?}");
         }
-        aggregator.board.act(1, Act::Raw(form));
-        let before = aggregator.board.read(|state| state.parts.len());
+        aggregator.backends.set_behavior(1, Behavior::Raw(form));
+        let before = aggregator.backends.read(|state| state.parts.len());
         let answer = aggregator.ask("shift-entry", &[0], 8000);
         assert_eq!(answer.status, 500, "{form}: {answer:?}");
         assert_eq!(answer.json()["error"]["type"], json!("search_phase_execution_exception"));
         assert_eq!(
-            aggregator.board.read(|state| state.parts.len()),
+            aggregator.backends.read(|state| state.parts.len()),
             before + 1,
             "{form}: an unsafe part is not retried"
         );
@@ -477,9 +500,9 @@
 #[test]
 fn a_frame_that_cannot_be_read_ends_its_connection_and_may_have_run() {
     let aggregator = Aggregator::start(Wire::Frames, 1);
-    aggregator.board.act(0, Act::Raw(""));
+    aggregator.backends.set_behavior(0, Behavior::Raw(""));
     assert_eq!(aggregator.ask("shift-entry", &[0], 8000).status, 500);
-    let line = aggregator.logged("end run_store");
+    let line = aggregator.wait_for_log("end run_store");
     assert!(line.contains("code=protocol"), "{line}");
 }
 
@@ -487,12 +510,12 @@
 fn an_answer_that_begins_and_never_ends_holds_up_nothing() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
-        aggregator.board.act(0, Act::Stuck);
+        aggregator.backends.set_behavior(0, Behavior::NeverFinishAnswer);
         for shard in 0..4 {
             let answer = aggregator.ask("run-lookup", &[shard], 8000);
-            assert!(answer.whole(), "{wire:?}: {answer:?}");
+            assert!(answer.is_whole(), "{wire:?}: {answer:?}");
         }
-        let line = aggregator.logged("end run_store");
+        let line = aggregator.wait_for_log("end run_store");
         // A search is cancelled by closing its connection. An unfinished frame would block all other answers on its
         // connection.
         let code = if wire == Wire::Frames { "code=protocol" } else { "code=asked" };
@@ -504,31 +527,31 @@
 fn peers_may_write_a_byte_at_a_time() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
-        aggregator.board.act(0, Act::Pieces);
-        aggregator.board.act(1, Act::Pieces);
+        aggregator.backends.set_behavior(0, Behavior::ServeByteByByte);
+        aggregator.backends.set_behavior(1, Behavior::ServeByteByByte);
         for shards in [&[0][..], &[0, 1, 2, 3]] {
-            assert!(aggregator.ask("run-lookup", shards, 9000).whole(), "{wire:?}");
+            assert!(aggregator.ask("run-lookup", shards, 9000).is_whole(), "{wire:?}");
         }
         let mut client = aggregator.connect();
-        in_pieces(&mut client, b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
-        assert_eq!(answer(&mut client).status, 200, "{wire:?}");
+        write_byte_by_byte(&mut client, b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
+        assert_eq!(read_answer(&mut client).status, 200, "{wire:?}");
         let mut caller = std::net::TcpStream::connect(aggregator.operator.unwrap()).unwrap();
-        in_pieces(&mut caller, b"PUT /run-stores/s-0/maint HTTP/1.1\r\n\r\n").unwrap();
-        assert_eq!(answer(&mut caller).status, 200, "{wire:?}");
+        write_byte_by_byte(&mut caller, b"PUT /run-stores/s-0/maint HTTP/1.1\r\n\r\n").unwrap();
+        assert_eq!(read_answer(&mut caller).status, 200, "{wire:?}");
     }
 }
 
 #[test]
 fn a_connection_that_falls_silent_is_not_taken_for_its_run_store() {
-    for (wire, copies) in WIRES.into_iter().flat_map(|wire| [(wire, true), (wire, false)]) {
-        let aggregator = Aggregator::changed(wire, 1, |config, _| {
-            config["settings"]["caps"]["parallel_tries"] = json!(copies);
+    for (wire, second_copies) in WIRES.into_iter().flat_map(|wire| [(wire, true), (wire, false)]) {
+        let aggregator = Aggregator::start_with_config(wire, 1, |config, _| {
+            config["settings"]["caps"]["parallel_tries"] = json!(second_copies);
         });
-        aggregator.board.act(0, Act::Mute);
-        let held = aggregator.begin("shift-entry", &[0], 9000);
-        aggregator.board.wait("the part", |state| state.parts.len() == 1);
-        aggregator.board.act(0, Act::Serve);
-        if wire == Wire::Frames && !copies {
+        aggregator.backends.set_behavior(0, Behavior::Unresponsive);
+        let held = aggregator.send_query("shift-entry", &[0], 9000);
+        aggregator.backends.wait("the part", |state| state.parts.len() == 1);
+        aggregator.backends.set_behavior(0, Behavior::Serve);
+        if wire == Wire::Frames && !second_copies {
             // The next part is sent on the same connection. Nothing proves that it has ended there, so it is not
             // sent a second time.
             assert_eq!(aggregator.ask("run-lookup", &[2], 2500).status, 500);
@@ -536,7 +559,7 @@
         // The held part must not be retried. Other parts are served by the same run store on another connection.
         for _ in 0..3 {
             let answer = aggregator.ask("run-lookup", &[1], 8000);
-            assert!(answer.whole(), "{wire:?}: {answer:?}");
+            assert!(answer.is_whole(), "{wire:?}: {answer:?}");
         }
         drop(held);
     }
@@ -561,11 +584,11 @@
         let mut stream = aggregator.connect();
         let head = format!("POST {target} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         stream.write_all(head.as_bytes()).unwrap();
-        assert_eq!(aggregator::answer(&mut stream).status, 400, "{target} {body}");
+        assert_eq!(aggregator::read_answer(&mut stream).status, 400, "{target} {body}");
     }
     let mut stream = aggregator.connect();
     stream.write_all(b"POST /run-search/_search?size=3 HTTP/1.1\r\nX-Opaque-Id: desk-7\r\n\r\n").unwrap();
-    let answer = aggregator::answer(&mut stream);
+    let answer = aggregator::read_answer(&mut stream);
     assert!(answer.head.contains("\r\nx-opaque-id: desk-7"), "{answer:?}");
     let json = answer.json();
     assert_eq!(json["_shards"], json!({"total": 4, "successful": 4, "skipped": 0, "failed": 0}));
@@ -573,10 +596,10 @@
     assert_eq!(json["hits"]["hits"].as_array().unwrap().len(), 3);
     assert!(json["took"].is_u64());
     stream.write_all(b"GET /run-search/_count?routing=run-7 HTTP/1.1\r\n\r\n").unwrap();
-    let json = aggregator::answer(&mut stream).json();
+    let json = aggregator::read_answer(&mut stream).json();
     assert_eq!((&json["count"], &json["_shards"]["total"]), (&json!(1), &json!(1)));
     stream.write_all(b"GET /run-search/_count?size=3 HTTP/1.1\r\n\r\n").unwrap();
-    assert_eq!(aggregator::answer(&mut stream).status, 400);
+    assert_eq!(aggregator::read_answer(&mut stream).status, 400);
 }
 
 #[test]
@@ -597,29 +620,30 @@
         let head = b"POST /run-lookup/_search HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
         stream.write_all(head).unwrap();
         stream.write_all(b"5\r\n{\"siz\r\n6;x=y\r\ne\": 2}\r\n0\r\n\r\n").unwrap();
-        assert_eq!(answer(&mut stream).json()["hits"]["hits"].as_array().unwrap().len(), 2);
+        assert_eq!(read_answer(&mut stream).json()["hits"]["hits"].as_array().unwrap().len(), 2);
     }
     drop(stream);
-    let line = aggregator.logged("end client");
+    let line = aggregator.wait_for_log("end client");
     assert!(line.contains("code=peer_closed requests=2"), "{line}");
 }
 
 #[test]
 fn without_room_for_a_connection_an_idle_one_goes_or_the_new_one_is_refused() {
     for wire in WIRES {
-        let aggregator = Aggregator::changed(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
-        aggregator.board.act(0, Act::Silent);
+        let aggregator =
+            Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
         // 128 descriptors leave room for 42 clients.
         let mut idle = aggregator.connect();
         idle.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-        assert_eq!(answer(&mut idle).status, 200);
-        let held: Vec<_> = (0..42).map(|n| aggregator.begin("run-lookup", &[n % 4], 9000)).collect();
-        let line = aggregator.logged("end client");
+        assert_eq!(read_answer(&mut idle).status, 200);
+        let held: Vec<_> = (0..42).map(|n| aggregator.send_query("run-lookup", &[n % 4], 9000)).collect();
+        let line = aggregator.wait_for_log("end client");
         assert!(line.contains("code=full requests=1"), "{wire:?}: {line}");
         // Until its request is read, a new connection also counts as idle.
         loop {
             aggregator.signal("USR1");
-            if aggregator.logged("counters ").contains("taken=42 ") {
+            if aggregator.wait_for_log("counters ").contains("taken=42 ") {
                 break;
             }
         }
@@ -627,9 +651,9 @@
         assert_eq!(refused.status, 503, "{wire:?}: {refused:?}");
         assert!(refused.head.contains("\r\nretry-after: "), "{wire:?}: {refused:?}");
         drop(held);
-        aggregator.logged("code=client_gone");
-        aggregator.board.act(0, Act::Serve);
-        assert!(aggregator.ask("run-lookup", &[0], 9000).whole(), "{wire:?}: there is room again");
+        aggregator.wait_for_log("code=client_gone");
+        aggregator.backends.set_behavior(0, Behavior::Serve);
+        assert!(aggregator.ask("run-lookup", &[0], 9000).is_whole(), "{wire:?}: there is room again");
     }
 }
 
@@ -638,7 +662,7 @@
 #[test]
 fn more_run_stores_than_connections_serve_a_query_of_them_all() {
     for wire in WIRES {
-        let aggregator = Aggregator::changed(wire, 40, |config, _| {
+        let aggregator = Aggregator::start_with_config(wire, 40, |config, _| {
             config["limits"]["sockets"] = json!(128);
             config["settings"]["domain"]["width"] = json!(1);
             config["settings"]["domain"]["shards"] = json!(40);
@@ -648,11 +672,11 @@
         let all: Vec<u32> = (0..40).collect();
         for round in 0..2 {
             let answer = aggregator.ask("run-lookup", &all, 8000);
-            assert!(answer.whole(), "{wire:?} {round}: {answer:?}");
+            assert!(answer.is_whole(), "{wire:?} {round}: {answer:?}");
         }
-        let sent = aggregator.board.read(|state| state.parts.len());
+        let sent = aggregator.backends.read(|state| state.parts.len());
         assert_eq!(sent, 80, "{wire:?}: each part is sent once");
-        aggregator.logged("code=full");
+        aggregator.wait_for_log("code=full");
     }
 }
 
@@ -673,7 +697,7 @@
         let reset = |error: &std::io::Error| error.kind() == std::io::ErrorKind::ConnectionReset;
         assert!(matches!(&closed, Ok(0)) || closed.as_ref().is_err_and(reset), "{wire:?}: {closed:?}");
         for stream in [&mut slow, &mut half] {
-            assert_eq!(answer(stream).status, 408, "{wire:?}");
+            assert_eq!(read_answer(stream).status, 408, "{wire:?}");
             assert_eq!(stream.read(&mut [0]).unwrap(), 0, "{wire:?}: the connection is closed");
         }
     }
@@ -682,15 +706,16 @@
 #[test]
 fn silent_connections_do_not_push_out_one_that_has_asked() {
     for wire in WIRES {
-        let aggregator = Aggregator::changed(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
+        let aggregator =
+            Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
         let mut usual = aggregator.connect();
         let mut silent = Vec::new();
         for _ in 0..3 {
             usual.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-            assert_eq!(answer(&mut usual).status, 200, "{wire:?}");
+            assert_eq!(read_answer(&mut usual).status, 200, "{wire:?}");
             // There is room for 42 connections in total.
             silent.extend((0..60).map(|_| aggregator.connect()));
-            let line = aggregator.logged("code=full");
+            let line = aggregator.wait_for_log("code=full");
             assert!(line.contains("requests=0"), "{wire:?}: {line}");
         }
     }
@@ -699,22 +724,23 @@
 #[test]
 fn a_new_connection_is_not_closed_for_the_next_while_kept_ones_stand_idle() {
     for wire in WIRES {
-        let aggregator = Aggregator::changed(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
+        let aggregator =
+            Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
         let ask = b"GET /healthz HTTP/1.1\r\n\r\n";
         // Clients that send one request and keep their connections fill all the room.
         let mut kept: Vec<_> = (0..42).map(|_| aggregator.connect()).collect();
         for stream in &mut kept {
             stream.write_all(ask).unwrap();
-            assert_eq!(answer(stream).status, 200, "{wire:?}");
+            assert_eq!(read_answer(stream).status, 200, "{wire:?}");
         }
         let mut new: Vec<_> = (0..5).map(|_| aggregator.connect()).collect();
         for _ in 0..5 {
-            let line = aggregator.logged("code=full");
+            let line = aggregator.wait_for_log("code=full");
             assert!(line.contains("requests=1"), "{wire:?}: {line}");
         }
         for stream in &mut new {
             stream.write_all(ask).unwrap();
-            assert_eq!(answer(stream).status, 200, "{wire:?}");
+            assert_eq!(read_answer(stream).status, 200, "{wire:?}");
         }
     }
 }
@@ -722,16 +748,17 @@
 #[test]
 fn connections_kept_without_a_request_take_a_quarter_of_the_room_at_most() {
     for wire in WIRES {
-        let aggregator = Aggregator::changed(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
+        let aggregator =
+            Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
         let mut kept = Vec::new();
         // There is room for 42 connections, of which ten may be idle.
         for _ in 0..11 {
             let mut stream = aggregator.connect();
             stream.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-            assert_eq!(answer(&mut stream).status, 200, "{wire:?}");
+            assert_eq!(read_answer(&mut stream).status, 200, "{wire:?}");
             kept.push(stream);
         }
-        let line = aggregator.logged("end client");
+        let line = aggregator.wait_for_log("end client");
         assert!(line.contains("code=full requests=1"), "{wire:?}: {line}");
         assert_eq!(
             kept[0].read(&mut [0]).unwrap(),
@@ -750,7 +777,7 @@
         let chunk = vec![b'x'; 1 << 20];
         let taken = (0..60).take_while(|_| huge.write_all(&chunk).is_ok()).count();
         assert!(taken < 60, "{wire:?}: the connection was closed after {taken} MB");
-        assert!(aggregator.ask("run-lookup", &[0], 8000).whole(), "{wire:?}");
+        assert!(aggregator.ask("run-lookup", &[0], 8000).is_whole(), "{wire:?}");
     }
 }
 
@@ -758,21 +785,21 @@
 fn nothing_is_kept_of_run_stores_that_are_gone() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
-        assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).whole(), "{wire:?}");
-        let gone = line(0, aggregator.stores[0], "gone", 0);
-        aggregator.board.tell(json!([gone]));
+        assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).is_whole(), "{wire:?}");
+        let gone = endpoint(0, aggregator.stores[0], "gone", 0);
+        aggregator.backends.publish_and_wait(json!([gone]));
         // Its connection is closed, as it carries no part.
-        aggregator.logged("end run_store");
+        aggregator.wait_for_log("end run_store");
         let counters = aggregator.counters();
         assert!(counters.contains("run_stores=1 places=1\n"), "{wire:?}: {counters}");
-        assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).whole(), "{wire:?}");
+        assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).is_whole(), "{wire:?}");
     }
 }
 
 #[test]
 fn an_id_that_is_held_is_not_taken_twice() {
     let aggregator = Aggregator::start(Wire::Frames, 1);
-    aggregator.board.act(0, Act::Silent);
+    aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
     let body = json!({"slices": [{"slice": 0, "mass": 1.0}]}).to_string();
     let head = format!(
         "POST /run-lookup HTTP/1.1\r\nX-Request-ID: same\r\nContent-Length: {}\r\n\r\n{body}",
@@ -780,15 +807,15 @@
     );
     let mut first = aggregator.connect();
     first.write_all(head.as_bytes()).unwrap();
-    aggregator.board.wait("the first", |state| state.parts.len() == 1);
+    aggregator.backends.wait("the first", |state| state.parts.len() == 1);
     let mut second = aggregator.connect();
     second.write_all(head.as_bytes()).unwrap();
-    assert_eq!(answer(&mut second).status, 409);
+    assert_eq!(read_answer(&mut second).status, 409);
     drop(first);
-    aggregator.logged("code=client_gone");
-    aggregator.board.act(0, Act::Serve);
+    aggregator.wait_for_log("code=client_gone");
+    aggregator.backends.set_behavior(0, Behavior::Serve);
     second.write_all(head.as_bytes()).unwrap();
-    assert_eq!(answer(&mut second).status, 200);
+    assert_eq!(read_answer(&mut second).status, 200);
 }
 
 #[test]
--- a/tests/sockets/narrow.rs
+++ b/tests/sockets/narrow.rs
@@ -6,15 +6,15 @@
 
 use serde_json::json;
 
-use crate::aggregator::{answer, line, Aggregator};
-use crate::calls::asks_health;
-use crate::stand_in::{self, Act, Board, Wire, WIRES};
+use crate::aggregator::{endpoint, read_answer, Aggregator};
+use crate::calls::health_status;
+use crate::stand_in::{self, Backends, Behavior, Wire, WIRES};
 
 /// The time from SIGTERM to SIGKILL by the platform, for classes with deadlines over 3 s.
-const KILLED_AFTER: Duration = Duration::from_millis(3700);
+const KILL_DELAY: Duration = Duration::from_millis(3700);
 
 /// Runs a slow test on both wires in parallel.
-fn on_both(test: fn(Wire)) {
+fn on_both_wires(test: fn(Wire)) {
     std::thread::scope(|scope| {
         for wire in WIRES {
             scope.spawn(move || test(wire));
@@ -26,13 +26,13 @@
 fn a_client_that_floods_behind_its_request_is_turned_down_and_its_parts_are_called_back() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
-        let mut client = aggregator.begin("run-lookup", &[0], 9000);
-        aggregator.board.wait("the part", |state| state.parts.len() == 1);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
+        let mut client = aggregator.send_query("run-lookup", &[0], 9000);
+        aggregator.backends.wait("the part", |state| state.parts.len() == 1);
         client.write_all(&vec![b'x'; 200_000]).unwrap();
-        assert_eq!(answer(&mut client).status, 413, "{wire:?}");
-        aggregator.board.wait("the part to be cancelled", |state| state.given_up == [0]);
-        aggregator.logged("code=malformed");
+        assert_eq!(read_answer(&mut client).status, 413, "{wire:?}");
+        aggregator.backends.wait("the part to be cancelled", |state| state.cancelled == [0]);
+        aggregator.wait_for_log("code=malformed");
     }
 }
 
@@ -40,13 +40,13 @@
 fn what_is_sent_behind_a_request_does_not_hide_that_its_client_left() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
-        let mut client = aggregator.begin("run-lookup", &[0], 9000);
-        aggregator.board.wait("the part", |state| state.parts.len() == 1);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
+        let mut client = aggregator.send_query("run-lookup", &[0], 9000);
+        aggregator.backends.wait("the part", |state| state.parts.len() == 1);
         client.write_all(b"POST /run-lookup HTTP/1.1\r\nX-Requ").unwrap();
         drop(client);
-        aggregator.board.wait("the part to be cancelled", |state| state.given_up == [0]);
-        aggregator.logged("code=client_gone");
+        aggregator.backends.wait("the part to be cancelled", |state| state.cancelled == [0]);
+        aggregator.wait_for_log("code=client_gone");
     }
 }
 
@@ -58,16 +58,16 @@
         let aggregator = Aggregator::start(wire, 1);
         aggregator.signal("STOP");
         for shard in 0..4 {
-            drop(aggregator.begin("run-lookup", &[shard], 9000));
+            drop(aggregator.send_query("run-lookup", &[shard], 9000));
         }
-        let mut half = aggregator.begin("run-lookup", &[0], 9000);
+        let mut half = aggregator.send_query("run-lookup", &[0], 9000);
         half.shutdown(std::net::Shutdown::Write).unwrap();
-        let mut stays = aggregator.begin("run-search", &[3], 9000);
+        let mut stays = aggregator.send_query("run-search", &[3], 9000);
         aggregator.signal("CONT");
-        assert!(answer(&mut stays).whole(), "{wire:?}");
+        assert!(read_answer(&mut stays).is_whole(), "{wire:?}");
         // A client that has shut down its own side only counts as gone as well.
         assert_eq!(half.read(&mut [0]).unwrap(), 0, "{wire:?}");
-        assert_eq!(aggregator.board.read(|state| state.parts.clone()), [(0, 3)], "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.parts.clone()), [(0, 3)], "{wire:?}");
     }
 }
 
@@ -75,7 +75,7 @@
 fn whatever_comes_in_a_drain_is_answered_before_the_process_may_be_killed() {
     let drained = |wire: Wire| {
         let mut aggregator = Aggregator::start(wire, 1);
-        aggregator.board.act(0, Act::Silent);
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
         let mut kept = aggregator.connect();
         let (head, tail) = match wire {
             Wire::Frames => (
@@ -85,28 +85,28 @@
             Wire::OpenSearch => ("POST /run-lookup/_search?preference=_shards:2 HTTP/1.1\r\nContent-Length: 2\r\n\r\n", "{}"),
         };
         kept.write_all(head.as_bytes()).unwrap();
-        let mut unsafe_one = aggregator.begin("shift-entry", &[0], 9000);
-        let mut safe = aggregator.begin("run-lookup", &[1], 9000);
-        aggregator.board.wait("the parts", |state| state.parts.len() == 2);
-        let told = Instant::now();
+        let mut unsafe_one = aggregator.send_query("shift-entry", &[0], 9000);
+        let mut safe = aggregator.send_query("run-lookup", &[1], 9000);
+        aggregator.backends.wait("the parts", |state| state.parts.len() == 2);
+        let signalled = Instant::now();
         aggregator.signal("TERM");
-        aggregator.logged("draining");
+        aggregator.wait_for_log("draining");
         // Neither a second SIGTERM nor a reload extends the drain.
         aggregator.signal("TERM");
         aggregator.reload(&aggregator.configuration(|_| {}));
-        aggregator.logged("reload: done");
+        aggregator.wait_for_log("reload: done");
         // A request that began before SIGTERM becomes complete more than 0.7 s after it.
-        std::thread::sleep(Duration::from_millis(900).saturating_sub(told.elapsed()));
+        std::thread::sleep(Duration::from_millis(900).saturating_sub(signalled.elapsed()));
         kept.write_all(tail.as_bytes()).unwrap();
-        assert_eq!(answer(&mut unsafe_one).status, 500, "{wire:?}: the unsafe part may have run");
+        assert_eq!(read_answer(&mut unsafe_one).status, 500, "{wire:?}: the unsafe part may have run");
         for client in [&mut safe, &mut kept] {
-            let answer = answer(client);
+            let answer = read_answer(client);
             assert!(answer.status >= 429 && answer.head.contains("retry-after"), "{wire:?}: {answer:?}");
         }
         assert_eq!(aggregator.wait().code(), Some(0), "{wire:?}");
-        assert!(told.elapsed() < KILLED_AFTER, "{wire:?}: {:?}", told.elapsed());
+        assert!(signalled.elapsed() < KILL_DELAY, "{wire:?}: {:?}", signalled.elapsed());
     };
-    on_both(drained);
+    on_both_wires(drained);
 }
 
 /// Clients use all connections when SIGTERM arrives, and more wait in the listener's queue. Those must be answered too.
@@ -114,37 +114,38 @@
 fn what_waits_in_the_queue_of_a_process_that_ends_is_answered() {
     let drained = |wire: Wire| {
         let mut aggregator =
-            Aggregator::changed(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
-        aggregator.board.act(0, Act::Silent);
+            Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
         // There is room for 42 queries, and for six connections that are refused.
-        let mut held: Vec<_> = (0..42).map(|n| aggregator.begin("run-lookup", &[n % 4], 2500)).collect();
-        while !aggregator.call("GET", "/stats").body.contains("aggregator.active:42|g") {}
+        let mut held: Vec<_> = (0..42).map(|n| aggregator.send_query("run-lookup", &[n % 4], 2500)).collect();
+        while !aggregator.call_operator("GET", "/stats").body.contains("aggregator.active:42|g") {}
         let refused: Vec<_> = (0..6).map(|_| aggregator.connect()).collect();
-        let mut queued: Vec<_> = (0..8).map(|n| aggregator.begin("run-lookup", &[n % 4], 9000)).collect();
+        let mut queued: Vec<_> =
+            (0..8).map(|n| aggregator.send_query("run-lookup", &[n % 4], 9000)).collect();
         aggregator.signal("TERM");
-        aggregator.logged("draining");
-        held.drain(..).for_each(|mut client| assert!(answer(&mut client).status >= 200, "{wire:?}"));
+        aggregator.wait_for_log("draining");
+        held.drain(..).for_each(|mut client| assert!(read_answer(&mut client).status >= 200, "{wire:?}"));
         drop(refused);
         for client in &mut queued {
-            assert!(answer(client).status >= 200, "{wire:?}");
+            assert!(read_answer(client).status >= 200, "{wire:?}");
         }
         drop(queued);
         assert_eq!(aggregator.wait().code(), Some(0), "{wire:?}");
     };
-    on_both(drained);
+    on_both_wires(drained);
 }
 
 #[test]
 fn a_start_without_any_list_is_ready_in_time_and_refuses_until_it_is_told() {
     let starts = |wire: Wire| {
-        let aggregator = Aggregator::changed(wire, 1, |config, _| {
+        let aggregator = Aggregator::start_with_config(wire, 1, |config, _| {
             config["known"] = json!({"index": 0, "snapshot": true, "endpoints": []});
             // Nothing listens on this port.
             config["discovery"] = json!("127.0.0.1:1");
         });
         let started = Instant::now();
-        assert_eq!(asks_health(&aggregator), 503, "{wire:?}: not ready while a list may still arrive");
-        while asks_health(&aggregator) != 200 {
+        assert_eq!(health_status(&aggregator), 503, "{wire:?}: not ready while a list may still arrive");
+        while health_status(&aggregator) != 200 {
             assert!(
                 started.elapsed() < Duration::from_secs(10),
                 "{wire:?}: nine in ten processes must be ready by then"
@@ -152,27 +153,29 @@
             std::thread::sleep(Duration::from_millis(100));
         }
         let refused = aggregator.ask("run-lookup", &[0], 300);
-        assert!(refused.refused() && refused.head.contains("retry-after"), "{wire:?}: {refused:?}");
+        assert!(refused.is_refused() && refused.head.contains("retry-after"), "{wire:?}: {refused:?}");
     };
-    on_both(starts);
+    on_both_wires(starts);
 }
 
 #[test]
 fn idle_clients_in_every_place_keep_neither_discovery_nor_sound_clients_out() {
     for wire in WIRES {
-        let aggregator = Aggregator::changed(wire, 2, |config, _| config["limits"]["sockets"] = json!(128));
-        aggregator.board.change(|state| state.failures = 4);
-        aggregator.board.list(json!([line(0, aggregator.stores[0], "ready", 0)]));
+        let aggregator =
+            Aggregator::start_with_config(wire, 2, |config, _| config["limits"]["sockets"] = json!(128));
+        aggregator.backends.change(|state| state.discovery_failures = 4);
+        aggregator.backends.publish(json!([endpoint(0, aggregator.stores[0], "ready", 0)]));
         let idle: Vec<_> = (0..200).map(|_| aggregator.connect()).collect();
-        aggregator.board.wait("the failures", |state| state.failures == 0);
-        assert!(aggregator.descriptors() <= 128, "{wire:?}: {}", aggregator.descriptors());
-        aggregator.board.tell(json!([line(0, aggregator.stores[0], "draining", 0)]));
+        aggregator.backends.wait("the failures", |state| state.discovery_failures == 0);
+        assert!(aggregator.open_descriptors() <= 128, "{wire:?}: {}", aggregator.open_descriptors());
+        aggregator.backends.publish_and_wait(json!([endpoint(0, aggregator.stores[0], "draining", 0)]));
         for shard in 0..4 {
-            assert!(aggregator.ask("run-lookup", &[shard], 9000).whole(), "{wire:?}");
+            assert!(aggregator.ask("run-lookup", &[shard], 9000).is_whole(), "{wire:?}");
         }
-        let used = aggregator.board.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
+        let used =
+            aggregator.backends.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
         assert_eq!(used, [1; 4], "{wire:?}: the change is in effect");
-        assert!(aggregator.descriptors() <= 128, "{wire:?}: {}", aggregator.descriptors());
+        assert!(aggregator.open_descriptors() <= 128, "{wire:?}: {}", aggregator.open_descriptors());
         drop(idle);
     }
 }
@@ -180,17 +183,17 @@
 /// An idle connection times out and its next request arrives while the process is stopped. The request must be served.
 #[test]
 fn a_request_that_is_there_when_its_idle_connection_would_be_closed_is_served() {
-    on_both(|wire| {
+    on_both_wires(|wire| {
         let aggregator = Aggregator::start(wire, 1);
         let mut kept = aggregator.connect();
         kept.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-        assert_eq!(answer(&mut kept).status, 200, "{wire:?}");
+        assert_eq!(read_answer(&mut kept).status, 200, "{wire:?}");
         aggregator.signal("STOP");
         // Idle connections are closed after 2 s.
         std::thread::sleep(Duration::from_millis(2500));
         kept.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
         aggregator.signal("CONT");
-        assert_eq!(answer(&mut kept).status, 200, "{wire:?}");
+        assert_eq!(read_answer(&mut kept).status, 200, "{wire:?}");
     });
 }
 
@@ -198,10 +201,10 @@
 fn what_is_read_after_the_end_of_a_connection_is_not_sent_on() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
-        let mut client = aggregator.begin("no-such-class", &[0], 9000);
+        let mut client = aggregator.send_query("no-such-class", &[0], 9000);
         client.write_all(b"nonsense\r\n\r\n").unwrap();
-        assert_eq!(answer(&mut client).status, 404, "{wire:?}");
-        assert_eq!(answer(&mut client).status, 400, "{wire:?}");
+        assert_eq!(read_answer(&mut client).status, 404, "{wire:?}");
+        assert_eq!(read_answer(&mut client).status, 400, "{wire:?}");
         // From here on the aggregator only discards what it reads from the connection.
         let query = match wire {
             Wire::Frames => "POST /run-lookup HTTP/1.1\r\nX-Request-ID: late\r\nX-Timeout: 9000m\r\nContent-Length: 46\r\n\r\n{\"slices\":[{\"slice\":2,\"mass\":1}],\"filter\":\"0\"}",
@@ -213,20 +216,20 @@
             0,
             "{wire:?}: a query after the end of the connection has no answer"
         );
-        assert!(aggregator.ask("run-lookup", &[1], 9000).whole(), "{wire:?}");
-        assert_eq!(aggregator.board.read(|state| state.parts.clone()), [(0, 1)], "{wire:?}");
+        assert!(aggregator.ask("run-lookup", &[1], 9000).is_whole(), "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.parts.clone()), [(0, 1)], "{wire:?}");
     }
 }
 
 /// SIGTERM arrives as soon as the process serves. A request sent before it and one sent shortly after it are answered.
 #[test]
 fn a_process_that_is_told_to_end_in_its_first_moments_answers_what_it_takes() {
-    on_both(|wire| {
+    on_both_wires(|wire| {
         let mut aggregator = Aggregator::start(wire, 1);
-        let mut first = aggregator.begin("run-lookup", &[0], 9000);
+        let mut first = aggregator.send_query("run-lookup", &[0], 9000);
         aggregator.signal("TERM");
-        let mut second = aggregator.begin("run-lookup", &[1], 9000);
-        assert!(answer(&mut first).whole() && answer(&mut second).whole(), "{wire:?}");
+        let mut second = aggregator.send_query("run-lookup", &[1], 9000);
+        assert!(read_answer(&mut first).is_whole() && read_answer(&mut second).is_whole(), "{wire:?}");
         assert_eq!(aggregator.wait().code(), Some(0), "{wire:?}");
     });
 }
@@ -235,27 +238,28 @@
 /// be in effect 4 s after its SIGHUP.
 #[test]
 fn the_last_of_several_new_configurations_counts_in_time() {
-    on_both(|wire| {
+    on_both_wires(|wire| {
         let aggregator = Aggregator::start(wire, 2);
-        let silent: Vec<_> = (0..2).map(|_| stand_in::socket()).collect();
-        let last = Arc::new(Board::default());
-        last.list(json!([
-            line(0, aggregator.stores[0], "draining", 0),
-            line(1, aggregator.stores[1], "ready", 0)
+        let silent: Vec<_> = (0..2).map(|_| stand_in::bind_socket()).collect();
+        let last = Arc::new(Backends::default());
+        last.publish(json!([
+            endpoint(0, aggregator.stores[0], "draining", 0),
+            endpoint(1, aggregator.stores[1], "ready", 0)
         ]));
         let addresses: Vec<_> = silent.iter().map(|socket| socket.local_addr().unwrap()).collect();
-        for address in addresses.into_iter().chain([stand_in::discovery(&last)]) {
+        for address in addresses.into_iter().chain([stand_in::start_discovery(&last)]) {
             aggregator
                 .reload(&aggregator.configuration(|config| config["discovery"] = json!(address.to_string())));
             std::thread::sleep(Duration::from_millis(20));
         }
         let begun = Instant::now();
-        last.wait("the call", |state| state.calls > 1);
+        last.wait("the call", |state| state.discovery_calls > 1);
         assert!(begun.elapsed() < Duration::from_millis(4000), "{wire:?}: {:?}", begun.elapsed());
         for shard in 0..4 {
-            assert!(aggregator.ask("run-lookup", &[shard], 9000).whole(), "{wire:?}");
+            assert!(aggregator.ask("run-lookup", &[shard], 9000).is_whole(), "{wire:?}");
         }
-        let used = aggregator.board.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
+        let used =
+            aggregator.backends.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
         assert_eq!(used, [1; 4], "{wire:?}: the list of the last discovery is in effect");
     });
 }
@@ -263,24 +267,25 @@
 /// After a reload to a discovery that takes 2.5 s for each answer, its list must be in effect within 6 s.
 #[test]
 fn a_discovery_that_is_slow_tells_in_time_after_a_new_configuration() {
-    on_both(|wire| {
+    on_both_wires(|wire| {
         let aggregator = Aggregator::start(wire, 2);
-        let slow = Arc::new(Board::default());
-        slow.change(|state| state.slow = Duration::from_millis(2500));
-        slow.list(json!([
-            line(0, aggregator.stores[0], "draining", 0),
-            line(1, aggregator.stores[1], "ready", 0)
+        let slow = Arc::new(Backends::default());
+        slow.change(|state| state.discovery_delay = Duration::from_millis(2500));
+        slow.publish(json!([
+            endpoint(0, aggregator.stores[0], "draining", 0),
+            endpoint(1, aggregator.stores[1], "ready", 0)
         ]));
-        let address = stand_in::discovery(&slow).to_string();
+        let address = stand_in::start_discovery(&slow).to_string();
         let begun = Instant::now();
         aggregator.reload(&aggregator.configuration(|config| config["discovery"] = json!(address)));
         // The aggregator asks for changes after the version that it has received.
-        slow.wait("the watch", |state| !state.waits.is_empty());
+        slow.wait("the watch", |state| !state.watch_waits_ms.is_empty());
         assert!(begun.elapsed() < Duration::from_millis(6000), "{wire:?}: {:?}", begun.elapsed());
         for shard in 0..4 {
-            assert!(aggregator.ask("run-lookup", &[shard], 9000).whole(), "{wire:?}");
+            assert!(aggregator.ask("run-lookup", &[shard], 9000).is_whole(), "{wire:?}");
         }
-        let used = aggregator.board.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
+        let used =
+            aggregator.backends.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
         assert_eq!(used, [1; 4], "{wire:?}: the list of the slow discovery is in effect");
     });
 }
--- a/tests/sockets/operator.rs
+++ b/tests/sockets/operator.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Value};
 
 use crate::aggregator::Aggregator;
-use crate::stand_in::{dns, Board, Wire};
+use crate::stand_in::{start_dns, Backends, Wire};
 
 /// Returns the DNS-SD instance of a run store: name, port and texts.
 fn instance(store: usize, at: SocketAddr, status: &str) -> (String, u16, Vec<String>) {
@@ -15,9 +15,9 @@
 
 #[test]
 fn dns_sd_records_feed_the_directory() {
-    let zone = Arc::new(Board::default());
-    let server = dns(&zone);
-    let aggregator = Aggregator::changed(Wire::OpenSearch, 2, |config, stores| {
+    let zone = Arc::new(Backends::default());
+    let server = start_dns(&zone);
+    let aggregator = Aggregator::start_with_config(Wire::OpenSearch, 2, |config, stores| {
         zone.change(|state| {
             state.zone = (0..2).map(|store| instance(store, stores[store], "ready")).collect();
         });
@@ -26,13 +26,13 @@
         config["dns_sd"] = json!({"server": server.to_string(), "service": "_run-store._tcp.test",
             "refresh_ms": 100});
     });
-    let told = || {
-        let looks = zone.read(|state| state.looks);
+    let wait_for_refresh = || {
+        let queries = zone.read(|state| state.dns_list_queries);
         // One query may be in progress, and the third begins after the answer to the second has been applied.
-        zone.wait("three more queries", |state| state.looks >= looks + 3);
+        zone.wait("three more queries", |state| state.dns_list_queries >= queries + 3);
     };
-    told();
-    assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).whole());
+    wait_for_refresh();
+    assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).is_whole());
     for (status, other) in [("draining", 1), ("ready", 0)] {
         let stores = &aggregator.stores;
         zone.change(|state| {
@@ -41,23 +41,23 @@
                 state.zone.pop();
             }
         });
-        told();
-        let before = aggregator.board.read(|state| state.parts.len());
-        assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).whole());
-        let parts = aggregator.board.read(|state| state.parts[before..].to_vec());
+        wait_for_refresh();
+        let before = aggregator.backends.read(|state| state.parts.len());
+        assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).is_whole());
+        let parts = aggregator.backends.read(|state| state.parts[before..].to_vec());
         assert!(parts.iter().all(|part| part.0 == other), "{status}: {parts:?}");
     }
     // An empty zone is taken for a fault, and the previous list stays in effect.
     zone.change(|state| state.zone.clear());
-    aggregator.logged("no run store is listed");
-    assert!(aggregator.ask("run-lookup", &[0], 8000).whole());
+    aggregator.wait_for_log("no run store is listed");
+    assert!(aggregator.ask("run-lookup", &[0], 8000).is_whole());
 }
 
 #[test]
 fn a_reload_moves_the_looks_to_another_dns_server() {
-    let zones = [Arc::new(Board::default()), Arc::new(Board::default())];
-    let servers = zones.each_ref().map(dns);
-    let aggregator = Aggregator::changed(Wire::OpenSearch, 2, |config, stores| {
+    let zones = [Arc::new(Backends::default()), Arc::new(Backends::default())];
+    let servers = zones.each_ref().map(start_dns);
+    let aggregator = Aggregator::start_with_config(Wire::OpenSearch, 2, |config, stores| {
         for (zone, store) in zones.iter().zip(0..) {
             zone.change(|state| state.zone = vec![instance(store, stores[store], "ready")]);
         }
@@ -67,43 +67,48 @@
         config["dns_sd"] = json!({"server": servers[0].to_string(), "service": "_run-store._tcp.test",
             "refresh_ms": 3_600_000});
     });
-    zones[0].wait("the first query", |state| state.looks == 1);
+    zones[0].wait("the first query", |state| state.dns_list_queries == 1);
     aggregator.reload(&aggregator.configuration(|config| {
         config["dns_sd"]["server"] = json!(servers[1].to_string());
         config["dns_sd"]["refresh_ms"] = json!(100);
     }));
-    let ended = aggregator.logged("end dns");
+    let ended = aggregator.wait_for_log("end dns");
     assert!(ended.contains("code=retired"), "{ended}");
     // The second query there begins after the answer to the first has been applied.
-    zones[1].wait("two queries there", |state| state.looks >= 2);
-    assert!(aggregator.ask("run-lookup", &[0], 8000).whole());
-    assert_eq!(aggregator.board.read(|state| state.parts.last().map(|part| part.0)), Some(1));
+    zones[1].wait("two queries there", |state| state.dns_list_queries >= 2);
+    assert!(aggregator.ask("run-lookup", &[0], 8000).is_whole());
+    assert_eq!(aggregator.backends.read(|state| state.parts.last().map(|part| part.0)), Some(1));
 }
 
 /// Starts an aggregator with a replicated store, and returns it with the address of the store.
-fn peer(name: &str, peers: &[String], version: u64, change: impl FnOnce(&mut Value)) -> (Aggregator, String) {
-    let aggregator = Aggregator::changed(Wire::Frames, 1, |config, _| {
+fn start_peer(
+    name: &str,
+    peers: &[String],
+    version: u64,
+    change: impl FnOnce(&mut Value),
+) -> (Aggregator, String) {
+    let aggregator = Aggregator::start_with_config(Wire::Frames, 1, |config, _| {
         config["name"] = json!(name);
         config["store"] = json!({"listen": "127.0.0.1:0", "peers": peers, "settings_version": version});
         change(config);
     });
-    let met = aggregator.store.clone().unwrap();
-    (aggregator, met)
+    let store_address = aggregator.store_address.clone().unwrap();
+    (aggregator, store_address)
 }
 
 #[test]
 fn a_peer_without_settings_or_directory_gets_them_from_the_store() {
-    let (first, met) = peer("first", &[], 3, |_| {});
-    let (second, _) = peer("second", &[met], 0, |config| {
+    let (first, store_address) = start_peer("first", &[], 3, |_| {});
+    let (second, _) = start_peer("second", &[store_address], 0, |config| {
         config["settings"] = Value::Null;
         config["known"] = json!({});
         // No discovery answers on this port, so the list can come only from the peer.
         config["discovery"] = json!("127.0.0.1:9");
     });
-    assert!(second.said("settings of version 3 from first"));
-    assert!(second.ask("run-lookup", &[0], 8000).whole());
+    assert!(second.logged_at_start("settings of version 3 from first"));
+    assert!(second.ask("run-lookup", &[0], 8000).is_whole());
     assert_eq!(
-        first.board.read(|state| state.parts.len()),
+        first.backends.read(|state| state.parts.len()),
         1,
         "served by the run store that the first peer listed"
     );
@@ -111,10 +116,10 @@
 
 #[test]
 fn a_peer_that_returns_catches_up_with_the_highest_version() {
-    let (old, met_old) = peer("old", &[], 1, |_| {});
-    let (new, met_new) = peer("new", &[met_old], 2, |_| {});
-    assert!(new.said("settings of version 2 from new"));
+    let (old, old_store) = start_peer("old", &[], 1, |_| {});
+    let (new, new_store) = start_peer("new", &[old_store], 2, |_| {});
+    assert!(new.logged_at_start("settings of version 2 from new"));
     drop(old);
-    let (back, _) = peer("old", &[met_new], 1, |_| {});
-    assert!(back.said("settings of version 2 from new"));
+    let (back, _) = start_peer("old", &[new_store], 1, |_| {});
+    assert!(back.logged_at_start("settings of version 2 from new"));
 }
--- a/tests/sockets/settings.rs
+++ b/tests/sockets/settings.rs
@@ -2,11 +2,11 @@
 
 use serde_json::{json, Value};
 
-use crate::aggregator::{answer, Aggregator};
-use crate::stand_in::{Act, WIRES};
+use crate::aggregator::{read_answer, Aggregator};
+use crate::stand_in::{Behavior, WIRES};
 
 /// Renames the class `run-lookup` and makes its parts unsafe to repeat.
-fn renamed(config: &mut Value) {
+fn rename_class(config: &mut Value) {
     config["settings"]["request_classes"][1]["name"] = json!("run-lookup-next");
     config["settings"]["request_classes"][1]["repeat"] = json!("non_idempotent");
 }
@@ -16,29 +16,29 @@
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         for store in 0..2 {
-            aggregator.board.act(store, Act::Silent);
+            aggregator.backends.set_behavior(store, Behavior::NeverAnswer);
         }
-        let mut held = aggregator.begin("run-lookup", &[0], 9000);
-        aggregator.board.wait("the part", |state| state.parts.len() == 1);
+        let mut held = aggregator.send_query("run-lookup", &[0], 9000);
+        aggregator.backends.wait("the part", |state| state.parts.len() == 1);
         assert_eq!(aggregator.ask("run-lookup-next", &[0], 9000).status, 404, "{wire:?}");
-        aggregator.reload(&aggregator.configuration(renamed));
-        aggregator.logged("reload: done");
+        aggregator.reload(&aggregator.configuration(rename_class));
+        aggregator.wait_for_log("reload: done");
         assert_eq!(
             aggregator.ask("run-lookup", &[0], 9000).status,
             404,
             "{wire:?}: the class no longer exists"
         );
-        let mut new = aggregator.begin("run-lookup-next", &[1], 700);
-        aggregator.board.wait("its part", |state| state.parts.iter().any(|part| part.1 == 1));
-        assert_eq!(answer(&mut new).status, 500, "{wire:?}: the new class must not be repeated");
-        let of_new = aggregator.board.read(|state| state.parts.iter().filter(|part| part.1 == 1).count());
+        let mut new = aggregator.send_query("run-lookup-next", &[1], 700);
+        aggregator.backends.wait("its part", |state| state.parts.iter().any(|part| part.1 == 1));
+        assert_eq!(read_answer(&mut new).status, 500, "{wire:?}: the new class must not be repeated");
+        let of_new = aggregator.backends.read(|state| state.parts.iter().filter(|part| part.1 == 1).count());
         assert_eq!(of_new, 1, "{wire:?}");
         // The part of the old class may be repeated, and is, as its run store does not answer.
         for store in 0..2 {
-            aggregator.board.act(store, Act::Serve);
+            aggregator.backends.set_behavior(store, Behavior::Serve);
         }
-        assert!(answer(&mut held).whole(), "{wire:?}: served by another attempt");
-        let stats = aggregator.call("GET", "/stats").body;
+        assert!(read_answer(&mut held).is_whole(), "{wire:?}: served by another attempt");
+        let stats = aggregator.call_operator("GET", "/stats").body;
         for line in ["responses.run-lookup.ok:1|c", "responses.run-lookup-next.errors:1|c"] {
             assert!(stats.contains(line), "{wire:?} {line}: {stats}");
         }
@@ -50,22 +50,22 @@
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         for store in 0..2 {
-            aggregator.board.act(store, Act::Error);
+            aggregator.backends.set_behavior(store, Behavior::Error);
         }
         assert_eq!(aggregator.ask("run-lookup", &[0], 9000).status, 500, "{wire:?}");
-        assert_eq!(aggregator.board.read(|state| state.parts.len()), 3, "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.parts.len()), 3, "{wire:?}");
         aggregator.reload(&aggregator.configuration(|config| {
             config["settings"]["caps"]["max_attempts"] = json!(1);
             config["settings"]["caps"]["max_open"] = json!(2);
         }));
-        aggregator.logged("reload: done");
+        aggregator.wait_for_log("reload: done");
         assert_eq!(aggregator.ask("run-lookup", &[0], 9000).status, 500, "{wire:?}");
-        assert_eq!(aggregator.board.read(|state| state.parts.len()), 4, "{wire:?}: only one attempt");
-        aggregator.board.act(0, Act::Silent);
-        aggregator.board.act(1, Act::Silent);
-        let held = aggregator.begin("run-lookup", &[1, 2], 9000);
-        aggregator.board.wait("both parts", |state| state.parts.len() == 6);
-        assert!(aggregator.ask("run-lookup", &[0], 9000).refused(), "{wire:?}");
+        assert_eq!(aggregator.backends.read(|state| state.parts.len()), 4, "{wire:?}: only one attempt");
+        aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
+        aggregator.backends.set_behavior(1, Behavior::NeverAnswer);
+        let held = aggregator.send_query("run-lookup", &[1, 2], 9000);
+        aggregator.backends.wait("both parts", |state| state.parts.len() == 6);
+        assert!(aggregator.ask("run-lookup", &[0], 9000).is_refused(), "{wire:?}");
         drop(held);
     }
 }
@@ -77,7 +77,7 @@
         let whole = aggregator.configuration(|_| {});
         let broken = |change: fn(&mut Value)| {
             let mut config = serde_json::from_str(&whole).unwrap();
-            renamed(&mut config);
+            rename_class(&mut config);
             change(&mut config);
             config.to_string()
         };
@@ -104,12 +104,12 @@
         ];
         for (file, fault) in &files {
             aggregator.reload(file);
-            let line = aggregator.logged("reload: the old configuration stays");
+            let line = aggregator.wait_for_log("reload: the old configuration stays");
             assert!(line.contains(fault), "{wire:?}: {line}");
-            assert!(aggregator.ask("run-lookup", &[0], 9000).whole(), "{wire:?}: {line}");
+            assert!(aggregator.ask("run-lookup", &[0], 9000).is_whole(), "{wire:?}: {line}");
             assert_eq!(aggregator.ask("run-lookup-next", &[0], 9000).status, 404, "{wire:?}: {line}");
         }
-        let stats = aggregator.call("GET", "/stats").body;
+        let stats = aggregator.call_operator("GET", "/stats").body;
         let counted = format!("aggregator.config_rejected:{}|c", files.len());
         assert!(stats.contains(&counted) && stats.contains("aggregator.config_applied:0|c"), "{stats}");
     }
--- a/tests/sockets/upgrade.rs
+++ b/tests/sockets/upgrade.rs
@@ -7,8 +7,8 @@
 
 use serde_json::json;
 
-use crate::aggregator::{answer, line, Aggregator};
-use crate::stand_in::{Act, Wire, WIRES};
+use crate::aggregator::{endpoint, read_answer, Aggregator};
+use crate::stand_in::{Behavior, Wire, WIRES};
 
 #[test]
 fn a_new_process_takes_over_the_listening_socket_and_the_old_one_ends_what_it_has() {
@@ -16,23 +16,23 @@
         let mut old = Aggregator::start(wire, 1);
         let mut kept = old.connect();
         kept.write_all(b"GET /healthz HTTP/1.1\r\n\r\n").unwrap();
-        assert_eq!(answer(&mut kept).status, 200, "{wire:?}");
-        old.board.act(0, Act::Silent);
-        let mut held = old.begin("run-lookup", &[0], 2500);
-        old.board.wait("the part", |state| state.parts.len() == 1);
-        old.board.act(0, Act::Serve);
-        let new = old.succeed();
+        assert_eq!(read_answer(&mut kept).status, 200, "{wire:?}");
+        old.backends.set_behavior(0, Behavior::NeverAnswer);
+        let mut held = old.send_query("run-lookup", &[0], 2500);
+        old.backends.wait("the part", |state| state.parts.len() == 1);
+        old.backends.set_behavior(0, Behavior::Serve);
+        let new = old.start_successor();
         assert_eq!(new.address, old.address, "{wire:?}: the same socket");
-        assert_eq!(new.call("GET", "/healthcheck").status, 200, "{wire:?}");
-        old.logged("handover: the new process serves");
+        assert_eq!(new.call_operator("GET", "/healthcheck").status, 200, "{wire:?}");
+        old.wait_for_log("handover: the new process serves");
         // New connections go to the new process; none is refused, and its counters begin at 0.
         for shard in 0..4 {
-            assert!(new.ask("run-lookup", &[shard], 8000).whole(), "{wire:?}");
+            assert!(new.ask("run-lookup", &[shard], 8000).is_whole(), "{wire:?}");
         }
-        assert!(new.call("GET", "/stats").body.contains("run-lookup.ok:4|c"), "{wire:?}");
+        assert!(new.call_operator("GET", "/stats").body.contains("run-lookup.ok:4|c"), "{wire:?}");
         old.signal("TERM");
         assert!(
-            answer(&mut held).status >= 200,
+            read_answer(&mut held).status >= 200,
             "{wire:?}: the query in flight at the old process is answered"
         );
         assert_eq!(
@@ -41,10 +41,10 @@
             "{wire:?}: the idle connection to the old process is closed"
         );
         assert_eq!(old.wait().code(), Some(0), "{wire:?}");
-        let line = new.logged("end handover");
+        let line = new.wait_for_log("end handover");
         assert!(line.contains("code=peer_closed"), "{wire:?}: {line}");
-        new.logged("handover: the old process is gone");
-        assert!(new.ask("run-lookup", &[0], 8000).whole(), "{wire:?}");
+        new.wait_for_log("handover: the old process is gone");
+        assert!(new.ask("run-lookup", &[0], 8000).is_whole(), "{wire:?}");
     }
 }
 
@@ -52,31 +52,31 @@
 fn what_operators_said_holds_over_an_upgrade_and_reaches_both_processes() {
     for wire in WIRES {
         let old = Aggregator::start(wire, 3);
-        assert_eq!(old.call("PUT", "/run-stores/s-0/maint").status, 200, "{wire:?}");
-        let new = old.succeed();
+        assert_eq!(old.call_operator("PUT", "/run-stores/s-0/maint").status, 200, "{wire:?}");
+        let new = old.start_successor();
         let mut sent = 0;
         let mut stores = |from: &Aggregator| {
             for shard in 0..4 {
-                assert!(from.ask("run-lookup", &[shard], 8000).whole(), "{wire:?}");
+                assert!(from.ask("run-lookup", &[shard], 8000).is_whole(), "{wire:?}");
             }
-            let parts = old.board.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
+            let parts = old.backends.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
             let new = parts[sent..].to_vec();
             sent = parts.len();
             new
         };
         assert!(!stores(&new).contains(&0), "{wire:?}: taken out before the upgrade");
         // A call to the old process takes effect at the new one as well, and the other way round.
-        assert_eq!(old.call("PUT", "/run-stores/s-1/maint").status, 200, "{wire:?}");
+        assert_eq!(old.call_operator("PUT", "/run-stores/s-1/maint").status, 200, "{wire:?}");
         let ejected = |of: &Aggregator, count: usize| {
-            while !of.call("GET", "/stats").body.contains(&format!("pool_ejected:{count}|g")) {}
+            while !of.call_operator("GET", "/stats").body.contains(&format!("pool_ejected:{count}|g")) {}
         };
         ejected(&new, 2);
         assert_eq!(stores(&new), [2; 4], "{wire:?}");
-        assert_eq!(new.call("PUT", "/run-stores/s-0/ready").status, 200, "{wire:?}");
+        assert_eq!(new.call_operator("PUT", "/run-stores/s-0/ready").status, 200, "{wire:?}");
         ejected(&old, 1);
-        assert_eq!(old.call("PUT", "/run-stores/s-1/ready").status, 200, "{wire:?}");
+        assert_eq!(old.call_operator("PUT", "/run-stores/s-1/ready").status, 200, "{wire:?}");
         ejected(&new, 0);
-        new.board.tell(json!([line(2, new.stores[2], "draining", 0)]));
+        new.backends.publish_and_wait(json!([endpoint(2, new.stores[2], "draining", 0)]));
         assert!(!stores(&new).contains(&2), "{wire:?}");
     }
 }
@@ -85,13 +85,13 @@
 fn the_list_goes_on_from_its_version() {
     for wire in WIRES {
         let old = Aggregator::start(wire, 2);
-        old.board.tell(json!([line(0, old.stores[0], "draining", 0)]));
-        let new = old.succeed();
+        old.backends.publish_and_wait(json!([endpoint(0, old.stores[0], "draining", 0)]));
+        let new = old.start_successor();
         // The watch of the new process has received no change beyond those that the old one had received.
         for shard in 0..4 {
-            assert!(new.ask("run-lookup", &[shard], 8000).whole(), "{wire:?}");
+            assert!(new.ask("run-lookup", &[shard], 8000).is_whole(), "{wire:?}");
         }
-        let stores = new.board.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
+        let stores = new.backends.read(|state| state.parts.iter().map(|part| part.0).collect::<Vec<_>>());
         assert_eq!(stores, [1; 4], "{wire:?}");
     }
 }
@@ -99,30 +99,30 @@
 #[test]
 fn a_drain_by_hand_holds_over_an_upgrade() {
     let old = Aggregator::start(Wire::Frames, 1);
-    assert_eq!(old.call("PUT", "/healthcheck/fail").status, 200);
-    let new = old.succeed();
-    assert_eq!(new.raw(b"GET /healthz HTTP/1.1\r\n\r\n").status, 503);
-    assert_eq!(new.call("PUT", "/healthcheck/ok").status, 200);
+    assert_eq!(old.call_operator("PUT", "/healthcheck/fail").status, 200);
+    let new = old.start_successor();
+    assert_eq!(new.send_raw(b"GET /healthz HTTP/1.1\r\n\r\n").status, 503);
+    assert_eq!(new.call_operator("PUT", "/healthcheck/ok").status, 200);
     let answer = new.ask("run-lookup", &[0], 8000);
-    assert!(answer.whole() && !answer.head.contains("connection: close"), "{answer:?}");
+    assert!(answer.is_whole() && !answer.head.contains("connection: close"), "{answer:?}");
 }
 
 #[test]
 fn a_new_process_that_dies_leaves_the_old_one_serving() {
     for wire in WIRES {
         let old = Aggregator::start(wire, 1);
-        let new = old.succeed();
-        old.logged("handover: the new process serves");
+        let new = old.start_successor();
+        old.wait_for_log("handover: the new process serves");
         drop(new);
-        old.logged("this one serves again");
+        old.wait_for_log("this one serves again");
         for shard in 0..4 {
             let answer = old.ask("run-lookup", &[shard], 8000);
-            assert!(answer.whole() && !answer.head.contains("connection: close"), "{wire:?}: {answer:?}");
+            assert!(answer.is_whole() && !answer.head.contains("connection: close"), "{wire:?}: {answer:?}");
         }
         // Another process can take over afterwards.
-        let newer = old.succeed();
-        old.logged("handover: the new process serves");
-        assert!(newer.ask("run-lookup", &[0], 8000).whole(), "{wire:?}");
+        let newer = old.start_successor();
+        old.wait_for_log("handover: the new process serves");
+        assert!(newer.ask("run-lookup", &[0], 8000).is_whole(), "{wire:?}");
     }
 }
 
@@ -139,13 +139,13 @@
         ("\"aim_ms\":2000.0", "\"aim_ms\":0", "key settings"),
     ] {
         assert!(sound.contains(set), "{set}: {sound}");
-        std::fs::write(old.config(), sound.replace(set, other)).unwrap();
-        let message = old.fail_to_succeed();
+        std::fs::write(old.config_path(), sound.replace(set, other)).unwrap();
+        let message = old.start_failing_successor();
         assert!(message.contains(why), "{message}");
-        assert!(old.ask("run-lookup", &[0], 8000).whole(), "{why}");
+        assert!(old.ask("run-lookup", &[0], 8000).is_whole(), "{why}");
     }
     // Only the first process connected to the old one before it failed.
-    old.logged("handover: failed, this process serves on");
+    old.wait_for_log("handover: failed, this process serves on");
     // A peer that sends nothing, an incomplete or invalid message, or leaves, gets nothing and does no harm.
     for words in [
         "",
@@ -155,20 +155,20 @@
         "{\"hello\":{\"version\":1,\"name\":\"other\"}}\n",
         "\"serving\"\n",
     ] {
-        let mut stream = UnixStream::connect(old.meeting()).unwrap();
+        let mut stream = UnixStream::connect(old.handover_socket()).unwrap();
         stream.write_all(words.as_bytes()).unwrap();
         drop(stream);
-        old.logged("handover: failed, this process serves on");
+        old.wait_for_log("handover: failed, this process serves on");
     }
-    let mut slow = UnixStream::connect(old.meeting()).unwrap();
+    let mut slow = UnixStream::connect(old.handover_socket()).unwrap();
     slow.write_all(b"{\"hello\":{\"version\":1,\"name\":\"n0\"}}\n").unwrap();
     let mut state = vec![0; 100];
     slow.read_exact(&mut state).unwrap();
     // This peer receives the state and never reports that it serves.
-    old.logged("handover: failed, this process serves on");
-    std::fs::write(old.config(), sound).unwrap();
-    let new = old.succeed();
-    assert!(new.ask("run-lookup", &[0], 8000).whole());
+    old.wait_for_log("handover: failed, this process serves on");
+    std::fs::write(old.config_path(), sound).unwrap();
+    let new = old.start_successor();
+    assert!(new.ask("run-lookup", &[0], 8000).is_whole());
 }
 
 #[test]
@@ -176,54 +176,54 @@
     let mut old = Aggregator::start(Wire::Frames, 1);
     // A killed process leaves a socket file without a listener. The log line of the start precedes that listener by a
     // moment.
-    old.meets();
+    old.wait_for_handover_socket();
     old.signal("KILL");
     old.wait();
-    assert!(old.meeting().exists());
-    let new = old.succeed();
-    assert!(new.ask("run-lookup", &[0], 8000).whole());
-    let newer = new.succeed();
-    new.logged("handover: the new process serves");
-    assert!(newer.ask("run-lookup", &[0], 8000).whole(), "another process can take over from it");
+    assert!(old.handover_socket().exists());
+    let new = old.start_successor();
+    assert!(new.ask("run-lookup", &[0], 8000).is_whole());
+    let newer = new.start_successor();
+    new.wait_for_log("handover: the new process serves");
+    assert!(newer.ask("run-lookup", &[0], 8000).is_whole(), "another process can take over from it");
 }
 
 #[test]
 fn one_that_accepts_no_more_hands_nothing_over_and_a_plain_start_stands_beside_it() {
     let old = Aggregator::start(Wire::Frames, 1);
-    old.board.act(0, Act::Silent);
-    let held = old.begin("run-lookup", &[0], 9000);
-    old.board.wait("the part", |state| state.parts.len() == 1);
+    old.backends.set_behavior(0, Behavior::NeverAnswer);
+    let held = old.send_query("run-lookup", &[0], 9000);
+    old.backends.wait("the part", |state| state.parts.len() == 1);
     old.signal("TERM");
-    old.logged("draining");
+    old.wait_for_log("draining");
     // The process hands over until it stops accepting; from then on new connections are refused.
     while TcpStream::connect(old.address).is_ok() {
         std::thread::sleep(Duration::from_millis(20));
     }
-    old.board.act(0, Act::Serve);
-    let new = old.succeed();
+    old.backends.set_behavior(0, Behavior::Serve);
+    let new = old.start_successor();
     assert_ne!(new.address, old.address, "it listens on a socket of its own");
-    assert!(new.ask("run-lookup", &[1], 8000).whole());
+    assert!(new.ask("run-lookup", &[1], 8000).is_whole());
     drop(held);
 }
 
 #[test]
 fn two_processes_share_the_limit_on_what_is_held() {
     for wire in WIRES {
-        let old = Aggregator::with(wire, 1, 4);
-        old.board.act(0, Act::Silent);
+        let old = Aggregator::start_with_max_open(wire, 1, 4);
+        old.backends.set_behavior(0, Behavior::NeverAnswer);
         // One query and two parts.
-        let held = old.begin("run-lookup", &[0, 1], 9000);
-        old.board.wait("its parts", |state| state.parts.len() == 2);
-        let new = old.succeed();
-        old.logged("handover: the new process serves");
-        let second = new.begin("run-lookup", &[2], 9000);
-        old.board.wait("one more part", |state| state.parts.len() == 3);
+        let held = old.send_query("run-lookup", &[0, 1], 9000);
+        old.backends.wait("its parts", |state| state.parts.len() == 2);
+        let new = old.start_successor();
+        old.wait_for_log("handover: the new process serves");
+        let second = new.send_query("run-lookup", &[2], 9000);
+        old.backends.wait("one more part", |state| state.parts.len() == 3);
         let third = new.ask("run-lookup", &[3], 9000);
-        assert!(third.refused(), "{wire:?}: both processes together hold five: {third:?}");
+        assert!(third.is_refused(), "{wire:?}: both processes together hold five: {third:?}");
         drop((held, second));
-        old.logged("code=client_gone");
-        new.logged("code=client_gone");
-        old.board.act(0, Act::Serve);
-        while !new.ask("run-lookup", &[0], 9000).whole() {}
+        old.wait_for_log("code=client_gone");
+        new.wait_for_log("code=client_gone");
+        old.backends.set_behavior(0, Behavior::Serve);
+        while !new.ask("run-lookup", &[0], 9000).is_whole() {}
     }
 }
