--- a/tests/sockets/calls.rs
+++ b/tests/sockets/calls.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn calls_that_are_not_known_get_a_4xx() {
+fn unknown_operator_calls_get_a_4xx() {
     let aggregator = Aggregator::start(Wire::Frames, 1);
     assert_eq!(aggregator.call_operator("GET", "/healthcheck").status, 200);
     for (method, path, status) in [
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn without_the_key_nobody_listens_for_operators() {
+fn no_operators_interface_without_its_configuration_key() {
     let aggregator =
         Aggregator::start_with_config(Wire::Frames, 1, |config, _| config["operator"] = json!(null));
     assert!(aggregator.operator.is_none());
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn callers_that_say_nothing_or_half_a_call_delay_no_other() {
+fn silent_and_incomplete_operator_calls_do_not_delay_others() {
     let aggregator = Aggregator::start(Wire::Frames, 1);
     // More connections than the interface has room for.
     let slow: Vec<_> = (0..60)
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn clients_that_take_all_their_room_leave_operators_theirs() {
+fn clients_cannot_use_up_the_connections_of_operators() {
     let aggregator =
         Aggregator::start_with_config(Wire::Frames, 1, |config, _| config["limits"]["sockets"] = json!(128));
     aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_drain_by_hand_ends_every_connection_and_is_undone() {
+fn an_operators_drain_closes_every_connection_and_can_be_undone() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         let mut idle = aggregator.connect();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_figures_tell_of_every_end_by_class_and_of_attempts_written_whole() {
+fn metrics_count_every_outcome_by_class_and_every_written_attempt() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         let stats = aggregator.call_operator("GET", "/stats").body;
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn an_end_that_has_begun_is_not_undone_by_hand() {
+fn an_operator_cannot_undo_a_shutdown() {
     let aggregator = Aggregator::start(Wire::Frames, 1);
     aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
     let held = aggregator.send_query("run-lookup", &[0], 8000);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_run_store_that_is_out_by_hand_gets_nothing_until_it_is_called_back() {
+fn a_run_store_in_maintenance_gets_no_parts_until_it_is_returned_to_service() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         for id in ["s-9", "s-0%", "", "s-0/x"] {
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn what_is_queued_for_a_run_store_goes_elsewhere_once_it_is_out() {
+fn parts_queued_for_a_run_store_are_rerouted_when_it_enters_maintenance() {
     for wire in WIRES {
         // One call at a time on each frames connection, so that further calls are queued.
         let aggregator = Aggregator::start_with_config(wire, 2, |config, _| {
--- a/tests/sockets/copies.rs
+++ b/tests/sockets/copies.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_part_given_up_in_silence_goes_again_once_its_run_store_has_read_so_or_has_ended_it() {
+fn a_cancelled_part_is_retried_once_its_run_store_has_read_the_cancellation_or_ended_it() {
     let run_case = |wire, how, probes| {
         let held = hold_part(wire, Behavior::StopReading, 9000, &[("probes", json!(probes))]);
         // The part is cancelled in the same step.
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_part_alone_on_a_connection_that_has_fallen_silent_goes_again_once_its_run_store_has_ended_that() {
+fn a_part_alone_on_an_unresponsive_connection_is_retried_once_its_run_store_closes_it() {
     for wire in WIRES {
         let mut held = hold_part(wire, Behavior::Unresponsive, 9000, &[]);
         // The run store answers no probe, but reads that the aggregator has closed the connection.
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_part_at_a_run_store_that_hangs_for_good_is_not_out_twice_and_ends_in_time() {
+fn a_part_at_a_run_store_that_hangs_forever_is_not_duplicated_and_ends_in_time() {
     for wire in WIRES {
         let mut held = hold_part(wire, Behavior::StopReading, 1500, &[]);
         held.aggregator.wait_for_log("parked");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn where_second_copies_are_allowed_a_part_goes_again_at_once() {
+fn with_second_copies_allowed_a_part_is_retried_at_once() {
     for wire in WIRES {
         let mut held = hold_part(wire, Behavior::StopReading, 9000, &[("parallel_tries", json!(true))]);
         assert!(read_answer(&mut held.client).is_whole(), "{wire:?}");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_connection_that_is_ended_here_is_over_once_its_run_store_has_ended_it_too() {
+fn after_the_aggregator_closes_a_connection_its_part_is_retried_once_the_run_store_has_ended_it_too() {
     let moved = |wire, how| {
         let held = hold_part(wire, Behavior::StopReading, 9000, &[]);
         // The same process of the run store now listens on another address.
--- a/tests/sockets/endings.rs
+++ b/tests/sockets/endings.rs
@@ -23,7 +23,7 @@
 /// A request that has been read is lost if its connection is closed without an answer. This could happen to the later
 /// of several requests that arrive together during a drain.
 #[test]
-fn requests_in_one_write_in_a_drain_are_each_answered() {
+fn pipelined_requests_during_a_drain_are_all_answered() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         let mut kept = aggregator.connect();
@@ -43,7 +43,7 @@
 
 /// The same if a request is followed by more bytes than the longest request may have.
 #[test]
-fn whole_requests_before_a_flood_are_each_answered() {
+fn complete_requests_before_a_flood_are_all_answered() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
@@ -67,7 +67,7 @@
 /// The time-out of a request runs from its last byte, also while an earlier request on its connection is being
 /// answered, and the time-out that a run store gets is at most the client's remaining time plus 0.15 s.
 #[test]
-fn a_request_behind_another_tells_run_stores_no_more_than_its_client_has_left() {
+fn a_pipelined_request_passes_on_at_most_its_clients_remaining_time() {
     const TIMEOUT_MS: u32 = 3000;
     const SLACK_MS: u64 = 150;
     for wire in WIRES {
@@ -101,7 +101,7 @@
 /// The time-out of a request runs from its last byte, and an answer more than half a second after it is too late, also
 /// if an earlier request on the connection has a longer time-out.
 #[test]
-fn a_short_request_behind_a_long_one_has_its_answer_in_time() {
+fn a_request_with_a_short_timeout_behind_a_long_one_is_answered_in_time() {
     const LATEST: Duration = Duration::from_millis(800 + 500);
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
@@ -120,7 +120,7 @@
 /// A request that is read and not answered is lost. Requests after the last answer of a connection must therefore stay
 /// unread, so that the client gets a reset and can retry.
 #[test]
-fn what_comes_after_the_last_answer_stays_unread() {
+fn requests_after_the_last_answer_stay_unread() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         let mut client =
@@ -144,7 +144,7 @@
 /// The time-out of a request runs from its last byte, also while its connection waits in the listener's queue because
 /// accept fails.
 #[test]
-fn a_request_that_waited_to_be_accepted_tells_run_stores_no_more_than_its_client_has_left() {
+fn a_request_that_waited_for_accept_passes_on_at_most_its_clients_remaining_time() {
     const TIMEOUT_MS: u32 = 5000;
     const SLACK_MS: u64 = 150;
     for wire in WIRES {
@@ -173,7 +173,7 @@
 
 /// A client that reads its last answer only after the process has exited must still find it complete.
 #[test]
-fn an_answer_that_is_read_after_the_process_has_ended_is_there() {
+fn an_answer_can_be_read_after_the_process_has_exited() {
     for wire in WIRES {
         let mut aggregator = Aggregator::start(wire, 1);
         let mut client = aggregator.send_query("run-lookup", &[0, 1, 2, 3], 9000);
@@ -188,7 +188,7 @@
 /// A client that does not read its answers must block only its own connection, which is closed with an error when the
 /// time to write is over.
 #[test]
-fn a_client_that_never_reads_its_answers_holds_up_no_other() {
+fn a_client_that_never_reads_its_answers_does_not_block_others() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         let mut lazy = aggregator.connect();
@@ -206,7 +206,7 @@
 /// A client that stops in the middle of a request gets an error within 3 s, also if a request before it on the
 /// connection is still being answered. The time for the second request must not begin only after the first answer.
 #[test]
-fn half_a_request_behind_another_has_its_own_time() {
+fn an_incomplete_request_behind_another_times_out_on_its_own() {
     const ERROR_LIMIT: Duration = Duration::from_millis(3000);
     const FIRST: Duration = Duration::from_millis(2500);
     for wire in WIRES {
@@ -226,7 +226,7 @@
 /// A request with a very short time-out gets a final answer at most half a second after it. With a time-out of 0 no
 /// part is sent.
 #[test]
-fn a_request_with_next_to_no_time_has_its_answer_and_none_is_sent_without_any() {
+fn a_request_with_a_tiny_timeout_is_answered_and_one_without_time_sends_no_part() {
     const LATEST_MS: u128 = 500;
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
--- a/tests/sockets/faults.rs
+++ b/tests/sockets/faults.rs
@@ -21,7 +21,7 @@
 /// A read or write that is interrupted, or fails for a temporary lack of memory, must not end the connection: the
 /// request on it would be lost.
 #[test]
-fn calls_that_fail_for_a_moment_lose_no_request() {
+fn temporarily_failing_reads_and_writes_lose_no_request() {
     const QUERIES: u32 = 40;
     for (wire, faults) in WIRES.into_iter().flat_map(|wire| {
         ["seed=1 recv=EINTR@30 send=EINTR@30", "seed=2 recv=ENOMEM@20 send=ENOBUFS@20"].map(|f| (wire, f))
@@ -36,7 +36,7 @@
 /// A failure of accept that concerns only the new connection (ECONNABORTED and the errors that accept(2) says to treat
 /// alike) does not mean that descriptors are short, so no idle connection may be closed for it.
 #[test]
-fn a_connection_that_came_to_nothing_closes_no_other() {
+fn an_aborted_connection_closes_no_other() {
     for wire in WIRES {
         let aggregator =
             Aggregator::start_with_faults(wire, 1, Some("seed=3 accept=ECONNABORTED@60"), |_, _| {});
@@ -94,7 +94,7 @@
 
 /// The wall clock of the process is wrong by an hour. A run store that has just started must still be treated as cold.
 #[test]
-fn a_run_store_that_starts_is_cold_whatever_the_wall_clock_says() {
+fn a_starting_run_store_is_cold_even_if_the_wall_clock_is_wrong() {
     for (wire, ahead_ms) in WIRES.into_iter().flat_map(|wire| [-HOUR_MS, 0, HOUR_MS].map(|ms| (wire, ms))) {
         let aggregator = start_with_known_service_time(wire, 1, Some(&format!("seed=4 wall_ms={ahead_ms}")));
         let cold = stand_in::start_run_store(&aggregator.backends, wire, 1);
@@ -107,7 +107,7 @@
 /// The wall clock is stepped by an hour between an operator's call and the start of the process that takes over.
 /// The run store that the call returned to service must still be treated as cold.
 #[test]
-fn a_run_store_called_back_is_cold_for_a_process_that_takes_over_behind_a_step_of_the_clock() {
+fn a_run_store_returned_to_service_is_cold_for_a_new_process_after_a_clock_step() {
     for (wire, ahead_ms) in WIRES.into_iter().flat_map(|wire| [-HOUR_MS, HOUR_MS].map(|ms| (wire, ms))) {
         let old = start_with_known_service_time(wire, 2, Some(&format!("seed=5 wall_ms={ahead_ms}")));
         assert_eq!(old.call_operator("PUT", "/run-stores/s-1/maint").status, 200, "{wire:?}");
@@ -122,7 +122,7 @@
 /// If the process can briefly open no descriptor, that must neither count as a failure of the run stores nor use up the
 /// attempts: the query is served as soon as descriptors are available.
 #[test]
-fn a_moment_without_descriptors_is_held_against_no_run_store() {
+fn a_brief_lack_of_descriptors_does_not_count_against_run_stores() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         let mut kept = aggregator.connect();
@@ -142,7 +142,7 @@
 /// The wall clock is stepped by an hour while a query waits. Time-outs and windows must follow the monotonic clock, and
 /// a run store that starts after the step, with a start time by the stepped clock, must be treated as cold.
 #[test]
-fn a_wall_clock_that_is_stepped_in_the_middle_moves_nothing() {
+fn a_step_of_the_wall_clock_changes_no_timeout_or_cold_start() {
     const TIMEOUT: Duration = Duration::from_millis(2500);
     const STEP_AFTER_MS: i64 = 2000;
     for (wire, step_ms) in WIRES.into_iter().flat_map(|wire| [-HOUR_MS, HOUR_MS].map(|ms| (wire, ms))) {
@@ -171,7 +171,7 @@
 /// The process is repeatedly stopped for 0.15 s. The time-out that a run store gets is at most the client's remaining
 /// time plus those 0.15 s.
 #[test]
-fn a_process_that_is_held_up_tells_no_more_than_is_left_with_its_slack() {
+fn a_stopped_process_passes_on_at_most_the_remaining_time_plus_slack() {
     const TIMEOUT_MS: u32 = 1000;
     const STOPPED_FOR: Duration = Duration::from_millis(150);
     for wire in WIRES {
@@ -200,7 +200,7 @@
 /// Reads and writes fail temporarily while a new process takes over and the old one gets SIGTERM. Neither process may
 /// take the other for gone, and the signal must not be lost.
 #[test]
-fn a_handover_and_an_end_get_through_calls_that_fail_for_a_moment() {
+fn handover_and_shutdown_survive_temporarily_failing_calls() {
     const KILL_DELAY: Duration = Duration::from_millis(3700);
     for seed in 1..=6 {
         let faults = format!("seed={seed} recv=ENOMEM@30 send=ENOBUFS@30");
@@ -226,7 +226,7 @@
 /// Accept fails occasionally while many clients with a very short time-out connect at once. The delay after each
 /// failure must not add up: every client gets its answer at most half a second after its time-out.
 #[test]
-fn accepts_that_fail_now_and_then_make_nobody_behind_wait_for_long() {
+fn occasional_accept_failures_do_not_delay_queued_clients_for_long() {
     // The length of the listener's queue.
     const CLIENTS: u32 = 120;
     const TIMEOUT_MS: u32 = 50;
--- a/tests/sockets/keys.rs
+++ b/tests/sockets/keys.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn every_attempt_of_a_keyed_class_carries_its_clients_key_and_no_other_class_does() {
+fn only_attempts_of_a_keyed_class_carry_the_clients_key() {
     for wire in WIRES {
         let aggregator = start_with_keyed_class(wire);
         aggregator.backends.set_behavior(0, Behavior::Error);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_query_of_a_keyed_class_without_one_sound_key_is_a_bad_request_and_reaches_no_run_store() {
+fn a_keyed_query_without_exactly_one_valid_key_is_rejected_and_sends_no_part() {
     for wire in WIRES {
         let aggregator = start_with_keyed_class(wire);
         let twice = key_header("a") + &key_header("a");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_class_that_a_reload_makes_keyed_needs_a_key_from_then_on() {
+fn a_class_that_a_reload_makes_keyed_requires_a_key_afterwards() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         assert!(aggregator.ask("run-lookup", &[0], 9000).is_whole(), "{wire:?}");
@@ -94,7 +94,7 @@
 /// With pushed lists, a change that the local agent holds must be in effect at once, so the watch must be reopened
 /// after its calls have failed.
 #[test]
-fn pushed_lists_are_watched_again_after_the_agent_broke_off() {
+fn the_watch_of_pushed_lists_is_reopened_after_the_agent_fails() {
     for wire in WIRES {
         let aggregator = Aggregator::start_with_config(wire, 2, |config, _| {
             config["settings"]["discovery"] = json!("automatic");
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -23,7 +23,7 @@
 use stand_in::{start_discovery, write_byte_by_byte, Backends, Behavior, Wire, WIRES};
 
 #[test]
-fn a_query_is_served_whole_with_the_values_as_given() {
+fn a_whole_answer_contains_the_values_of_the_run_stores() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         let answer = aggregator.ask("run-lookup", &[0, 3], 8000);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_was_turned_away_goes_elsewhere_in_every_class() {
+fn rejected_parts_are_retried_elsewhere_in_every_class() {
     for wire in WIRES {
         for class in ["run-lookup", "shift-entry"] {
             let aggregator = Aggregator::start(wire, 2);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_unsafe_part_that_may_have_run_is_neither_repeated_nor_refused() {
+fn an_unsafe_part_that_may_have_run_is_neither_retried_nor_refused() {
     for wire in WIRES {
         for behavior in [Behavior::Error, Behavior::Disconnect] {
             let aggregator = Aggregator::start(wire, 2);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn silence_ends_in_one_final_answer_and_a_refusal_never_where_an_unsafe_part_may_run() {
+fn an_unanswered_unsafe_part_ends_in_an_error_and_never_in_a_refusal() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_answer_from_enough_parts_is_given_and_not_marked_whole() {
+fn an_answer_from_enough_parts_is_given_and_marked_partial() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         aggregator.backends.set_behavior(0, Behavior::AnswerEvenShards);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn whoever_wants_no_partial_results_gets_none() {
+fn a_client_that_excludes_partial_results_gets_an_error_instead() {
     let aggregator = Aggregator::start(Wire::OpenSearch, 1);
     aggregator.backends.set_behavior(0, Behavior::AnswerEvenShards);
     let mut stream = aggregator.connect();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_mid_search_has_its_parts_called_back() {
+fn parts_are_cancelled_when_their_client_disconnects() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_run_store_that_is_told_to_drain() {
+fn no_part_is_sent_to_a_draining_run_store() {
     for (wire, mode) in WIRES.into_iter().flat_map(|wire| [(wire, "subscribe"), (wire, "automatic")]) {
         let aggregator = Aggregator::start_with_config(wire, 2, |config, _| {
             config["settings"]["discovery"] = json!(mode);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn discovery_that_fails_is_asked_again_and_the_old_list_stands_meanwhile() {
+fn failed_discovery_calls_are_retried_and_the_old_list_stays_in_effect() {
     let aggregator = Aggregator::start(Wire::Frames, 2);
     aggregator.backends.change(|state| state.discovery_failures = 3);
     // The call in flight is answered first; the next ones fail.
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn what_discovery_turned_down_is_not_asked_again_at_once() {
+fn a_call_that_discovery_rejects_is_not_retried_at_once() {
     let aggregator = Aggregator::start(Wire::Frames, 2);
     let ready = || json!([endpoint(0, aggregator.stores[0], "ready", 0)]);
     aggregator.backends.publish_and_wait(ready());
@@ -197,7 +197,7 @@
 /// A watch that no longer answers must be reopened soon, regardless of the number of aggregators: the changes that it
 /// hides must soon be in effect.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_also_by_one_of_many_aggregators() {
+fn an_unresponsive_watch_is_reopened_even_with_many_aggregators() {
     let many = |config: &mut Value, _: &[SocketAddr]| {
         config["settings"]["balancers"] = json!(300);
         config["settings"]["rules"] = json!({"ask_every_ms": 600_000.0});
@@ -221,7 +221,7 @@
 /// A change must be in effect 6 s after discovery has it, also if discovery did not answer or failed at that time, and
 /// regardless of the number of aggregators.
 #[test]
-fn a_change_is_here_in_time_after_a_watch_fell_silent_and_after_calls_failed() {
+fn a_change_arrives_in_time_after_an_unresponsive_watch_or_failed_calls() {
     let many = |config: &mut Value, _: &[SocketAddr]| {
         config["settings"]["balancers"] = json!(300);
         config["settings"]["rules"] = json!({"ask_every_ms": 600_000.0});
@@ -259,7 +259,7 @@
 
 /// The new discovery accepts connections and does not answer for a while: calls to it must time out and be retried.
 #[test]
-fn a_change_is_here_in_time_after_a_reload_to_a_discovery_that_says_nothing() {
+fn a_change_arrives_in_time_after_a_reload_to_an_unresponsive_discovery() {
     let aggregator = Aggregator::start_with_config(Wire::Frames, 2, |config, _| {
         config["settings"]["balancers"] = json!(300);
         config["settings"]["rules"] = json!({"ask_every_ms": 600_000.0});
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_reload_moves_the_watch_out_of_a_hanging_call_and_asks_for_the_whole_list() {
+fn a_reload_aborts_a_hanging_watch_and_fetches_the_whole_list_elsewhere() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         let [drained, other] = aggregator.stores[..] else { panic!() };
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn a_reload_of_a_faulty_file_changes_nothing_and_one_of_other_keys_names_them() {
+fn a_reload_rejects_invalid_files_and_names_keys_that_need_a_restart() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         let sound = aggregator.configuration(|_| {});
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_new_start_time_is_a_new_process_and_gets_a_new_connection() {
+fn a_run_store_with_a_new_start_time_gets_a_new_connection() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         assert!(aggregator.ask("run-lookup", &[0], 8000).is_whole(), "{wire:?}");
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn a_burst_meets_a_new_run_store_with_one_connection_coming_up_at_a_time() {
+fn a_burst_opens_one_connection_at_a_time_to_a_new_run_store() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         let clients: Vec<_> = (0..20).map(|n| aggregator.send_query("run-lookup", &[n % 4], 9000)).collect();
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn at_the_limit_queries_are_refused_at_once_with_advice() {
+fn at_the_limit_queries_are_refused_at_once_with_a_retry_time() {
     for wire in WIRES {
         let aggregator = Aggregator::start_with_max_open(wire, 1, 2);
         aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
@@ -411,7 +411,7 @@
 }
 
 #[test]
-fn sigterm_answers_what_is_held_and_exits_with_0() {
+fn sigterm_answers_queries_in_flight_and_exits_with_0() {
     for wire in WIRES {
         let mut aggregator = Aggregator::start(wire, 1);
         aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
@@ -432,7 +432,7 @@
 }
 
 #[test]
-fn bad_input_gets_a_4xx_and_lost_framing_ends_the_connection() {
+fn invalid_input_gets_an_error_and_lost_framing_closes_the_connection() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         for (bytes, status) in [
@@ -476,7 +476,7 @@
 ];
 
 #[test]
-fn an_answer_in_an_unexpected_form_is_no_answer() {
+fn an_invalid_answer_of_a_run_store_is_not_passed_on() {
     for form in INVALID_ANSWERS {
         let aggregator = Aggregator::start(Wire::OpenSearch, 2);
         aggregator.backends.set_behavior(0, Behavior::Raw(form));
@@ -498,7 +498,7 @@
 }
 
 #[test]
-fn a_frame_that_cannot_be_read_ends_its_connection_and_may_have_run() {
+fn an_invalid_frame_closes_its_connection_and_the_part_may_have_run() {
     let aggregator = Aggregator::start(Wire::Frames, 1);
     aggregator.backends.set_behavior(0, Behavior::Raw(""));
     assert_eq!(aggregator.ask("shift-entry", &[0], 8000).status, 500);
@@ -507,7 +507,7 @@
 }
 
 #[test]
-fn an_answer_that_begins_and_never_ends_holds_up_nothing() {
+fn an_answer_that_never_ends_blocks_no_other() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         aggregator.backends.set_behavior(0, Behavior::NeverFinishAnswer);
@@ -524,7 +524,7 @@
 }
 
 #[test]
-fn peers_may_write_a_byte_at_a_time() {
+fn messages_may_arrive_one_byte_at_a_time() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         aggregator.backends.set_behavior(0, Behavior::ServeByteByByte);
@@ -542,7 +542,7 @@
 }
 
 #[test]
-fn a_connection_that_falls_silent_is_not_taken_for_its_run_store() {
+fn an_unresponsive_connection_does_not_count_as_a_failed_run_store() {
     for (wire, second_copies) in WIRES.into_iter().flat_map(|wire| [(wire, true), (wire, false)]) {
         let aggregator = Aggregator::start_with_config(wire, 1, |config, _| {
             config["settings"]["caps"]["parallel_tries"] = json!(second_copies);
@@ -566,7 +566,7 @@
 }
 
 #[test]
-fn opensearch_errors_and_answers_have_their_published_form() {
+fn opensearch_errors_and_answers_have_the_documented_form() {
     let aggregator = Aggregator::start(Wire::OpenSearch, 1);
     let answer = aggregator.ask("no-such-index", &[0], 1000).json();
     assert_eq!(answer["status"], json!(404));
@@ -628,7 +628,7 @@
 }
 
 #[test]
-fn without_room_for_a_connection_an_idle_one_goes_or_the_new_one_is_refused() {
+fn at_the_connection_limit_an_idle_connection_is_closed_or_the_new_one_refused() {
     for wire in WIRES {
         let aggregator =
             Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
@@ -660,7 +660,7 @@
 /// Each run store holds one shard, so a query of all shards needs a connection to every run store, and there are fewer
 /// connections than run stores.
 #[test]
-fn more_run_stores_than_connections_serve_a_query_of_them_all() {
+fn a_query_of_more_run_stores_than_connections_is_served() {
     for wire in WIRES {
         let aggregator = Aggregator::start_with_config(wire, 40, |config, _| {
             config["limits"]["sockets"] = json!(128);
@@ -681,7 +681,7 @@
 }
 
 #[test]
-fn a_client_that_sends_nothing_or_half_a_request_is_answered_or_closed_in_time() {
+fn clients_that_send_no_or_half_a_request_are_closed_or_answered_in_time() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         let mut silent = aggregator.connect();
@@ -704,7 +704,7 @@
 }
 
 #[test]
-fn silent_connections_do_not_push_out_one_that_has_asked() {
+fn connections_without_requests_do_not_displace_one_that_has_sent_requests() {
     for wire in WIRES {
         let aggregator =
             Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
@@ -722,7 +722,7 @@
 }
 
 #[test]
-fn a_new_connection_is_not_closed_for_the_next_while_kept_ones_stand_idle() {
+fn idle_keep_alive_connections_are_closed_before_new_ones() {
     for wire in WIRES {
         let aggregator =
             Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
@@ -746,7 +746,7 @@
 }
 
 #[test]
-fn connections_kept_without_a_request_take_a_quarter_of_the_room_at_most() {
+fn idle_keep_alive_connections_use_at_most_a_quarter_of_the_limit() {
     for wire in WIRES {
         let aggregator =
             Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
@@ -782,7 +782,7 @@
 }
 
 #[test]
-fn nothing_is_kept_of_run_stores_that_are_gone() {
+fn no_state_is_kept_of_run_stores_that_are_gone() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         assert!(aggregator.ask("run-lookup", &[0, 1, 2, 3], 8000).is_whole(), "{wire:?}");
@@ -797,7 +797,7 @@
 }
 
 #[test]
-fn an_id_that_is_held_is_not_taken_twice() {
+fn a_request_id_in_flight_is_not_accepted_twice() {
     let aggregator = Aggregator::start(Wire::Frames, 1);
     aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
     let body = json!({"slices": [{"slice": 0, "mass": 1.0}]}).to_string();
@@ -819,7 +819,7 @@
 }
 
 #[test]
-fn bad_configuration_names_the_key_and_exits_with_an_error() {
+fn an_invalid_configuration_names_the_key_and_exits_with_an_error() {
     let path = std::env::temp_dir().join(format!("ironpaddle-bad-{}.json", std::process::id()));
     std::fs::write(&path, r#"{"name":"n","listen":"127.0.0.1:0","discovery":"nowhere","settings":{}}"#)
         .unwrap();
--- a/tests/sockets/narrow.rs
+++ b/tests/sockets/narrow.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_client_that_floods_behind_its_request_is_turned_down_and_its_parts_are_called_back() {
+fn a_client_that_floods_after_its_request_is_rejected_and_its_parts_are_cancelled() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_sent_behind_a_request_does_not_hide_that_its_client_left() {
+fn bytes_after_a_request_do_not_hide_that_its_client_left() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
@@ -53,7 +53,7 @@
 /// The process is stopped while clients connect, send a request and leave, so that it reads each request together with
 /// the end of its connection. It must see that end and send no part.
 #[test]
-fn nothing_is_sent_on_for_clients_that_left_before_their_requests_were_read() {
+fn no_part_is_sent_for_clients_that_left_before_their_requests_were_read() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         aggregator.signal("STOP");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn whatever_comes_in_a_drain_is_answered_before_the_process_may_be_killed() {
+fn requests_during_a_drain_are_answered_before_the_process_can_be_killed() {
     let drained = |wire: Wire| {
         let mut aggregator = Aggregator::start(wire, 1);
         aggregator.backends.set_behavior(0, Behavior::NeverAnswer);
@@ -111,7 +111,7 @@
 
 /// Clients use all connections when SIGTERM arrives, and more wait in the listener's queue. Those must be answered too.
 #[test]
-fn what_waits_in_the_queue_of_a_process_that_ends_is_answered() {
+fn requests_in_the_listen_queue_of_an_ending_process_are_answered() {
     let drained = |wire: Wire| {
         let mut aggregator =
             Aggregator::start_with_config(wire, 1, |config, _| config["limits"]["sockets"] = json!(128));
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_start_without_any_list_is_ready_in_time_and_refuses_until_it_is_told() {
+fn a_start_without_a_list_is_ready_in_time_and_refuses_queries() {
     let starts = |wire: Wire| {
         let aggregator = Aggregator::start_with_config(wire, 1, |config, _| {
             config["known"] = json!({"index": 0, "snapshot": true, "endpoints": []});
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn idle_clients_in_every_place_keep_neither_discovery_nor_sound_clients_out() {
+fn idle_clients_on_every_connection_block_neither_discovery_nor_other_clients() {
     for wire in WIRES {
         let aggregator =
             Aggregator::start_with_config(wire, 2, |config, _| config["limits"]["sockets"] = json!(128));
@@ -182,7 +182,7 @@
 
 /// An idle connection times out and its next request arrives while the process is stopped. The request must be served.
 #[test]
-fn a_request_that_is_there_when_its_idle_connection_would_be_closed_is_served() {
+fn a_request_that_arrives_as_its_idle_connection_times_out_is_served() {
     on_both_wires(|wire| {
         let aggregator = Aggregator::start(wire, 1);
         let mut kept = aggregator.connect();
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn what_is_read_after_the_end_of_a_connection_is_not_sent_on() {
+fn requests_after_the_end_of_a_connection_send_no_part() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         let mut client = aggregator.send_query("no-such-class", &[0], 9000);
@@ -223,7 +223,7 @@
 
 /// SIGTERM arrives as soon as the process serves. A request sent before it and one sent shortly after it are answered.
 #[test]
-fn a_process_that_is_told_to_end_in_its_first_moments_answers_what_it_takes() {
+fn a_process_with_sigterm_right_after_its_start_answers_its_requests() {
     on_both_wires(|wire| {
         let mut aggregator = Aggregator::start(wire, 1);
         let mut first = aggregator.send_query("run-lookup", &[0], 9000);
@@ -237,7 +237,7 @@
 /// Three reloads in quick succession, each to another discovery, of which the first two never answer. The last one must
 /// be in effect 4 s after its SIGHUP.
 #[test]
-fn the_last_of_several_new_configurations_counts_in_time() {
+fn the_last_of_several_quick_reloads_takes_effect_in_time() {
     on_both_wires(|wire| {
         let aggregator = Aggregator::start(wire, 2);
         let silent: Vec<_> = (0..2).map(|_| stand_in::bind_socket()).collect();
@@ -266,7 +266,7 @@
 
 /// After a reload to a discovery that takes 2.5 s for each answer, its list must be in effect within 6 s.
 #[test]
-fn a_discovery_that_is_slow_tells_in_time_after_a_new_configuration() {
+fn the_list_of_a_slow_discovery_takes_effect_in_time_after_a_reload() {
     on_both_wires(|wire| {
         let aggregator = Aggregator::start(wire, 2);
         let slow = Arc::new(Backends::default());
--- a/tests/sockets/operator.rs
+++ b/tests/sockets/operator.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_reload_moves_the_looks_to_another_dns_server() {
+fn a_reload_moves_the_queries_to_another_dns_server() {
     let zones = [Arc::new(Backends::default()), Arc::new(Backends::default())];
     let servers = zones.each_ref().map(start_dns);
     let aggregator = Aggregator::start_with_config(Wire::OpenSearch, 2, |config, stores| {
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_peer_that_returns_catches_up_with_the_highest_version() {
+fn a_returning_peer_gets_the_highest_version_of_the_settings() {
     let (old, old_store) = start_peer("old", &[], 1, |_| {});
     let (new, new_store) = start_peer("new", &[old_store], 2, |_| {});
     assert!(new.logged_at_start("settings of version 2 from new"));
--- a/tests/sockets/settings.rs
+++ b/tests/sockets/settings.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn classes_come_and_go_at_a_reload_and_what_is_under_way_keeps_its_own() {
+fn a_reload_replaces_classes_and_queries_in_flight_keep_theirs() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         for store in 0..2 {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn fewer_attempts_and_another_limit_hold_from_the_reload_on() {
+fn new_limits_apply_from_the_reload_on() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 2);
         for store in 0..2 {
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn nothing_is_taken_of_a_broken_file() {
+fn no_setting_of_an_invalid_file_takes_effect() {
     for wire in WIRES {
         let aggregator = Aggregator::start(wire, 1);
         let whole = aggregator.configuration(|_| {});
--- a/tests/sockets/trace.rs
+++ b/tests/sockets/trace.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_recording_tells_what_the_clients_saw_and_replays() {
+fn a_recording_matches_what_the_clients_saw_and_replays() {
     for wire in WIRES {
         let folder = Folder::new();
         let aggregator =
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn without_a_list_clients_health_figures_and_trace_name_that_cause() {
+fn without_a_list_answers_health_metrics_and_trace_name_the_cause() {
     for wire in WIRES {
         let folder = Folder::new();
         let aggregator = Aggregator::start_with_config(wire, 1, |config, _| {
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_killed_process_leaves_what_it_had_written() {
+fn a_killed_process_leaves_a_readable_recording() {
     let folder = Folder::new();
     let mut aggregator =
         Aggregator::start_with_config(WIRES[0], 2, |config, _| configure_trace(&folder, config, true));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn operators_switch_it_and_have_new_segments_begun() {
+fn operators_can_switch_the_recording_and_rotate_segments() {
     let folder = Folder::new();
     let aggregator =
         Aggregator::start_with_config(WIRES[0], 2, |config, _| configure_trace(&folder, config, false));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn an_upgrade_goes_on_recording_each_process_in_its_own_segments() {
+fn an_upgrade_continues_the_recording_with_segments_per_process() {
     for wire in WIRES {
         let folder = Folder::new();
         let old = Aggregator::start_with_config(wire, 2, |config, _| configure_trace(&folder, config, false));
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_folder_that_cannot_be_had_is_told_at_the_start() {
+fn an_unusable_folder_is_reported_when_a_recording_is_started() {
     let folder = Folder::new();
     let file = folder.0.join("a-file");
     std::fs::write(&file, "").unwrap();
--- a/tests/sockets/upgrade.rs
+++ b/tests/sockets/upgrade.rs
@@ -11,7 +11,7 @@
 use crate::stand_in::{Behavior, Wire, WIRES};
 
 #[test]
-fn a_new_process_takes_over_the_listening_socket_and_the_old_one_ends_what_it_has() {
+fn a_new_process_takes_over_the_listening_socket_and_the_old_one_finishes_its_queries() {
     for wire in WIRES {
         let mut old = Aggregator::start(wire, 1);
         let mut kept = old.connect();
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_operators_said_holds_over_an_upgrade_and_reaches_both_processes() {
+fn operators_calls_survive_an_upgrade_and_reach_both_processes() {
     for wire in WIRES {
         let old = Aggregator::start(wire, 3);
         assert_eq!(old.call_operator("PUT", "/run-stores/s-0/maint").status, 200, "{wire:?}");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_list_goes_on_from_its_version() {
+fn the_list_continues_from_its_version_after_an_upgrade() {
     for wire in WIRES {
         let old = Aggregator::start(wire, 2);
         old.backends.publish_and_wait(json!([endpoint(0, old.stores[0], "draining", 0)]));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_drain_by_hand_holds_over_an_upgrade() {
+fn an_operators_drain_survives_an_upgrade() {
     let old = Aggregator::start(Wire::Frames, 1);
     assert_eq!(old.call_operator("PUT", "/healthcheck/fail").status, 200);
     let new = old.start_successor();
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_new_process_that_dies_leaves_the_old_one_serving() {
+fn the_old_process_serves_again_if_the_new_one_dies() {
     for wire in WIRES {
         let old = Aggregator::start(wire, 1);
         let new = old.start_successor();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_handover_that_cannot_be_leaves_the_old_one_serving() {
+fn a_failed_handover_leaves_the_old_process_serving() {
     let old = Aggregator::start(Wire::Frames, 1);
     let sound = old.configuration(|_| {});
     for (set, other, why) in [
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_stale_socket_is_no_running_process() {
+fn a_stale_socket_does_not_count_as_a_running_process() {
     let mut old = Aggregator::start(Wire::Frames, 1);
     // A killed process leaves a socket file without a listener. The log line of the start precedes that listener by a
     // moment.
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn one_that_accepts_no_more_hands_nothing_over_and_a_plain_start_stands_beside_it() {
+fn a_process_that_has_stopped_accepting_hands_nothing_over() {
     let old = Aggregator::start(Wire::Frames, 1);
     old.backends.set_behavior(0, Behavior::NeverAnswer);
     let held = old.send_query("run-lookup", &[0], 9000);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn two_processes_share_the_limit_on_what_is_held() {
+fn two_processes_share_the_limit_on_queries_and_parts_in_flight() {
     for wire in WIRES {
         let old = Aggregator::start_with_max_open(wire, 1, 4);
         old.backends.set_behavior(0, Behavior::NeverAnswer);
