--- a/crates/lab/src/aggregators.rs
+++ b/crates/lab/src/aggregators.rs
@@ -1,4 +1,4 @@
-//! Aggregators: real processes of the program, on loopback.
+//! Starts, signals and observes aggregators: real processes of the program, on loopback.
 
 use std::collections::BTreeSet;
 use std::fs::File;
@@ -17,30 +17,30 @@
 
 use crate::stores::read_message;
 
-/// The variable from which the library of `crates/faults` reads what is to fail.
+/// Environment variable from which the library of `crates/faults` reads the faults to inject.
 const FAULTS: &str = "FAULTS";
-/// How long a start may take.
+/// Time within which a started process must answer health checks.
 const START: Duration = Duration::from_secs(20);
 
-/// An aggregator.
+/// An aggregator under test, with the process that currently runs it.
 pub struct Aggregator {
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// Where operators call.
+    /// Address of the operators' interface.
     pub operator: SocketAddr,
     program: PathBuf,
     dir: PathBuf,
     child: Option<Child>,
-    /// What fails for its processes, as the library of `crates/faults` reads it.
+    /// Faults injected into its processes, in the syntax of the library of `crates/faults`.
     faults: Option<String>,
-    /// CPU of processes that are over, in milliseconds.
+    /// CPU time of its processes that have ended, in milliseconds.
     cpu_ms: f64,
 }
 
-/// The processes that were started here, by id, so that they can be ended by it.
+/// Ids of the running aggregator processes, to be killed when the lab is ended by a signal.
 static STARTED: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
-/// From now on a signal that ends this process ends all aggregators that it has started with it.
+/// Installs a signal handler that kills all started aggregators before this process exits.
 ///
 /// # Errors
 /// If signals cannot be caught.
@@ -50,7 +50,7 @@
         let signal = async_io::block_on(signals.next());
         let started = STARTED.lock().unwrap_or_else(PoisonError::into_inner);
         for id in started.iter().filter_map(|id| rustix::process::Pid::from_raw(*id as i32)) {
-            // It may have ended by itself.
+            // The process may have ended already.
             let _ = rustix::process::kill_process(id, rustix::process::Signal::KILL);
         }
         eprintln!("ironpaddle-lab: ended by {signal:?}");
@@ -59,18 +59,18 @@
     Ok(())
 }
 
-/// A process that was started here has ended.
+/// Removes a process that has ended from the processes to kill on a signal.
 pub fn has_ended(id: u32) {
     STARTED.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
 }
 
-/// How often an aggregator looks whether the process that started it is still there.
+/// Interval at which an aggregator checks that its parent process still runs.
 const LOOK_EVERY: Duration = Duration::from_millis(500);
 
-/// Is an aggregator: the program itself, which ends with the process that started it.
+/// Runs the aggregator program in this process, and exits when the parent process has ended.
 ///
 /// # Errors
-/// If it cannot be run.
+/// If the aggregator cannot be run.
 pub fn be(config: &Path) -> Result<(), String> {
     let parent = std::os::unix::process::parent_id();
     thread::spawn(move || {
@@ -83,39 +83,38 @@
     ironpaddle::service::run(config)
 }
 
-/// The library that makes system calls fail, which is built beside the lab.
+/// Returns the path of the library that makes system calls fail, which is built next to the lab.
 fn faults_library() -> io::Result<PathBuf> {
     const NAME: &str = "libironpaddle_faults.so";
     let own = std::env::current_exe()?;
     let places = [own.with_file_name("deps").join(NAME), own.with_file_name(NAME)];
-    places
-        .into_iter()
-        .find(|path| path.exists())
-        .ok_or_else(|| io::Error::other(format!("there is no {NAME}")))
+    places.into_iter().find(|path| path.exists()).ok_or_else(|| {
+        io::Error::other(format!("{NAME} was not found next to the lab: build the workspace first"))
+    })
 }
 
-/// An address that is free just now.
+/// Returns an address with a free port.
 fn free() -> io::Result<SocketAddr> {
     static TAKEN: AtomicU8 = AtomicU8::new(0);
-    // An address of its own: on the usual one any connection that is being made may take the port meanwhile.
+    // On 127.0.0.1, an outgoing connection could take the port before the aggregator binds it.
     let (process, place) = (std::process::id(), TAKEN.fetch_add(1, Ordering::Relaxed));
     let address = Ipv4Addr::new(127, 1 + (process >> 8 & 0x7f) as u8, process as u8, 1 + place % 254);
     TcpListener::bind((address, 0))?.local_addr()
 }
 
 impl Aggregator {
-    /// Starts one by a configuration, whose addresses are set here.
+    /// Starts an aggregator with the given configuration; its addresses are filled in here.
     ///
     /// # Errors
-    /// If it does not come up.
+    /// If it does not answer health checks in time.
     pub fn start(program: &Path, dir: &Path, config: Value) -> io::Result<Self> {
         Aggregator::start_failing(program, dir, config, None)
     }
 
-    /// The same, with system calls that fail for its processes.
+    /// Starts an aggregator whose system calls fail as `faults` describes.
     ///
     /// # Errors
-    /// If it does not come up.
+    /// If it does not answer health checks in time.
     pub fn start_failing(
         program: &Path,
         dir: &Path,
@@ -137,7 +136,7 @@
     fn spawn(&mut self) -> io::Result<()> {
         let log = File::options().create(true).append(true).open(self.dir.join("log"))?;
         let mut command = Command::new(&self.program);
-        // The lab is the aggregator's program itself unless another one is named.
+        // The lab runs as the aggregator itself unless another program is given.
         if std::env::current_exe().is_ok_and(|own| own == self.program) {
             command.arg("aggregator");
         }
@@ -149,7 +148,7 @@
             .env("TMPDIR", &self.dir)
             .stdout(log.try_clone()?)
             .stderr(log);
-        // None is started between a signal and the end.
+        // Holding the lock keeps the signal handler from missing a process that is being started.
         let mut started = STARTED.lock().unwrap_or_else(PoisonError::into_inner);
         let child = child.spawn()?;
         started.insert(child.id());
@@ -159,7 +158,7 @@
         while !matches!(self.call("GET", "/healthcheck"), Ok((200, _))) {
             if began.elapsed() > START {
                 return Err(io::Error::other(format!(
-                    "the aggregator does not come up: see {}",
+                    "the aggregator did not answer health checks within {START:?}, see {}",
                     self.dir.join("log").display()
                 )));
             }
@@ -168,12 +167,12 @@
         Ok(())
     }
 
-    /// Its process, while there is one.
+    /// Returns the id of its process, if one runs.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Makes an operator's call.
+    /// Sends a request to the operators' interface and returns the status and the body.
     ///
     /// # Errors
     /// If there is no answer.
@@ -191,7 +190,7 @@
         Ok((status, String::from_utf8_lossy(&body).into_owned()))
     }
 
-    /// The CPU that its processes have used, in milliseconds, as the kernel counts it in hundredths of a second.
+    /// Returns the CPU time of all its processes, in milliseconds. The kernel counts in hundredths of a second.
     pub fn cpu_ms(&self) -> f64 {
         let stat = self
             .child
@@ -200,25 +199,25 @@
         let ticks = stat.and_then(|stat| {
             let words: Vec<f64> =
                 stat.rsplit(") ").next()?.split(' ').filter_map(|word| word.parse().ok()).collect();
-            // Behind the name and the state, which is no number: user and system time are the 11th and 12th.
+            // After the name and the state, which is not a number, user and system time are the 11th and 12th field.
             Some(words.get(10)? + words.get(11)?)
         });
         self.cpu_ms + ticks.unwrap_or(0.0) * 10.0
     }
 
-    /// Kills it and starts it again.
+    /// Kills its process and starts another one.
     ///
     /// # Errors
-    /// If it does not come up.
+    /// If it does not answer health checks in time.
     pub fn kill_and_start(&mut self) -> io::Result<()> {
         self.kill()?;
         self.spawn()
     }
 
-    /// Kills it; [`Aggregator::start_again`] has it come back.
+    /// Kills its process; [`Aggregator::start_again`] starts another one.
     ///
     /// # Errors
-    /// If it cannot be killed.
+    /// If the process cannot be killed.
     pub fn kill(&mut self) -> io::Result<()> {
         self.cpu_ms = self.cpu_ms();
         if let Some(mut child) = self.child.take() {
@@ -229,33 +228,33 @@
         Ok(())
     }
 
-    /// Starts it where it was.
+    /// Starts a process at the same addresses as the last one.
     ///
     /// # Errors
-    /// If it does not come up.
+    /// If it does not answer health checks in time.
     pub fn start_again(&mut self) -> io::Result<()> {
         self.spawn()
     }
 
-    /// Sends its process a signal, if there is one.
+    /// Sends a signal to its process, if one runs.
     ///
     /// # Errors
-    /// If it cannot be sent.
+    /// If the signal cannot be sent.
     pub fn signal(&self, name: &str) -> io::Result<()> {
         let Some(child) = &self.child else { return Ok(()) };
         Command::new("kill").args(["-s", name, &child.id().to_string()]).status().map(drop)
     }
 
-    /// Its process, which is no longer its own from here on.
+    /// Hands its process over to the caller, who has to wait for its end.
     pub fn take_process(&mut self) -> Option<Child> {
         self.cpu_ms = self.cpu_ms();
         self.child.take()
     }
 
-    /// Starts a further process, which takes over from the running one; that one is handed back.
+    /// Starts a new process, which takes over from the running one, and returns the old process.
     ///
     /// # Errors
-    /// If it does not come up.
+    /// If it does not answer health checks in time.
     pub fn succeed(&mut self) -> io::Result<Option<Child>> {
         let path = self.dir.join("config.json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&path)?)?;
@@ -267,7 +266,7 @@
         Ok(old)
     }
 
-    /// Its descriptors and the most memory it has had, in megabytes.
+    /// Returns its open file descriptors and its peak memory, in megabytes.
     pub fn usage(&self) -> Option<(usize, f64)> {
         let id = self.id()?;
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).ok()?.count();
@@ -277,20 +276,20 @@
         Some((descriptors, kilobytes / 1024.0))
     }
 
-    /// Has it stand still, or go on.
+    /// Suspends its process, or resumes it.
     ///
     /// # Errors
-    /// If it cannot be told.
+    /// If the signal cannot be sent.
     pub fn stop(&self, stopped: bool) -> io::Result<()> {
         let Some(child) = &self.child else { return Ok(()) };
         let signal = if stopped { "STOP" } else { "CONT" };
         Command::new("kill").args(["-s", signal, &child.id().to_string()]).status().map(drop)
     }
 
-    /// Ends it in good order; says whether it did so by itself.
+    /// Shuts its process down and returns whether it exited with success.
     ///
     /// # Errors
-    /// If it cannot be told.
+    /// If the signal cannot be sent or the process cannot be waited for.
     pub fn end(&mut self) -> io::Result<bool> {
         self.cpu_ms = self.cpu_ms();
         let Some(mut child) = self.child.take() else { return Ok(false) };
@@ -304,7 +303,7 @@
 impl Drop for Aggregator {
     fn drop(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // The process may have ended already.
             let _ = child.kill();
             let _ = child.wait();
             has_ended(child.id());
--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -1,104 +1,107 @@
-//! The rules, checked from outside on what run stores and clients saw.
+//! Checks the rules that aggregators must keep, from what run stores and clients observe.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
-/// A run store that is told to drain may get something new for so long, in milliseconds, with some slack.
+/// Time for which a draining run store may still get new parts, in milliseconds: 2 s and a margin.
 const DRAIN_MS: f64 = 2050.0;
-/// Attempts that a part may have.
+/// Maximum number of attempts for a part.
 const MOST_ATTEMPTS: usize = 3;
-/// An answer may come so late after its time, in milliseconds: the client's own threads take some of it.
+/// Tolerated lateness of an answer, in milliseconds; it includes delays in the client's own threads.
 const SLACK_MS: f64 = 250.0;
-/// The time that an attempt tells may be so much more than what its client has left, in milliseconds.
+/// Tolerated excess of an attempt's timeout over the time that its client still waits, in milliseconds.
 const TOLD_LEFT_MS: f64 = 150.0;
-/// An attempt may begin so long after its client left, in milliseconds.
+/// Time after its client left in which an attempt may still begin, in milliseconds.
 const LEFT_MS: f64 = 100.0;
-/// So long after a link to discovery is whole again an aggregator counts as told, in milliseconds.
+/// Time after the end of a partition from discovery until an aggregator must know of changes, in milliseconds.
 const TOLD_MS: f64 = 1000.0;
 
 /// A part that arrived at a run store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When.
+    /// Time of arrival.
     pub at: f64,
-    /// Where.
+    /// Number of the run store.
     pub store: usize,
-    /// Its id: the query's, a dot, the shard.
+    /// Id of the part: the query's id, a dot, the shard.
     pub part: String,
-    /// Its shard.
+    /// Shard of the part.
     pub shard: u32,
-    /// Whether it ran.
+    /// Whether the part ran.
     pub ran: bool,
-    /// The aggregator that it came from, where links tell.
+    /// Aggregator that sent it, known only if the run has links.
     pub from: Option<usize>,
-    /// How long its answer is waited for, as it was told.
+    /// Timeout that the attempt carries, in milliseconds.
     pub told_ms: f64,
 }
 
 /// An answer as a client saw it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// The query's id.
+    /// Id of the query.
     pub query: String,
-    /// The aggregator that was asked.
+    /// Number of the aggregator that was asked.
     pub aggregator: usize,
-    /// When it was asked.
+    /// Time at which the query was asked.
     pub asked: f64,
-    /// When the answer was in.
+    /// Time at which the answer was complete.
     pub at: f64,
-    /// How long its client was to wait, in milliseconds.
+    /// Timeout of the client, in milliseconds.
     pub wait: f64,
-    /// Whether its parts may run twice.
+    /// Whether the parts may run twice.
     pub safe: bool,
-    /// Whether it was refused.
+    /// Whether the query was refused.
     pub refused: bool,
-    /// Whether it was marked whole.
+    /// Whether the answer was marked whole.
     pub whole: bool,
-    /// Whether it was answered.
+    /// Whether the query was answered.
     pub served: bool,
-    /// Whether there was none, as the connection was reset over the request: it was not read, and may be asked again.
+    /// Whether the connection was reset before the request was read, so that there is no answer and a retry is safe.
     pub unread: bool,
-    /// The shards asked for, and those answered with their values.
+    /// Requested shards with their weights.
     pub asked_for: Vec<(u32, f64)>,
-    /// See `asked_for`.
+    /// Answered shards with their values.
     pub values: Vec<(u32, String)>,
-    /// The least share of weight that an answer needs.
+    /// Minimum share of weight that an answer needs.
     pub least_share: f64,
 }
 
 #[derive(Default)]
 struct Seen {
+    /// Attempts by part: time of arrival, run store, whether the part ran.
     parts: BTreeMap<String, Vec<(f64, usize, bool)>>,
-    /// Run stores that drain, and since when that was told to all.
+    /// Draining run stores, with the time from which all aggregators can know it.
     drains: BTreeMap<usize, f64>,
-    /// Parts that may run but once.
+    /// Parts that may run only once.
     once: Vec<String>,
-    /// Where connections of aggregators come from.
+    /// Aggregators by the source address of their connections.
     routes: BTreeMap<SocketAddr, usize>,
-    /// Aggregators that are cut off from discovery, or (with the time) were.
+    /// Aggregators that are partitioned from discovery (`None`) or were until a time.
     untold: BTreeMap<usize, Option<f64>>,
-    /// Spells in which aggregators were killed or stood still.
+    /// Periods in which aggregators were killed or suspended.
     away: Vec<(usize, f64, f64)>,
-    /// Spells in which they take no new connections, as they are to end.
+    /// Periods in which aggregators accept no new connections because they are shutting down.
     closed: Vec<(usize, f64, f64)>,
-    /// When the client of a query stops waiting, by the query's id.
+    /// Time at which the client stops waiting, by the id of the query.
     ends: BTreeMap<String, f64>,
-    /// When the client of a query left.
+    /// Time at which the client closed its connection, by the id of the query.
     left: BTreeMap<String, f64>,
-    /// Run stores that started: when, and how many parts each may get in a second at its coldest.
+    /// Latest cold start of each run store.
     cold: BTreeMap<usize, Cold>,
-    /// When parts arrived at each run store in the last second.
+    /// Arrival times of the last second, by run store.
     recent: BTreeMap<usize, VecDeque<f64>>,
-    /// First attempts and repeats that arrived, by second.
+    /// First attempts and further attempts that arrived, by second.
     sent: BTreeMap<u64, [u64; 2]>,
+    /// Broken rules: how often, and a description of the first time.
     broken: BTreeMap<&'static str, (u64, String)>,
+    /// Additional tolerance for slow machines, in milliseconds.
     slack: f64,
-    /// How late an answer is lost, where the page's own time is judged.
+    /// Lateness from which an answer counts as lost, in milliseconds; replaces `SLACK_MS` if set.
     lost_after: Option<f64>,
 }
 
-/// Checks the rules while the run goes on.
+/// Collects observations during a run and checks the rules on them.
 #[derive(Default)]
 pub struct Checker {
     seen: Mutex<Seen>,
@@ -109,12 +112,12 @@
         self.broken.entry(rule).or_insert_with(|| (0, what())).0 += 1;
     }
 
-    /// Whether an aggregator took no new connections at some time.
+    /// Returns whether an aggregator accepted no new connections at the given time.
     fn was_closed(&self, aggregator: usize, at: f64) -> bool {
         self.closed.iter().any(|(no, from, to)| *no == aggregator && (*from..=*to).contains(&at))
     }
 
-    /// The rules on a single attempt, by what its client has said and done.
+    /// Checks an attempt against the timeout of its client, and that the client has not left.
     fn check_attempt(&mut self, arrival: &Arrival) {
         let slack = self.slack;
         let Some((query, _)) = arrival.part.rsplit_once('.') else { return };
@@ -124,15 +127,17 @@
             }
         }
         if let Some(has) = self.ends.get(query).map(|at| at - arrival.at) {
-            // A store reads it a moment after it was told: what is left then is less, not more.
+            // The timeout was computed before the part arrived, so the remaining time can only have become less.
             if arrival.told_ms > has.max(0.0) + TOLD_LEFT_MS + slack {
                 let told = arrival.told_ms;
-                self.breaks("deadline", || format!("{} told {told:.0} ms with {has:.0} left", arrival.part));
+                self.breaks("deadline", || {
+                    format!("{} has a timeout of {told:.0} ms with {has:.0} ms left", arrival.part)
+                });
             }
         }
     }
 
-    /// The rule on run stores that have just started.
+    /// Checks that a run store that has just started is not overloaded.
     fn check_cold(&mut self, arrival: &Arrival) {
         let falls = self.cold.get(&arrival.store).and_then(|cold| cold.falls_at(arrival.at));
         let recent = self.recent.entry(arrival.store).or_default();
@@ -142,33 +147,36 @@
         }
         let count = recent.len();
         if falls.is_some_and(|falls| count as f64 > falls) {
-            self.breaks("failback", || format!("s-{} got {count} in a second, cold", arrival.store));
+            self.breaks("failback", || {
+                format!("s-{} got {count} parts in a second while cold", arrival.store)
+            });
         }
     }
 
-    /// Whether an aggregator was killed or stood still at some time of a spell.
+    /// Returns whether an aggregator was killed or suspended at any time of a period.
     fn was_away(&self, aggregator: usize, from: f64, to: f64) -> bool {
         self.away.iter().any(|(no, began, ended)| *no == aggregator && *began <= to && *ended >= from)
     }
 }
 
-/// A run store that has started.
+/// The cold start of a run store.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cold {
-    /// When.
+    /// Time of the start.
     pub since: f64,
-    /// The parts that it does in a second when it is warm.
+    /// Parts per second that it handles when warm.
     pub capacity: f64,
-    /// The share of that with which it starts, and the time in milliseconds in which that rises to all of it.
+    /// Share of the capacity at the start; it rises linearly to 1 within `warm_ms`.
     pub from: f64,
-    /// See `from`.
+    /// Time in which the run store becomes warm, in milliseconds.
     pub warm_ms: f64,
-    /// How many times its capacity it bears, in a second.
+    /// Multiple of its present capacity that it tolerates.
     pub multiple: f64,
 }
 
 impl Cold {
-    /// The requests at which it falls, in the second up to a time; `None` once it is warm.
+    /// Returns the number of parts in the second before `at` that overloads it, or `None` if it is warm. Two or three
+    /// standard deviations of a Poisson count are allowed on top of the tolerated rate.
     fn falls_at(&self, at: f64) -> Option<f64> {
         let age = (at - self.since) / self.warm_ms;
         if !(0.0..1.0).contains(&age) {
@@ -181,22 +189,22 @@
 }
 
 impl Checker {
-    /// A run store has started, cold.
+    /// Records the cold start of a run store.
     pub fn started(&self, store: usize, cold: Cold) {
         self.with(|seen| seen.cold.insert(store, cold));
     }
 
-    /// The last byte of a query is about to be written, and its client waits for so long.
+    /// Records that the last byte of a query is about to be written, and that its client waits for `wait` milliseconds.
     pub fn wrote(&self, query: &str, at: f64, wait: f64) {
         self.with(|seen| seen.ends.insert(query.to_string(), at + wait));
     }
 
-    /// The client of a query has closed its connection.
+    /// Records that the client of a query has closed its connection.
     pub fn left(&self, query: &str, at: f64) {
         self.with(|seen| seen.left.insert(query.to_string(), at));
     }
 
-    /// An aggregator takes no new connections from some time on, or did not up to another.
+    /// Records a period in which an aggregator accepts no new connections; replaces one with the same start.
     pub fn closed(&self, aggregator: usize, from: f64, to: f64) {
         self.with(|seen| {
             seen.closed.retain(|(no, began, _)| (*no, *began) != (aggregator, from));
@@ -204,7 +212,7 @@
         });
     }
 
-    /// A rule was broken that is seen elsewhere.
+    /// Records the violation of a rule that is checked elsewhere.
     pub fn breaks(&self, rule: &'static str, what: &str) {
         self.with(|seen| seen.breaks(rule, || what.to_string()));
     }
@@ -213,7 +221,7 @@
         act(&mut self.seen.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// Discovery has told all aggregators that a run store drains, or does no more.
+    /// Records that all aggregators can know since a time that a run store drains, or that it no longer drains.
     pub fn drains(&self, store: usize, since: Option<f64>) {
         self.with(|seen| match since {
             Some(at) => drop(seen.drains.insert(store, at)),
@@ -221,32 +229,32 @@
         });
     }
 
-    /// Allows so much more time where the machine is slow, in milliseconds.
+    /// Sets an additional tolerance for slow machines, in milliseconds.
     pub fn slack(&self, slack: f64) {
         self.with(|seen| seen.slack = slack);
     }
 
-    /// An answer counts as late only if it is lost, so long after its time, in milliseconds.
+    /// Sets the lateness from which an answer counts as lost, in milliseconds, in place of the usual tolerance.
     pub fn lost_after(&self, late: f64) {
         self.with(|seen| seen.lost_after = Some(late));
     }
 
-    /// A connection from this address is one of an aggregator's.
+    /// Records that connections from this address belong to an aggregator.
     pub fn route(&self, from: SocketAddr, aggregator: usize) {
         self.with(|seen| seen.routes.insert(from, aggregator));
     }
 
-    /// The aggregator whose connection comes from an address.
+    /// Returns the aggregator whose connection comes from an address.
     pub fn whose(&self, from: SocketAddr) -> Option<usize> {
         self.with(|seen| seen.routes.get(&from).copied())
     }
 
-    /// An aggregator is cut off from discovery, or is no more since some time.
+    /// Records that an aggregator is partitioned from discovery, or since when it is no longer.
     pub fn untold(&self, aggregator: usize, whole: Option<f64>) {
         self.with(|seen| seen.untold.insert(aggregator, whole));
     }
 
-    /// An aggregator is away from some time on, or (an end that is known) was.
+    /// Records a period in which an aggregator is killed or suspended; replaces one with the same start.
     pub fn away(&self, aggregator: usize, from: f64, to: f64) {
         self.with(|seen| {
             seen.away.retain(|(no, began, _)| (*no, *began) != (aggregator, from));
@@ -254,29 +262,31 @@
         });
     }
 
-    /// A query had no answer: in order only where its aggregator was away.
+    /// Checks a query that got no answer, which is allowed only if its aggregator was unavailable or shutting down.
     pub fn lost(&self, answer: &Answer) {
         self.with(|seen| {
             if !seen.was_away(answer.aggregator, answer.asked, answer.at)
                 && !seen.was_closed(answer.aggregator, answer.asked)
             {
-                seen.breaks("lost", || format!("{} got no answer of n-{}", answer.query, answer.aggregator));
+                seen.breaks("lost", || {
+                    format!("{} got no answer from n-{}", answer.query, answer.aggregator)
+                });
             }
         });
     }
 
-    /// First attempts and repeats that arrived, by second of the clock.
+    /// Returns the first attempts and the further attempts that arrived, by second of the clock.
     pub fn sent(&self) -> BTreeMap<u64, [u64; 2]> {
         self.with(|seen| seen.sent.clone())
     }
 
-    /// A part arrived.
+    /// Checks an attempt that arrived at a run store.
     pub fn arrived(&self, arrival: Arrival) {
         self.with(|seen| {
             seen.check_attempt(&arrival);
             seen.check_cold(&arrival);
             if let Some(since) = seen.drains.get(&arrival.store).copied() {
-                // One that was cut off is told once it is not; until then nothing was told to it.
+                // An aggregator that is partitioned from discovery cannot know of the drain until the partition ends.
                 let told = match arrival.from.and_then(|from| seen.untold.get(&from)) {
                     None => since,
                     Some(None) => f64::INFINITY,
@@ -285,7 +295,7 @@
                 if arrival.at > told + DRAIN_MS + seen.slack {
                     let late = arrival.at - since;
                     seen.breaks("drain", || {
-                        format!("s-{} got {} {late:.0} ms after it", arrival.store, arrival.part)
+                        format!("s-{} got {} {late:.0} ms after its drain began", arrival.store, arrival.part)
                     });
                 }
             }
@@ -293,12 +303,14 @@
             attempts.push((arrival.at, arrival.store, arrival.ran));
             seen.sent.entry((arrival.at / 1000.0) as u64).or_default()[usize::from(attempts.len() > 1)] += 1;
             if attempts.len() > MOST_ATTEMPTS {
-                seen.breaks("attempts", || format!("{} had more than {MOST_ATTEMPTS}", arrival.part));
+                seen.breaks("attempts", || {
+                    format!("{} had more than {MOST_ATTEMPTS} attempts", arrival.part)
+                });
             }
         });
     }
 
-    /// An answer was read; `value` says what a run store answers for a part.
+    /// Checks an answer; `value` computes what a run store answers for a part.
     pub fn answered(&self, answer: &Answer, value: impl Fn(&str) -> String) {
         self.with(|seen| {
             let late = answer.at - answer.asked - answer.wait;
@@ -313,7 +325,7 @@
                     .is_some_and(|a| a.iter().any(|(_, _, ran)| *ran))
             };
             if answer.refused && !answer.safe && answer.asked_for.iter().any(|(shard, _)| ran(shard)) {
-                seen.breaks("refusals", || format!("{} was refused and had run", answer.query));
+                seen.breaks("refusals", || format!("{} was refused after a part had run", answer.query));
             }
             if !answer.served {
                 return;
@@ -325,30 +337,32 @@
                 .map(|(_, weight)| weight)
                 .sum();
             if weight + 0.001 < answer.least_share {
-                seen.breaks("least share", || format!("{} rests on {weight:.2}", answer.query));
+                seen.breaks("least share", || {
+                    format!("{} was answered with a share of {weight:.2}", answer.query)
+                });
             }
             if answer.whole && answer.values.len() < answer.asked_for.len() {
-                seen.breaks("honest", || format!("{} is marked whole and is not", answer.query));
+                seen.breaks("honest", || format!("{} is marked whole but lacks values", answer.query));
             }
             for (shard, had) in &answer.values {
                 let part = format!("{}.{shard}", answer.query);
                 if *had != value(&part) {
                     seen.breaks("honest", || {
-                        format!("{part} was answered with {had}, which no run store made")
+                        format!("{part} was answered with {had}, which no run store returned")
                     });
                 }
             }
         });
     }
 
-    /// A query of some shards was asked.
+    /// Records a query and whether its parts may run twice.
     pub fn asked(&self, query: String, shards: impl Iterator<Item = u32>, safe: bool) {
         if !safe {
             self.with(|seen| seen.once.extend(shards.map(|shard| format!("{query}.{shard}"))));
         }
     }
 
-    /// The rules that were broken, at the end of a run: how often, and the first time.
+    /// Returns the broken rules at the end of a run: how often, and a description of the first time.
     pub fn broken(&self) -> BTreeMap<String, (u64, String)> {
         self.with(|seen| {
             for part in std::mem::take(&mut seen.once) {
--- a/crates/lab/src/check/tests.rs
+++ b/crates/lab/src/check/tests.rs
@@ -32,7 +32,7 @@
     assert!(checker.broken().is_empty());
     checker.drains(3, Some(100.0));
     checker.arrived(part("b", 2000.0, true));
-    assert!(checker.broken().is_empty(), "it has 2 s");
+    assert!(checker.broken().is_empty(), "new parts are allowed for 2 s");
     checker.arrived(part("b", 2200.0, true));
     checker.answered(&Answer { refused: true, served: false, ..answer("b") }, v);
     checker.asked("b".into(), [1].into_iter(), false);
@@ -69,11 +69,11 @@
     assert!(checker.broken().is_empty());
     checker.arrived(from(9500.0, 1));
     checker.arrived(Arrival { from: Some(0), ..part("b", 2500.0, true) });
-    assert_eq!(checker.broken()["drain"].0, 2, "it was told at 7000, and n-0 at once");
+    assert_eq!(checker.broken()["drain"].0, 2, "n-1 must know of the drain at 7000, and n-0 at once");
     checker.away(0, 50.0, f64::INFINITY);
     checker.lost(&answer("c"));
     checker.lost(&Answer { at: 60.0, ..answer("d") });
-    assert_eq!(checker.broken()["lost"].0, 1, "the first was over before");
+    assert_eq!(checker.broken()["lost"].0, 1, "c ended before n-0 was away");
     assert_eq!(checker.sent()[&2], [1, 0]);
 }
 
@@ -83,12 +83,12 @@
     checker.wrote("a", 1000.0, 500.0);
     let told = |query: &str, at, told_ms| Arrival { told_ms, ..part(query, at, false) };
     checker.arrived(told("a", 1200.0, 450.0));
-    assert!(checker.broken().is_empty(), "300 left, and 150 of slack");
+    assert!(checker.broken().is_empty(), "300 ms left, and 150 ms are tolerated");
     checker.arrived(told("a", 1200.0, 451.0));
     checker.left("b", 2000.0);
     checker.arrived(told("b", 2100.0, 0.0));
     checker.arrived(told("b", 2101.0, 0.0));
-    // At its start it may get 2 x 0.5 x 10, and falls beyond 10 + 3 x root of 10 + 3.
+    // At its start the tolerated rate is 2 x 0.5 x 10, and the limit is 10 + 3 x sqrt(10) + 3.
     checker.started(3, Cold { since: 5000.0, capacity: 10.0, from: 0.5, warm_ms: 10_000.0, multiple: 2.0 });
     for no in 0..22 {
         checker.arrived(told(&format!("c{no}"), 5000.0 + f64::from(no), 0.0));
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: queries at times that the seed sets, whatever becomes of earlier ones.
+//! Clients: draws queries, sends them and counts their results. Queries are sent at times drawn from the seed (open
+//! loop), independent of the results of earlier ones.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Write};
@@ -14,25 +15,25 @@
 use crate::stores::read_message;
 use crate::Api;
 
-/// A class, as the settings have it.
+/// A request class, as in the settings.
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: &'static str,
-    /// Its share of queries.
+    /// Share of queries in this class.
     pub share: f64,
-    /// The wanted time and the give-up time, in milliseconds.
+    /// Latency target, in milliseconds.
     pub aim: f64,
-    /// See `aim`.
+    /// Timeout of the client, in milliseconds.
     pub deadline: f64,
     /// Whether parts may run twice.
     pub safe: bool,
-    /// The least share of weight of an answer.
+    /// Minimum share of weight of an answer.
     pub least_share: f64,
-    /// The worth of an answer.
+    /// Worth of an answer.
     pub worth: f64,
 }
 
-/// The classes.
+/// The request classes.
 pub const CLASSES: [Class; 3] = [
     Class {
         name: "run-search",
@@ -63,25 +64,25 @@
     },
 ];
 
-/// The groups and their shares.
+/// The groups and their shares of queries.
 pub const GROUPS: [(&str, f64); 3] = [("vaal-muon", 0.49), ("cederberg-nu", 0.36), ("sutherland-cal", 0.15)];
 
-/// A query to be asked.
+/// A query to send.
 #[derive(Debug, Clone)]
 pub struct Query {
-    /// Its id.
+    /// Id of the query.
     pub id: String,
-    /// The place of its class.
+    /// Index of its class in [`CLASSES`].
     pub class: usize,
-    /// Its group.
+    /// Group of the query.
     pub group: &'static str,
-    /// Its shards and their weights.
+    /// Shards and their weights.
     pub parts: Vec<(u32, f64)>,
-    /// Whether it is a repeat.
+    /// Whether the query is a retry.
     pub retry: bool,
 }
 
-/// Draws a query.
+/// Draws a random query.
 pub fn draw(random: &mut fastrand::Rng, no: u64, shards: u32, api: Api) -> Query {
     let at = |shares: &[f64], point: f64| {
         let mut sum = 0.0;
@@ -100,11 +101,11 @@
     let mut all: Vec<u32> = (0..shards).collect();
     random.shuffle(&mut all);
     all.truncate(count as usize);
-    // A few parts of a run-search weigh much more than the rest; the OpenSearch-style API knows no weights.
+    // A few parts of a run-search weigh much more than the rest; the OpenSearch-style API has no weights.
     let skew = if class == 0 && api == Api::Platform { 0.9 } else { 0.0 };
     let weights: Vec<f64> = (1..=count).map(|rank| 1.0 / f64::from(rank).powf(skew)).collect();
     let sum: f64 = weights.iter().sum();
-    // Six digits are enough, and what they miss goes to the last.
+    // Weights are cut to six digits; the last part gets the remainder.
     let mut parts: Vec<(u32, f64)> = all
         .into_iter()
         .zip(&weights)
@@ -123,23 +124,23 @@
     }
 }
 
-/// How a query ended, as its client saw it.
+/// How a query ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
     /// Answered.
     Answered {
-        /// Whether whole.
+        /// Whether the answer is whole.
         whole: bool,
     },
-    /// Refused: 429 or 503.
+    /// Refused with status 429 or 503.
     Refused,
-    /// Failed: any other answer.
+    /// Failed with any other status.
     Failed,
-    /// There was no answer: the connection was refused, broke, or said nothing.
+    /// No answer: the connection was refused, broke or timed out.
     Lost,
 }
 
-/// Asks, and waits for the answer.
+/// Sends a query and waits for the answer.
 pub fn ask(
     (aggregator, to): (usize, SocketAddr),
     api: Api,
@@ -153,7 +154,7 @@
     (end, answer)
 }
 
-/// What came of a query that was asked at some time by a client that waits for so long.
+/// Classifies the result of a query that was asked at `asked` with a timeout of `wait` milliseconds.
 pub fn settle(
     (aggregator, api): (usize, Api),
     query: &Query,
@@ -190,7 +191,7 @@
     (end, answer)
 }
 
-/// The bytes of a query, whose client waits for so long in milliseconds, with further header lines.
+/// Returns the HTTP request of a query with a timeout of `wait` milliseconds and additional header lines.
 pub fn request(api: Api, query: &Query, wait: f64, lines: &str) -> String {
     let name = CLASSES[query.class].name;
     let (target, body) = match api {
@@ -228,10 +229,10 @@
     read_answer(&mut BufReader::new(stream))
 }
 
-/// Reads an answer: its status, and its body as far as that is JSON.
+/// Reads an answer and returns its status and its JSON body, or `Null` if the body is not JSON.
 ///
 /// # Errors
-/// If the connection ends before it, or breaks.
+/// If the connection ends or breaks before the answer is complete.
 pub fn read_answer(read: &mut impl BufRead) -> io::Result<(u16, Value)> {
     let (first, _, body) = read_message(read)?.ok_or(io::ErrorKind::UnexpectedEof)?;
     let status =
@@ -259,33 +260,33 @@
     }
 }
 
-/// The ends of a class or group, as clients saw them.
+/// Counts of the ends of queries of a class or group.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Ends {
-    /// Queries asked, repeats included.
+    /// Queries asked, retries included.
     pub asked: u64,
-    /// Answered.
+    /// Queries answered.
     pub answered: u64,
-    /// Of these, whole, and within the wanted time.
+    /// Queries with a whole answer.
     pub whole: u64,
-    /// See `whole`.
+    /// Queries answered within the latency target.
     pub in_time: u64,
-    /// Refused.
+    /// Queries refused.
     pub refused: u64,
-    /// Failed.
+    /// Queries failed.
     pub failed: u64,
-    /// Without any answer.
+    /// Queries without an answer.
     pub lost: u64,
-    /// Of those answered, percentiles of the time in milliseconds.
+    /// Percentiles of the latency of answered queries, in milliseconds.
     pub latency_ms: BTreeMap<&'static str, f64>,
 }
 
-/// A histogram of microseconds, up to ten minutes, to three digits.
+/// Creates a histogram of microseconds, up to ten minutes, with three significant digits.
 pub fn histogram() -> Histogram<u32> {
-    Histogram::new_with_max(600_000_000, 3).unwrap_or_else(|_| unreachable!("these bounds are sound"))
+    Histogram::new_with_max(600_000_000, 3).unwrap_or_else(|_| unreachable!("the bounds are valid"))
 }
 
-/// Live counts.
+/// Shared counts of a run in progress.
 #[derive(Default)]
 pub struct Board {
     inner: Mutex<Inner>,
@@ -296,8 +297,8 @@
     classes: BTreeMap<&'static str, (Ends, Option<Histogram<u32>>)>,
     groups: BTreeMap<&'static str, Ends>,
     ends: BTreeMap<String, End>,
-    /// By second of the clock in which they were asked, repeats left out: the worth of queries, and of those answered in time,
-    /// at once or by a repeat.
+    /// By second of the clock in which a query was first asked: the worth of all queries, and of those answered in
+    /// time, by the first request or its retry.
     worth: BTreeMap<u64, [f64; 2]>,
 }
 
@@ -306,7 +307,7 @@
         act(&mut self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// A query had its end after some time.
+    /// Counts the end of a query after `took` milliseconds.
     pub fn note(&self, query: &Query, end: End, took: f64) {
         let class = &CLASSES[query.class];
         self.with(|inner| {
@@ -332,7 +333,7 @@
         });
     }
 
-    /// A query, asked for the first time at some time, was in the end answered in time or not.
+    /// Adds the worth of a query, first asked at `asked`, and whether it was answered in time, retry included.
     pub fn earned(&self, query: &Query, asked: f64, in_time: bool) {
         let worth = CLASSES[query.class].worth;
         self.with(|inner| {
@@ -342,12 +343,12 @@
         });
     }
 
-    /// Worth asked for and earned, by second of the clock.
+    /// Returns the worth asked for and the worth earned, by second of the clock.
     pub fn worth(&self) -> BTreeMap<u64, [f64; 2]> {
         self.with(|inner| inner.worth.clone())
     }
 
-    /// The counts by class and by group.
+    /// Returns the counts by class and by group.
     pub fn counts(&self) -> (BTreeMap<&'static str, Ends>, BTreeMap<&'static str, Ends>) {
         self.with(|inner| {
             let class = |(name, (ends, latencies)): (&&'static str, &(Ends, Option<Histogram<u32>>))| {
@@ -363,7 +364,7 @@
         })
     }
 
-    /// The end of each query by its id.
+    /// Returns the end of each query by its id.
     pub fn ends(&self) -> BTreeMap<String, End> {
         self.with(|inner| inner.ends.clone())
     }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a run of load and troubles, shown live, and its results against the trace.
+//! Demo: runs load and faults, shows live counts, and compares the results with the trace.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 use crate::stores::{self, Store};
 use crate::Api;
 
-/// What happens where no scenario is named: a third of the run in, three run stores die together; later one is slow and
+/// Returns the default scenario: after three tenths of the run, three run stores die together; later one is slow and
 /// one drains.
 fn usual(seconds: f64) -> String {
     let at = |part: f64| format!("{:.0}s", (seconds * part).max(1.0));
@@ -39,11 +39,11 @@
     )
 }
 
-/// The usual work of a part, in milliseconds.
+/// Typical work of a part, in milliseconds.
 pub const WORK_MS: f64 = 20.0;
-/// How many times its capacity a run store that has just started bears.
+/// Multiple of its capacity that a run store tolerates just after a start.
 pub const BEARS: f64 = 2.0;
-/// What run stores are like.
+/// Parameters of the simulated run stores.
 pub const KIND: Kind = Kind {
     slots: 2,
     queue: 16,
@@ -54,79 +54,79 @@
     stall_ms: 200.0,
 };
 
-/// How a demo runs.
+/// Options of a demo.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// How long clients ask.
+    /// Seconds for which clients send queries.
     #[arg(long, default_value_t = 20.0)]
     pub seconds: f64,
-    /// The source of chance.
+    /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// What clients, aggregators and run stores speak.
+    /// API between clients and aggregators, with the matching protocol of run stores.
     #[arg(long, value_enum, default_value = "platform")]
     pub api: Api,
-    /// Aggregators.
+    /// Number of aggregators.
     #[arg(long, default_value_t = 2)]
     pub aggregators: usize,
-    /// Run stores.
+    /// Number of run stores.
     #[arg(long, default_value_t = 12)]
     pub stores: usize,
-    /// Queries a second.
+    /// Queries per second.
     #[arg(long, default_value_t = 40.0)]
     pub rate: f64,
-    /// The usual work of a part, in milliseconds.
+    /// Typical work of a part, in milliseconds.
     #[arg(long, default_value_t = WORK_MS)]
     pub work: f64,
-    /// A file of troubles; without it, three run stores die together, and later one is slow and one drains.
+    /// Scenario file; by default, three run stores die together, and later one is slow and one drains.
     #[arg(long)]
     pub scenario: Option<PathBuf>,
-    /// Nothing goes wrong.
+    /// Inject no faults.
     #[arg(long)]
     pub calm: bool,
     /// Record traces into this folder, and compare their summary with what clients saw.
     #[arg(long)]
     pub trace: Option<PathBuf>,
-    /// Write results and live counts by class into this file.
+    /// Write results and live counts by class to this file.
     #[arg(long)]
     pub json: Option<PathBuf>,
     /// Write a table (results.md) and a chart (results.svg) into this folder.
     #[arg(long)]
     pub report: Option<PathBuf>,
-    /// Kill the first aggregator in the middle, and start it again.
+    /// Kill the first aggregator in the middle of the run, and restart it.
     #[arg(long)]
     pub kill_aggregator: bool,
-    /// Start this program in place of the lab's own, such as an earlier version.
+    /// Run aggregators with this program, such as an earlier version, in place of the lab itself.
     #[arg(long)]
     pub program: Option<PathBuf>,
-    /// Allow so much more time before a rule counts as broken, in milliseconds: for machines that are slow.
+    /// Additional time before a rule counts as broken, in milliseconds, for slow machines.
     #[arg(long, default_value_t = 0.0)]
     pub slack: f64,
-    /// Lead all that aggregators speak with through links of the lab's own, which scenarios can cut.
+    /// Connect aggregators to run stores and discovery through links that scenarios can cut.
     #[arg(long, hide = true)]
     pub links: bool,
-    /// Descriptors of each aggregator.
+    /// File descriptors that each aggregator may use.
     #[arg(long, hide = true, default_value_t = 4096)]
     pub sockets: usize,
-    /// What fails for the aggregators, as the library of `crates/faults` reads it.
+    /// Faults injected into the aggregators, in the syntax of the library of `crates/faults`.
     #[arg(skip)]
     pub faults: Option<String>,
 }
 
-/// How a fleet is played.
+/// Options of a fleet run.
 #[derive(Debug, Args)]
 pub struct Fleet {
-    /// A file of troubles, a line each.
+    /// Scenario file, with one fault on a line.
     #[arg(value_name = "SCENARIO")]
     played: PathBuf,
     #[command(flatten)]
     options: Options,
 }
 
-/// Plays a scenario between several aggregators, with links of the lab's own between all processes.
+/// Plays a scenario with several aggregators, over links between all processes.
 ///
 /// # Errors
-/// If it cannot be run.
+/// If the run cannot be set up or carried out.
 pub fn fleet(fleet: Fleet) -> Result<bool, String> {
     let Fleet { played, options } = fleet;
     run(&Options { scenario: Some(played), links: true, ..options })
@@ -152,29 +152,30 @@
     })
 }
 
-/// All that a run has.
+/// All parts of a run.
 pub struct World {
     pub clock: Clock,
     pub stores: Vec<Arc<Store>>,
-    /// What each aggregator is told, and where it is told that each run store listens; all the same without links.
+    /// Discovery services, with the listed address of each run store: one for each aggregator, or a shared one without
+    /// links.
     pub told: Vec<(Arc<Discovery>, Vec<SocketAddr>)>,
-    /// By aggregator: its links to the run stores in order, and the last to discovery.
+    /// Links by aggregator: one to each run store in order, and the last to discovery.
     pub links: Vec<Vec<Arc<Link>>>,
-    /// How many times as often as usual clients ask.
+    /// Factor on the query rate of clients.
     pub load: Mutex<f64>,
     pub checker: Arc<Checker>,
     pub board: Board,
     pub aggregators: Mutex<Vec<Aggregator>>,
     pub addresses: Vec<SocketAddr>,
-    /// Run stores that are up.
+    /// Whether each run store is up.
     pub up: Mutex<Vec<bool>>,
     pub over: AtomicBool,
-    /// Queries of clients beside the usual ones.
+    /// Number of queries sent by the special clients of soak runs.
     pub guests: AtomicU64,
 }
 
 impl World {
-    /// Tells all aggregators a line.
+    /// Lists a run store with a status in every discovery service.
     pub fn tell(&self, store: usize, status: &str, since: f64) {
         for (discovery, addresses) in &self.told {
             discovery.tell(
@@ -184,7 +185,7 @@
         }
     }
 
-    /// The links of an aggregator that lead somewhere.
+    /// Returns the links of an aggregator to the given targets.
     fn links(&self, aggregator: usize, to: Ends) -> Vec<&Link> {
         let Some(links) = self.links.get(aggregator) else { return Vec::new() };
         let stores = self.stores.len();
@@ -196,10 +197,10 @@
         links[range].iter().map(|link| &**link).collect()
     }
 
-    /// Acts on an aggregator.
+    /// Runs an action on an aggregator.
     ///
     /// # Errors
-    /// If that fails.
+    /// If the action fails.
     pub fn aggregator<T: Default>(
         &self,
         no: usize,
@@ -209,7 +210,7 @@
         all.get_mut(no).map_or(Ok(T::default()), |one| act(one).map_err(|error| error.to_string()))
     }
 
-    /// Begins a trouble between processes, or ends it, which began at some time.
+    /// Starts or ends a fault of the load, of links or of aggregators; `began` is the time of its start.
     fn between(&self, act: &Act, begins: bool, began: f64) -> Result<(), String> {
         let now = self.clock.now();
         let until = if begins { f64::INFINITY } else { now };
@@ -248,7 +249,7 @@
                     if one.end()? {
                         one.start_again()
                     } else {
-                        Err(std::io::Error::other("it did not end in good order"))
+                        Err(std::io::Error::other("the aggregator did not shut down cleanly"))
                     }
                 })?;
                 self.checker.away(*no, began, self.clock.now());
@@ -258,10 +259,10 @@
         Ok(())
     }
 
-    /// Begins a trouble, or ends it.
+    /// Starts or ends a fault; `began` is the time of its start.
     ///
     /// # Errors
-    /// If it cannot be carried out.
+    /// If the fault cannot be injected.
     pub fn act(&self, act: &Act, stores: &[usize], begins: bool, began: f64) -> Result<(), String> {
         self.between(act, begins, began)?;
         for &no in stores {
@@ -297,7 +298,7 @@
         Ok(())
     }
 
-    /// Carries out the troubles of a run that begins at some time.
+    /// Injects the faults of a scenario at their times, counted from `begin`.
     fn troubles(&self, begin: f64, lines: &[Line], seed: u64) -> Result<(), String> {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut all: Vec<(f64, usize, bool, Vec<usize>)> = Vec::new();
@@ -328,7 +329,7 @@
         Ok(())
     }
 
-    /// Asks queries at times drawn by the seed, each by a thread of its own.
+    /// Sends queries at times drawn from the seed, each in a thread of its own.
     pub fn load<'a>(self: &Arc<Self>, scope: &'a thread::Scope<'a, '_>, begin: f64, options: &'a Options) {
         let mut random = fastrand::Rng::with_seed(options.seed);
         let (mut at, shards) = (begin, options.stores as u32 * 2);
@@ -345,8 +346,8 @@
             scope.spawn(move || {
                 let asked = world.clock.now();
                 let mut end = world.ask(&query, to, options);
-                // A client repeats at most once, at another aggregator: where that is said to be harmless, and where its
-                // own is gone, if it asked for what may run twice.
+                // A client retries at most once, at another aggregator: after a refusal, which says that a retry is
+                // safe, or, if the parts may run twice, when its aggregator did not answer.
                 let gone = end == End::Lost && CLASSES[query.class].safe;
                 if (again && end == End::Refused) || gone {
                     world.clock.sleep_until(world.clock.now() + if gone { 0.0 } else { 200.0 });
@@ -364,7 +365,7 @@
         let asked = self.clock.now();
         let (end, answer) = clients::ask((to, self.addresses[to]), options.api, query, asked, &self.clock);
         if end == End::Lost && answer.unread {
-            // Nothing is owed for it.
+            // The request was not read, so the aggregator did not have to answer it.
         } else if end == End::Lost {
             self.checker.lost(&answer);
         } else {
@@ -380,10 +381,10 @@
     }
 }
 
-/// Runs a demo; says whether all was well.
+/// Runs a demo and returns whether all checks passed.
 ///
 /// # Errors
-/// If it cannot be run.
+/// If the run cannot be set up or carried out.
 pub fn run(options: &Options) -> Result<bool, String> {
     let text = match &options.scenario {
         Some(path) => {
@@ -398,7 +399,7 @@
     }
     let world = Arc::new(build(options).map_err(|error| error.to_string())?);
     println!(
-        "{} aggregators, {} run stores, {} queries a second for {} s, seed {}",
+        "{} aggregators, {} run stores, {} queries per second for {} s, seed {}",
         options.aggregators, options.stores, options.rate, options.seconds, options.seed
     );
     let begin = world.clock.now();
@@ -425,10 +426,10 @@
     finish(options, &world, begin, &seconds, (&text, &lines))
 }
 
-/// Starts all that a run has.
+/// Starts run stores, discovery, links and aggregators.
 ///
 /// # Errors
-/// If something does not come up.
+/// If one of them cannot be started.
 pub fn build(options: &Options) -> std::io::Result<World> {
     let clock = Clock::new();
     let checker = Arc::new(Checker::default());
@@ -489,7 +490,7 @@
     Ok(world)
 }
 
-/// Prints a line a second until the run is over; gives back what happened in each.
+/// Prints a line each second until the run is over, and returns the counts of each second.
 fn show(world: &World, begin: f64) -> Vec<Second> {
     let mut seconds = Vec::new();
     let mut last = [0; 4];
@@ -514,7 +515,7 @@
     seconds
 }
 
-/// Ends all, compares with the traces, writes results; says whether all was well.
+/// Shuts the aggregators down, compares the results with the traces and writes them. Returns whether all checks passed.
 fn finish(
     options: &Options,
     world: &World,
@@ -533,7 +534,7 @@
         cpu_ms += aggregator.cpu_ms();
     }
     let asked: u64 = classes.values().map(|ends| ends.asked).sum();
-    // Only now can nothing arrive any more.
+    // No part can arrive after all aggregators have ended.
     let broken = world.checker.broken();
     let mut well = orderly && broken.is_empty();
     let head =
@@ -552,7 +553,7 @@
     rows.extend(groups.iter().map(row));
     let table = report::table(&head, &rows);
     println!("\n{table}");
-    println!("CPU of the aggregators: {:.3} ms a query", cpu_ms / asked.max(1) as f64);
+    println!("CPU of the aggregators: {:.3} ms per query", cpu_ms / asked.max(1) as f64);
     for (rule, (count, first)) in &broken {
         println!("rule broken: {rule}, {count} times, first: {first}");
     }
@@ -563,11 +564,11 @@
         options.trace.as_ref().map(|dir| compare(dir, options.aggregators, &world.board)).transpose()?;
     if let Some(compared) = &compared {
         let lost = compared["lost"].as_u64().unwrap_or(0);
-        // What was answered in the last moments of a process that was killed may be missing, and nothing else.
+        // Only the last answers of a killed process may be missing in the trace.
         let killed = options.kill_aggregator || scenario.contains("aggregator kill");
         let equal = compared["different"] == 0 && (lost == 0 || killed) && compared["equal"] == (lost == 0);
         well &= equal;
-        println!("the trace against what clients saw: {compared}");
+        println!("trace compared with the results of clients: {compared}");
     }
     let flow = flow(world, begin, options.seconds as u64);
     let over = lines.iter().map(|line| line.at + line.act.about().1).fold(0.0, f64::max) / 1000.0;
@@ -576,8 +577,8 @@
     let in_time = earned / f64::max(asked_for, 1.0);
     println!("worth in time: {in_time:.3} of what was asked for");
     match recovered {
-        Some(after) => println!("full service {after:.0} s after the end of the last trouble"),
-        None => println!("no full service again by the end of the run"),
+        Some(after) => println!("full service {after:.0} s after the end of the last fault"),
+        None => println!("full service was not restored by the end of the run"),
     }
     let result = json!({"classes": classes, "flow": flow, "recovered_s": recovered, "in_time": in_time, "groups": groups, "seconds": seconds, "cpu_ms_per_query": cpu_ms / asked.max(1) as f64,
         "broken": broken, "trace": compared, "ended_in_order": orderly, "stats": figures, "seed": options.seed,
@@ -605,7 +606,8 @@
     Ok(well)
 }
 
-/// What passed in a second of a run: worth asked for first and earned in time, attempts that reached run stores.
+/// Worth and attempts of one second of a run: worth of new queries, worth earned in time, first and further attempts
+/// that reached run stores.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 struct Flow {
     worth: f64,
@@ -625,7 +627,7 @@
     (0..seconds).map(at).collect()
 }
 
-/// How long after the last trouble was over full service came back, in seconds: from then on every second but the run's
+/// Returns the seconds from the end of the last fault until full service, from which on every second of the run but the
 /// last earned nine tenths of its worth in time.
 fn recovered(flow: &[Flow], over: f64) -> Option<f64> {
     let poor = |second: &Flow| second.earned < FULL * second.worth;
@@ -634,10 +636,10 @@
     (full < last).then(|| (full as f64 - over).max(0.0))
 }
 
-/// The share of worth that counts as full service.
+/// Share of worth earned in time that counts as full service.
 const FULL: f64 = 0.9;
 
-/// Compares the traces of a run with what its clients saw: by class, and query by query.
+/// Compares the traces of a run with the results of its clients, by class and query by query.
 fn compare(dir: &std::path::Path, aggregators: usize, board: &Board) -> Result<Value, String> {
     let dirs: Vec<PathBuf> = (0..aggregators).map(|no| dir.join(format!("n{no}"))).collect();
     let mut set = Set::open(&dirs).map_err(|error| error.to_string())?;
@@ -661,7 +663,7 @@
     let (mut same, mut lost, mut different) = (0, 0, 0);
     for (query, end) in board.ends() {
         match (end, ends.get(&query)) {
-            // There was no answer that could be told by a trace.
+            // The client got no answer to compare.
             (End::Lost, _) => {}
             (_, None) => lost += 1,
             (End::Answered { whole: true }, Some(How::Whole))
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery on loopback: the list of run stores, asked whole or watched for changes.
+//! Discovery service on loopback: serves the list of run stores, whole or as changes after an index.
 
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,31 +10,31 @@
 
 use crate::stores::read_message;
 
-/// How it answers calls.
+/// How the service answers requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Mode {
-    /// As they are meant.
+    /// Correctly.
     #[default]
     Sound,
-    /// Not at all: calls hang.
+    /// Not at all: requests hang.
     Silent,
-    /// With 503.
+    /// With status 503.
     Busy,
-    /// So many milliseconds later.
+    /// Correctly, after a delay in milliseconds.
     Slow(u64),
-    /// Always with the whole list, which leaves out what drains.
+    /// Always with the whole list, without run stores that drain.
     Whole,
 }
 
 #[derive(Default)]
 struct State {
     mode: Mode,
-    /// All lines, and the version at which each was changed last.
+    /// The entries, each with the index of its last change.
     lines: Vec<(u64, Value)>,
     index: u64,
 }
 
-/// The service.
+/// The discovery service.
 #[derive(Default)]
 pub struct Discovery {
     state: Mutex<State>,
@@ -42,7 +42,7 @@
 }
 
 impl Discovery {
-    /// Starts it; says where it listens.
+    /// Starts the service and returns its address.
     ///
     /// # Errors
     /// If it cannot listen.
@@ -54,14 +54,14 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let serving = serving.clone();
-                // A caller that leaves is no matter of discovery's.
+                // An error here means that the peer closed the connection.
                 thread::spawn(move || drop(serving.serve(&stream)));
             }
         });
         Ok((discovery, address))
     }
 
-    /// From now on it answers like this; calls that hang are broken off.
+    /// Sets how requests are answered, and wakes the waiting ones.
     pub fn turn(&self, mode: Mode) {
         if let Ok(mut state) = self.state.lock() {
             state.mode = mode;
@@ -69,7 +69,7 @@
         self.changed.notify_all();
     }
 
-    /// Tells a line, new or changed.
+    /// Adds an entry, or replaces the entry of the same name.
     pub fn tell(&self, line: Value) {
         if let Ok(mut state) = self.state.lock() {
             state.index += 1;
@@ -96,7 +96,7 @@
             let Ok((state, _)) = waited else { return Ok(()) };
             let mode = state.mode;
             if mode == Mode::Silent {
-                // What hangs is broken off once it answers again.
+                // A hanging request gets its connection closed when the service leaves the silent mode.
                 let hung = self.changed.wait_while(state, |state| state.mode == Mode::Silent);
                 drop(hung);
                 return Ok(());
--- a/crates/lab/src/links.rs
+++ b/crates/lab/src/links.rs
@@ -1,7 +1,7 @@
-//! Links on loopback between two processes, which can be cut, delayed and reset while they run.
+//! TCP proxies on loopback between two processes, which can be cut, delayed and reset while they run.
 //!
-//! A link that is cut goes on accepting connections and keeps open what is open, and nothing comes through: that is how a
-//! machine that is cut off looks. What was held comes through once it is whole again.
+//! A cut link still accepts connections and keeps open ones open, but forwards nothing, as in a network partition. Held
+//! bytes are forwarded when the cut ends.
 
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -10,24 +10,24 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a link does to what passes it.
+/// How a link treats the bytes that it forwards.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Weather {
-    /// Nothing passes towards the listening side, and nothing back from it.
+    /// Whether bytes are held: towards the target, and back from it.
     pub cut: [bool; 2],
-    /// What passes takes so much longer, in milliseconds.
+    /// Added delay, in milliseconds.
     pub delay_ms: f64,
 }
 
 #[derive(Default)]
 struct State {
     weather: Weather,
-    /// Both ends of each connection that is open, by its number.
+    /// Both ends of each open connection, by its number.
     open: BTreeMap<u64, [TcpStream; 2]>,
     next: u64,
 }
 
-/// A link to an address.
+/// A proxy in front of one address.
 #[derive(Default)]
 pub struct Link {
     state: Mutex<State>,
@@ -35,8 +35,8 @@
 }
 
 impl Link {
-    /// Starts a link; says where to connect for what listens at `to`. Each connection's own address there is made known
-    /// before anything passes.
+    /// Starts a link to `to` and returns the address at which it accepts connections. Calls `known` with the local
+    /// address of each connection to `to` before any byte is forwarded.
     ///
     /// # Errors
     /// If it cannot listen.
@@ -51,7 +51,7 @@
         thread::spawn(move || {
             for near in listener.incoming().map_while(Result::ok) {
                 let (link, known) = (serving.clone(), known.clone());
-                // A connection that ends in whatever way is no matter of the link's.
+                // An error here means that one side closed the connection.
                 thread::spawn(move || drop(link.join(&near, to, &*known)));
             }
         });
@@ -62,16 +62,16 @@
         act(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// From now on it does this.
+    /// Sets how bytes are treated from now on.
     pub fn turn(&self, weather: Weather) {
         self.with(|state| state.weather = weather);
         self.changed.notify_all();
     }
 
-    /// Breaks all connections that are open.
+    /// Closes all open connections.
     pub fn reset(&self) {
         for stream in self.with(|state| std::mem::take(&mut state.open)).into_values().flatten() {
-            // It may have ended by itself.
+            // The connection may have ended already.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Waits until something may pass in a direction; says how long that takes.
+    /// Waits while the direction is cut and returns the delay in milliseconds.
     fn wait(&self, way: usize) -> f64 {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = self.changed.wait_while(state, |state| state.weather.cut[way]);
@@ -115,7 +115,7 @@
             let delay = self.wait(way);
             if delay > 0.0 {
                 thread::sleep(Duration::from_secs_f64(delay / 1000.0));
-                // It may have been cut meanwhile.
+                // The link may have been cut during the delay.
                 self.wait(way);
             }
             if to.write_all(&bytes[..count]).is_err() {
--- a/crates/lab/src/links/tests.rs
+++ b/crates/lab/src/links/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A server that gives back what it gets.
+/// Starts an echo server.
 fn echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -25,11 +25,11 @@
     stream.write_all(b"here").unwrap();
     stream.read_exact(&mut bytes).unwrap();
     assert_eq!(&bytes, b"here");
-    // Towards the server all passes, and nothing comes back.
+    // Requests reach the server, and its answers are held.
     link.turn(Weather { cut: [false, true], delay_ms: 0.0 });
     stream.write_all(b"then").unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
-    assert!(stream.read_exact(&mut bytes).is_err(), "it is cut");
+    assert!(stream.read_exact(&mut bytes).is_err(), "the way back is cut");
     stream.set_read_timeout(None).unwrap();
     link.turn(Weather::default());
     stream.read_exact(&mut bytes).unwrap();
--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -1,4 +1,4 @@
-//! What a line of the log costs.
+//! Measures the cost of a log line.
 
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use ironpaddle::log::{ended, subscriber, Format, Reason};
 
-/// Writes lines of each kind to standard error and prints the time of one, in nanoseconds.
+/// Writes lines of each format to standard error and prints the mean time of a line, in nanoseconds.
 ///
 /// # Errors
 /// If the log cannot be set up.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! The project's lab: everything an aggregator meets, on loopback, with load and troubles, under a checker of the rules.
+//! Test bench for aggregators: clients, run stores and discovery on loopback, with generated load, injected faults and
+//! checks of the rules that aggregators must keep.
 
 mod aggregators;
 mod capacity;
@@ -22,17 +23,17 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 
-/// What clients, aggregators and run stores speak.
+/// The API between clients and aggregators, with the matching protocol of run stores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Api {
-    /// The platform's protocol, and frames.
+    /// The platform's protocol, and frames to run stores.
     Platform,
     /// The OpenSearch-style API.
     Opensearch,
 }
 
 #[derive(Debug, Parser)]
-#[command(name = "ironpaddle-lab", version, about = "The lab of ironpaddle: all on loopback.")]
+#[command(name = "ironpaddle-lab", version, about = "Test bench of ironpaddle: everything runs on loopback.")]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -42,33 +43,33 @@
 enum Command {
     /// Start run stores, discovery, aggregators and clients, and show queries being answered.
     Demo(demo::Options),
-    /// Play a scenario between several aggregators, with links between all processes that can be cut, delayed and reset.
+    /// Play a scenario with several aggregators, over links between all processes that can be cut, delayed and reset.
     Fleet(demo::Fleet),
-    /// Play drawn lives of small fleets, with troubles in the same window, and judge them by the rules.
+    /// Run small fleets drawn from seeds, with several faults in the same window, and check the rules.
     Soak(soak::Options),
-    /// Run hollow aggregators beside real ones, and measure what each role uses and how soon changes are in force.
+    /// Run hollow aggregators with real ones, and measure what each role uses and how soon changes take effect.
     Scale(scale::Options),
-    /// Stand in for others in a scale run, which starts such processes of itself.
+    /// Play one role of a scale run; the scale run starts these processes itself.
     #[command(hide = true)]
     ScaleRole {
-        /// What to stand in for.
+        /// The role to play.
         role: scale::roles::Role,
     },
-    /// Measure what a line of the log costs: as it was, as text, as JSON, and filtered out. Send standard error to
-    /// /dev/null.
+    /// Measure the cost of a log line: with plain writeln, as text, as JSON, and filtered out. Redirect standard error
+    /// to /dev/null.
     LogCost {
         /// Lines of each kind.
         #[arg(long, default_value_t = 300_000)]
         lines: u32,
     },
-    /// Print what the full size asks of each role, worked out from measured slopes.
+    /// Print the resources that each role needs at full size, computed from measured slopes.
     Capacity(capacity::Options),
     /// Measure series of one real aggregator for the tables of `capacity`.
     Measure(measure::Options),
-    /// Be an aggregator; the demo starts such processes of itself.
+    /// Run as an aggregator; the demo starts these processes itself.
     #[command(hide = true)]
     Aggregator {
-        /// Its configuration.
+        /// The configuration file.
         config: PathBuf,
     },
 }
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -1,46 +1,46 @@
-//! A run store as a model: cores, a queue, stalls, a cold start. Told when a part arrives, it says when and how the part
-//! ends; it reads no clock.
+//! Queueing model of a run store: parallel slots, a bounded queue, periodic stalls and a cold start. It computes when
+//! and how each arriving part ends; times are passed in, and no clock is read.
 
-/// What a run store is like. Times are in milliseconds.
+/// Parameters of a simulated run store. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Kind {
-    /// Parts in work at once.
+    /// Parts that run in parallel.
     pub slots: usize,
-    /// Parts that may wait beside them; one more is turned away.
+    /// Parts that may wait in the queue; further parts are rejected.
     pub queue: usize,
-    /// The usual work of a part.
+    /// Typical work of a part, at full speed.
     pub work_ms: f64,
-    /// The share of its speed at which it starts, and the time in which that rises to all of it, evenly.
+    /// Share of full speed of a process that has just started; it rises linearly to 1 within `warm_ms`.
     pub cold_from: f64,
-    /// See `cold_from`.
+    /// Time after a start in which the speed rises from `cold_from` to 1.
     pub warm_ms: f64,
-    /// Each so often it stands still for so long.
+    /// Period of stalls, in which no work is done.
     pub stall_every_ms: f64,
-    /// See `stall_every_ms`.
+    /// Length of each stall.
     pub stall_ms: f64,
 }
 
-/// What becomes of a part.
+/// How a part ends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fate {
-    /// It is turned away at once and has not run.
+    /// The queue is full: the part is rejected at once and does not run.
     TurnedAway,
-    /// It is done at that time.
+    /// The part is done at the given time.
     Done(f64),
-    /// Its time is over before it can begin: it never runs, and no word comes.
+    /// The timeout passes before the part can begin: it does not run and is not answered.
     Never,
 }
 
-/// The state of a run store's process.
+/// State of a simulated run store process.
 #[derive(Debug, Clone)]
 pub struct Model {
     kind: Kind,
     started: f64,
-    /// When each slot is free.
+    /// Time at which each slot becomes free.
     free: Vec<f64>,
-    /// When parts that wait begin, oldest first.
+    /// Start times of the waiting parts, oldest first.
     begins: Vec<f64>,
-    /// Its speed against the usual, as troubles make it.
+    /// Speed relative to the usual speed, lowered by scenarios.
     pub speed: f64,
     offset: f64,
     random: fastrand::Rng,
@@ -48,7 +48,7 @@
 }
 
 impl Model {
-    /// A process that starts at some time, warm if that was long ago.
+    /// Creates a process that started at the given time; it is warm if that was at least `warm_ms` ago.
     pub fn new(kind: Kind, started: f64, seed: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
         let offset = random.f64() * kind.stall_every_ms;
@@ -64,13 +64,13 @@
         }
     }
 
-    /// The share of its full speed that it has.
+    /// Returns the share of full speed at the given time.
     pub fn warmth(&self, now: f64) -> f64 {
         let Kind { cold_from, warm_ms, .. } = self.kind;
         (cold_from + (1.0 - cold_from) * (now - self.started) / warm_ms.max(1.0)).clamp(cold_from, 1.0)
     }
 
-    /// The time at which work of some length is done that begins at another, with stalls in between.
+    /// Returns the time at which work that begins at `begin` is done, with the stalls in between.
     fn through_stalls(&self, begin: f64, work: f64) -> f64 {
         let Kind { stall_every_ms: every, stall_ms: stall, .. } = self.kind;
         if every <= stall || stall <= 0.0 {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A part arrives, of whose answer somebody waits until some time.
+    /// Accepts or rejects a part that arrives at `now` and whose timeout ends at `until`.
     pub fn offer(&mut self, now: f64, until: f64) -> Fate {
         self.begins.retain(|begin| *begin > now);
         if self.begins.len() >= self.kind.queue {
@@ -105,7 +105,7 @@
         if begin > now {
             self.begins.push(begin);
         }
-        // A skewed spread about the usual work: from a half of it to some three times it.
+        // Work is drawn from a shifted exponential distribution, from half to about four times the usual work.
         let spread = 0.5 + 0.5 * -(1.0 - self.random.f64()).max(1e-3).ln();
         let work = self.kind.work_ms * spread / (self.warmth(begin) * self.speed);
         let done = self.through_stalls(begin, work);
@@ -114,7 +114,7 @@
         Fate::Done(done)
     }
 
-    /// The busy share of its slots.
+    /// Returns the share of busy slots, where a non-empty queue counts as one more slot.
     pub fn utilization(&self, now: f64) -> f64 {
         let busy = self.free.iter().filter(|free| **free > now).count();
         ((busy + self.begins.iter().filter(|begin| **begin > now).count().min(1)) as f64
--- a/crates/lab/src/model/tests.rs
+++ b/crates/lab/src/model/tests.rs
@@ -37,6 +37,6 @@
     let kind = Kind { stall_every_ms: 100.0, stall_ms: 40.0, ..KIND };
     let model = Model { offset: 0.0, ..Model::new(kind, -5000.0, 1) };
     assert_eq!(model.through_stalls(50.0, 10.0), 60.0);
-    assert_eq!(model.through_stalls(10.0, 10.0), 50.0, "it stands still until 40");
-    assert_eq!(model.through_stalls(95.0, 10.0), 145.0, "and again from 100 to 140");
+    assert_eq!(model.through_stalls(10.0, 10.0), 50.0, "stalled until 40");
+    assert_eq!(model.through_stalls(95.0, 10.0), 145.0, "stalled again from 100 to 140");
 }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,20 +1,20 @@
-//! Results kept: JSON, a Markdown table, a chart.
+//! Formats results as a Markdown table and an SVG chart.
 
 use std::path::Path;
 
 use plotters::prelude::*;
 use serde::Serialize;
 
-/// A second of a run.
+/// Counts of one second of a run.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Second {
-    /// Ends in it: answered, refused, failed, lost.
+    /// Queries that ended in this second: answered, refused, failed, lost.
     pub ends: [u64; 4],
-    /// Run stores that were up.
+    /// Run stores that were up at the end of the second.
     pub up: u64,
 }
 
-/// The run as a table, row by row.
+/// Formats a Markdown table.
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let line =
         |cells: &mut dyn Iterator<Item = &str>| format!("| {} |\n", cells.collect::<Vec<_>>().join(" | "));
@@ -24,7 +24,7 @@
     text
 }
 
-/// Draws figures by second as an SVG file: each row's name and its values.
+/// Draws an SVG line chart of values by second, with one named line for each row.
 ///
 /// # Errors
 /// If the file cannot be written.
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: what goes wrong when, a line each.
+//! Parses scenarios, which list the faults of a run, one on a line.
 //!
 //! ```text
 //! # Some run stores die together and come back cold.
@@ -6,7 +6,7 @@
 //! at 25s slow s-1 by 4 for 10s
 //! at 30s drain s-2 for 10s
 //! at 40s aggregator kill
-//! # Between the processes of a fleet (`ironpaddle-lab fleet`).
+//! # Faults between the processes of a fleet (`ironpaddle-lab fleet`).
 //! at 5s load by 3 for 20s
 //! at 6s cut n-0 from stores for 5s
 //! at 6s cut n-1 from discovery for 10s
@@ -17,65 +17,66 @@
 //! at 12s stop n-2 for 3s
 //! at 15s restart n-0
 //! ```
-//! Run stores are named (`s-1`) or counted (`3`: so many, chosen by the seed). Times are of the run's beginning. A link
-//! that is cut lets nothing pass; one that is mute lets nothing back.
+//! Run stores are given by name (`s-1`) or by number (`3`: three of them, chosen by the seed). Times count from the
+//! start of the run. `cut` holds the bytes of a link in both directions, `mute` only those on the way back to the
+//! aggregator.
 
 use winnow::ascii::{alpha1, digit1, float, space1, till_line_ending};
 use winnow::combinator::{alt, cut_err, opt, preceded, terminated};
 use winnow::error::{ContextError, StrContext};
 use winnow::prelude::*;
 
-/// Which run stores.
+/// Selection of run stores.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Which {
-    /// The one of this number.
+    /// The run store of this number.
     One(usize),
-    /// So many, chosen by the seed.
+    /// This number of run stores, chosen by the seed.
     Some(usize),
 }
 
-/// What happens.
+/// A fault of a scenario; the last number is its duration in milliseconds unless stated otherwise.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Act {
-    /// Processes die and come back cold.
+    /// Run store processes die and restart cold.
     Kill(Which, f64),
-    /// They work so many times slower.
+    /// Run stores work slower by this factor.
     Slow(Which, f64, f64),
-    /// They are listed as draining.
+    /// Run stores are listed as draining.
     Drain(Which, f64),
-    /// They say no word, with connections open.
+    /// Run stores send no answers, but keep connections open.
     Mute(Which, f64),
-    /// The first aggregator is killed and started again.
+    /// The first aggregator is killed and restarted at once; has no duration.
     KillAggregator,
-    /// Clients ask so many times as often.
+    /// Clients multiply their query rate by this factor.
     Load(f64, f64),
-    /// Links of an aggregator let nothing pass; one way or both.
+    /// Links of an aggregator hold all bytes, or only those on the way back if the flag is set.
     Cut(usize, Ends, bool, f64),
-    /// Links of an aggregator take so many milliseconds longer.
+    /// Links of an aggregator add a delay in milliseconds.
     Delay(usize, Ends, f64, f64),
-    /// Connections over links of an aggregator break.
+    /// Connections over links of an aggregator are closed; has no duration.
     Reset(usize, Ends),
-    /// An aggregator is killed, and started again after a while.
+    /// An aggregator is killed, and restarted after the duration.
     Crash(usize, f64),
-    /// An aggregator stands still for a while.
+    /// An aggregator is suspended.
     Stop(usize, f64),
-    /// An aggregator is ended in good order and started again.
+    /// An aggregator is shut down and restarted; has no duration.
     Restart(usize),
 }
 
-/// Where links of an aggregator lead.
+/// Targets of the links of an aggregator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Ends {
-    /// To all run stores.
+    /// All run stores.
     Stores,
-    /// To one.
+    /// One run store.
     Store(usize),
-    /// To discovery.
+    /// Discovery.
     Discovery,
 }
 
 impl Act {
-    /// The run stores that it is about, if it is, and how long it lasts.
+    /// Returns the selected run stores, if any, and the duration in milliseconds.
     pub fn about(&self) -> (Option<&Which>, f64) {
         match self {
             Act::Kill(which, spell) | Act::Drain(which, spell) | Act::Mute(which, spell) => {
@@ -92,12 +93,12 @@
     }
 }
 
-/// Something at a time, in milliseconds.
+/// A line of a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Line {
-    /// When.
+    /// Time from the start of the run, in milliseconds.
     pub at: f64,
-    /// What.
+    /// The fault.
     pub act: Act,
 }
 
@@ -127,7 +128,7 @@
     preceded("n-", number).context(StrContext::Label("aggregator, as n-0")).parse_next(input)
 }
 
-/// An aggregator, and where its links lead.
+/// Parses an aggregator and the targets of its links.
 fn links(input: &mut &str) -> ModalResult<(usize, Ends)> {
     let to = alt((
         "stores".value(Ends::Stores),
@@ -181,10 +182,10 @@
     Ok(Line { at, act })
 }
 
-/// Reads a scenario.
+/// Parses a scenario and returns its lines in order of time.
 ///
 /// # Errors
-/// Names each line at fault, and what is expected there.
+/// Lists each invalid line, with the column and what is expected there.
 pub fn read(text: &str) -> Result<Vec<Line>, String> {
     let (mut lines, mut faults) = (Vec::new(), Vec::new());
     for (no, row) in text.lines().enumerate() {
@@ -208,7 +209,7 @@
     }
 }
 
-/// The run stores that are meant, of so many; counted ones are chosen by chance, each once.
+/// Returns the selected run stores out of `stores`; a number of them is drawn at random without repetition.
 pub fn pick(which: &Which, stores: usize, random: &mut fastrand::Rng) -> Vec<usize> {
     match which {
         Which::One(store) => vec![*store % stores.max(1)],
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -1,5 +1,5 @@
-//! A seeded soak: each seed draws one life of a small fleet, with several troubles in the same window, and the rules judge
-//! what clients and run stores saw. A life is played again by its seed alone.
+//! Seeded soak test: each seed draws one run of a small fleet (a "life" in the output) with several faults in the same
+//! window, and the rules are checked on what clients and run stores observe. The seed alone reproduces a run.
 
 mod draw;
 mod guests;
@@ -13,14 +13,14 @@
 
 use crate::{aggregators, Api};
 
-/// Which wires are played.
+/// Selection of the APIs to test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Wires {
-    /// The platform's protocol, and frames.
+    /// The platform's protocol, and frames to run stores.
     Platform,
     /// The OpenSearch-style API.
     Opensearch,
-    /// Each seed on both.
+    /// Both, for each seed.
     Both,
 }
 
@@ -34,33 +34,33 @@
     }
 }
 
-/// What is played.
+/// Options of a soak.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// How many seeds.
+    /// Number of seeds.
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..))]
     seeds: u64,
     /// The first seed.
     #[arg(long)]
     seed: u64,
-    /// How long clients ask in each life.
+    /// Seconds for which clients send queries in each life (the run of one seed).
     #[arg(long, default_value_t = 12.0, value_parser = sound_seconds)]
     seconds: f64,
-    /// The wires.
+    /// APIs to test.
     #[arg(long, value_enum, default_value = "both")]
     api: Wires,
-    /// Allow so much more time before a rule counts as broken, in milliseconds: for machines that are slow.
+    /// Additional time before a rule counts as broken, in milliseconds, for slow machines.
     #[arg(long, default_value_t = 100.0)]
     slack: f64,
-    /// Start this program in place of the lab's own, such as an earlier version.
+    /// Run aggregators with this program, such as an earlier version, in place of the lab itself.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Write what became of each life into this file.
+    /// Write the outcome of each life to this file.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// The shortest life in which what is drawn can be judged, and the longest.
+/// Allowed length of a run, in seconds; in a shorter one the drawn faults could not be checked.
 const SECONDS: std::ops::RangeInclusive<f64> = 6.0..=600.0;
 
 fn sound_seconds(text: &str) -> Result<f64, String> {
@@ -72,23 +72,24 @@
     }
 }
 
-/// What became of a life.
+/// Outcome of a run.
 #[derive(Debug, Serialize)]
 struct Outcome {
     seed: u64,
     api: &'static str,
     draw: String,
-    /// Queries asked, and those answered with their values.
+    /// Queries asked.
     asked: u64,
+    /// Queries answered.
     answered: u64,
-    /// The rules that were broken: how often, and the first time.
+    /// Broken rules: how often, and a description of the first time.
     broken: BTreeMap<String, (u64, String)>,
 }
 
-/// Plays the lives of some seeds; says whether no rule was broken.
+/// Runs all seeds and returns whether no rule was broken.
 ///
 /// # Errors
-/// If a life cannot be played.
+/// If a run cannot be set up or carried out.
 pub fn run(options: &Options) -> Result<bool, String> {
     aggregators::end_with_this_process().map_err(|error| error.to_string())?;
     let mut outcomes = Vec::new();
--- a/crates/lab/src/soak/draw.rs
+++ b/crates/lab/src/soak/draw.rs
@@ -1,13 +1,13 @@
-//! What a seed draws: the fleet, its troubles and when they come, its clients and what fails for the program.
+//! Draws a soak run from a seed: the fleet, its faults and their times, its clients, and failing system calls.
 
 use std::fmt;
 
 use crate::discovery::Mode;
 use crate::scenario::{Act, Which};
 
-/// One life in so many is one of a large fleet.
+/// One run in this many has a large fleet.
 const LARGE_FLEET: u64 = 12;
-/// System calls that fail, and wall clocks that are wrong.
+/// Failing system calls, and wrong wall clocks.
 const FAULTS: [&str; 7] = [
     "recv=EINTR@10 send=EINTR@10",
     "recv=ENOMEM@5 send=ENOBUFS@5",
@@ -17,49 +17,49 @@
     "wall_ms=3600000",
     "wall_ms=-3600000",
 ];
-/// Signals that end an aggregator, in a row.
+/// Sequences of signals that end an aggregator.
 const ENDINGS: [&[&str]; 5] =
     [&["TERM"], &["TERM", "TERM"], &["TERM", "HUP"], &["HUP", "TERM"], &["HUP", "HUP", "HUP", "TERM"]];
-/// So much of a life passes before its troubles.
+/// Share of a run that passes before the first fault.
 const QUIET: f64 = 0.1;
-/// The last share of a life in which troubles begin.
+/// Share of a run after which no fault begins.
 const TROUBLED: f64 = 0.5;
 
-/// Something that goes wrong.
+/// A fault of a soak run.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Trouble {
-    /// With run stores.
+    /// A fault of run stores.
     Stores(Act),
-    /// An aggregator is told to end by these signals, is killed as early as it may be, and is started again.
+    /// An aggregator gets these signals, is killed as early as the platform may do so, and is restarted.
     End(usize, &'static [&'static str]),
-    /// An aggregator reads its configuration again, so many times in a row.
+    /// An aggregator reloads its configuration this many times in a row.
     Reload(usize, u32),
-    /// A new process takes over from an aggregator, which is then told to end.
+    /// A new process takes over from an aggregator, which then gets a signal to end.
     Upgrade(usize),
-    /// Discovery answers like this for so many milliseconds.
+    /// Discovery answers in this mode for a time in milliseconds.
     Discovery(Mode, f64),
 }
 
-/// How some clients behave.
+/// Behaviour of a special client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guest {
-    /// One request after the other on a connection that it keeps.
+    /// Sends one request after the other on a kept connection.
     Keeps,
-    /// Several requests in one write.
+    /// Sends several requests in one write.
     Pipelines,
-    /// A request byte by byte.
+    /// Sends a request byte by byte.
     Dribbles,
-    /// Half a request, and then nothing.
+    /// Sends a part of a request, and then nothing.
     Stops,
-    /// It leaves before, while or just after its request is read.
+    /// Closes the connection before, while or just after its request is read.
     Leaves,
-    /// A hundred requests at once.
+    /// Sends a hundred requests at once.
     Floods,
-    /// Many connections, and not a byte on them.
+    /// Opens many connections and sends nothing on them.
     Crowds,
-    /// Very little time left.
+    /// Sends requests with very short timeouts.
     Hurries,
-    /// It reads its answer a byte at a time.
+    /// Reads its answer a byte at a time.
     ReadsSlowly,
 }
 
@@ -75,29 +75,29 @@
     Guest::ReadsSlowly,
 ];
 
-/// A life.
+/// Parameters of a soak run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Draw {
-    /// What it was drawn from.
+    /// Seed from which the run was drawn.
     pub seed: u64,
-    /// Aggregators.
+    /// Number of aggregators.
     pub aggregators: usize,
-    /// Run stores.
+    /// Number of run stores.
     pub stores: usize,
-    /// Queries a second of usual clients.
+    /// Queries per second of the usual clients.
     pub rate: f64,
-    /// Descriptors of each aggregator.
+    /// File descriptors that each aggregator may use.
     pub sockets: usize,
-    /// Other clients.
+    /// Special clients.
     pub guests: Vec<Guest>,
-    /// What fails for the program.
+    /// Faults injected into the aggregators, in the syntax of the library of `crates/faults`.
     pub faults: Option<String>,
-    /// Troubles, and the milliseconds from the life's beginning at which they come, in order.
+    /// Faults in order of time, with their times in milliseconds from the start of the run.
     pub troubles: Vec<(f64, Trouble)>,
 }
 
 impl Draw {
-    /// What a seed draws for a life of so many seconds.
+    /// Draws a run of the given length from a seed.
     pub fn of(seed: u64, seconds: f64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed ^ 0x50a4);
         let large = random.u64(..LARGE_FLEET) == 0;
@@ -130,7 +130,7 @@
     }
 }
 
-/// Draws a trouble of a life of so many milliseconds.
+/// Draws a fault for a run of the given length in milliseconds.
 fn trouble(random: &mut fastrand::Rng, aggregators: usize, life_ms: f64) -> Trouble {
     let aggregator = random.usize(..aggregators);
     let some = Which::Some(random.usize(1..=2));
@@ -140,10 +140,10 @@
         2 => Trouble::Reload(aggregator, random.u32(1..=4)),
         3 => Trouble::Upgrade(aggregator),
         4 => Trouble::Stores(Act::Kill(some, spell)),
-        // Through the whole of a shutdown.
+        // Longer than a shutdown takes.
         5 => Trouble::Stores(Act::Mute(some, spell + 2000.0)),
         6 => Trouble::Stores(Act::Slow(some, f64::from(random.u32(2..9)), spell)),
-        // Up to the end, so that it can be judged.
+        // Until the end of the run, so that the drain rule can be checked.
         7 => Trouble::Stores(Act::Drain(Which::Some(1), life_ms)),
         _ => {
             let modes = [Mode::Silent, Mode::Busy, Mode::Slow(random.u64(100..1500)), Mode::Whole];
--- a/crates/lab/src/soak/guests.rs
+++ b/crates/lab/src/soak/guests.rs
@@ -1,4 +1,4 @@
-//! Clients that behave otherwise than the usual ones, each on a thread of its own until the life is over.
+//! Special clients of soak runs, each in a thread of its own until the run is over.
 
 use std::io::{self, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -13,37 +13,37 @@
 use crate::stores;
 use crate::Api;
 
-/// How long a client of sound requests waits for an answer at the most, in milliseconds.
+/// Timeout of clients that send complete requests, in milliseconds.
 const WAIT_MS: f64 = 4000.0;
-/// A bad client is owed an error or a close within this time of its connecting, and some for slow machines.
+/// Time from connecting in which an incomplete request must get an error or a close: 3 s, and 0.4 s for slow machines.
 const OWED: Duration = Duration::from_millis(3000 + 400);
-/// What is sent at once by a client that floods.
+/// Requests that a flooding client sends at once.
 const FLOOD: usize = 100;
-/// Connections of a crowd.
+/// Connections that a crowding client opens.
 const CROWD: usize = 150;
-/// After an end in good order, the time in which a reset tells that bytes were left unread.
+/// Time after an orderly close in which a reset shows that the peer left bytes unread.
 const RESET_WITHIN: Duration = Duration::from_millis(1200);
 
-/// A client of one aggregator.
+/// A special client of one aggregator.
 pub struct Client {
-    /// All that the life has.
+    /// All parts of the run.
     pub world: Arc<World>,
-    /// The aggregator, and where it listens.
+    /// Number and address of the aggregator.
     pub to: (usize, SocketAddr),
-    /// What it speaks.
+    /// API that the client uses.
     pub api: Api,
-    /// The source of values.
+    /// Seed of the run.
     pub seed: u64,
-    /// The number of the client, which is in its queries' ids.
+    /// Number of the client, which is part of the ids of its queries.
     pub no: usize,
 }
 
 impl Client {
-    /// Behaves until the life is over.
+    /// Behaves in the given way until the run is over.
     pub fn behave(&self, guest: Guest) {
         let mut random = fastrand::Rng::with_seed(self.seed ^ (self.no as u64) << 32 ^ 0x9e57);
         while !self.world.over.load(Ordering::Acquire) {
-            // A connection that cannot be made is no request: the aggregator may be ending.
+            // A failure to connect is not checked: the aggregator may be shutting down.
             let done = match guest {
                 Guest::Keeps => self.keep(&mut random),
                 Guest::Pipelines => self.several(&mut random, 2..=5, WAIT_MS),
@@ -77,7 +77,7 @@
         Query { id: format!("g{}-{}", self.no, query.id), ..query }
     }
 
-    /// Has the checker know of a query whose last byte is about to be written; says when that is.
+    /// Registers a query with the checker just before its last byte is written, and returns the time.
     fn announce(&self, query: &Query, wait: f64) -> f64 {
         let now = self.world.clock.now();
         let shards = query.parts.iter().map(|(shard, _)| *shard);
@@ -86,7 +86,7 @@
         now
     }
 
-    /// Reads the answer to a query and has it judged; says whether the connection goes on.
+    /// Reads the answer to a query, checks it, and returns whether the connection can still be used.
     fn hear(&self, read: &mut BufReader<&TcpStream>, query: &Query, asked: (f64, f64)) -> bool {
         let came = clients::read_answer(read);
         let broke = came.as_ref().err().map(|error| error.kind());
@@ -104,8 +104,8 @@
         true
     }
 
-    /// Whether a request that had no answer was read, or had none within all its time: a connection that ends over
-    /// unread bytes is reset, and its client asks again on another one.
+    /// Returns whether a request without an answer was read by the aggregator, or timed out. Otherwise the connection
+    /// was reset over unread bytes, and a client would retry on another one.
     fn was_read(&self, stream: &TcpStream, broke: Option<io::ErrorKind>) -> bool {
         match broke {
             Some(io::ErrorKind::UnexpectedEof) => {
@@ -164,7 +164,7 @@
         let stream = self.connect()?;
         let query = self.draw(random);
         let text = clients::request(self.api, &query, WAIT_MS, "");
-        // All of it within the time that a first request has.
+        // Sends the whole request within the time limit of a first request.
         let pause = Duration::from_micros(1_000_000 / text.len() as u64);
         let (last, first) = text.as_bytes().split_last().ok_or(io::ErrorKind::InvalidInput)?;
         for byte in first {
@@ -187,7 +187,10 @@
         let late = began.elapsed() > OWED;
         if late || came.is_ok_and(|(status, _)| status < 400) {
             let took = began.elapsed().as_millis();
-            self.world.checker.breaks("owed", &format!("half of {} had its end after {took} ms", query.id));
+            self.world.checker.breaks(
+                "owed",
+                &format!("incomplete request {} was answered or closed after {took} ms", query.id),
+            );
         }
         Ok(())
     }
@@ -228,7 +231,7 @@
         let whole = came.is_ok();
         let (end, answer) = clients::settle((self.to.0, self.api), &query, (asked, WAIT_MS), came);
         if whole {
-            // Its own slowness is not held against the aggregator.
+            // The answer has no time of its own here: reading slowly must not make it late.
             let seed = self.seed;
             self.world.checker.answered(&answer, |part| stores::value(seed, part));
             self.world.board.note(&query, end, 0.0);
--- a/crates/lab/src/soak/life.rs
+++ b/crates/lab/src/soak/life.rs
@@ -1,4 +1,4 @@
-//! A life that was drawn: its clients, its troubles, and what became of it.
+//! Runs a drawn soak run: starts its clients, injects its faults and checks the rules.
 
 use std::process::Child;
 use std::sync::atomic::Ordering;
@@ -15,26 +15,27 @@
 use crate::scenario::{self, Act};
 use crate::{aggregators, Api};
 
-/// New connections still come for so long after an aggregator was told to end, in milliseconds.
+/// Time after the signal to end in which an aggregator still accepts connections, in milliseconds.
 const FRONT_MS: f64 = 400.0;
-/// The platform kills what was told to end after the longest deadline, of which it counts 3 s at most, and 0.7 s more.
+/// Time from the signal to end until the platform kills a process: the longest deadline, capped at 3 s, and 0.7 s more.
 const KILLED_AFTER: Duration = Duration::from_millis(3700);
-/// A restarted process is ready within this time.
+/// Time within which a restarted process must be ready.
 const READY: Duration = Duration::from_secs(10);
-/// What is told counts as told so long after discovery had it and could be reached, in milliseconds.
+/// Time after discovery can be reached until aggregators must know of a change, in milliseconds.
 const TOLD_MS: f64 = 6000.0;
-/// An answer so long after its time is lost, in milliseconds.
+/// Lateness from which an answer counts as lost, in milliseconds.
 const LOST_MS: f64 = 500.0;
-/// The memory that an aggregator may have, in megabytes.
+/// Memory limit of an aggregator, in megabytes.
 const MEMORY_MB: f64 = 192.0;
+/// Interval at which the end of a process is polled.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// How often descriptors and memory are looked at.
+/// Interval at which descriptors and memory are checked.
 const USAGE_EVERY: Duration = Duration::from_millis(250);
 
-/// Plays a life.
+/// Carries out a run and returns its outcome.
 ///
 /// # Errors
-/// If it cannot be played.
+/// If the run cannot be set up or carried out.
 pub fn play(draw: &Draw, api: Api, options: &Options) -> Result<Outcome, String> {
     let load = demo::Options {
         seconds: options.seconds,
@@ -98,7 +99,7 @@
     })
 }
 
-/// Ends all aggregators in good order.
+/// Shuts all aggregators down.
 fn end(world: &World) -> Result<(), String> {
     for (no, aggregator) in world.aggregators.lock().map_err(|_| "a thread failed")?.iter_mut().enumerate() {
         aggregator.signal("TERM").map_err(|error| error.to_string())?;
@@ -109,19 +110,19 @@
     Ok(())
 }
 
-/// Waits for the end of a process that was told to end, and kills it as early as the platform may.
+/// Waits for the exit of a process that got a signal to end, and kills it as early as the platform may.
 fn outlive(world: &World, no: usize, mut child: Child) -> Result<(), String> {
     let told = Instant::now();
     loop {
         if let Some(status) = child.try_wait().map_err(|error| error.to_string())? {
             aggregators::has_ended(child.id());
             if !status.success() {
-                world.checker.breaks("crash", &format!("n-{no} ended with {status}"));
+                world.checker.breaks("crash", &format!("n-{no} exited with {status}"));
             }
             return Ok(());
         }
         if told.elapsed() >= KILLED_AFTER {
-            // What it has not answered by now is missed by clients.
+            // The checker reports queries that are still unanswered as lost.
             let ended = child.kill().and_then(|()| child.wait());
             aggregators::has_ended(child.id());
             return ended.map(drop).map_err(|error| error.to_string());
@@ -130,24 +131,24 @@
     }
 }
 
-/// Holds aggregators to their limits while the life goes on.
+/// Checks descriptors and memory of aggregators against their limits until the run is over.
 fn watch_usage(world: &World, draw: &Draw) {
     while !world.over.load(Ordering::Acquire) {
         let used: Vec<_> =
             world.aggregators.lock().map_or(Vec::new(), |all| all.iter().map(|one| one.usage()).collect());
         for (no, (descriptors, memory)) in used.into_iter().enumerate().filter_map(|(no, u)| Some((no, u?))) {
             if descriptors > draw.sockets {
-                world.checker.breaks("descriptors", &format!("n-{no} holds {descriptors}"));
+                world.checker.breaks("descriptors", &format!("n-{no} has {descriptors} descriptors open"));
             }
             if memory > MEMORY_MB {
-                world.checker.breaks("memory", &format!("n-{no} has had {memory:.0} MB"));
+                world.checker.breaks("memory", &format!("n-{no} has used {memory:.0} MB"));
             }
         }
         thread::sleep(USAGE_EVERY);
     }
 }
 
-/// A life that goes on.
+/// A run in progress.
 #[derive(Clone, Copy)]
 struct Spell<'w> {
     world: &'w World,
@@ -189,7 +190,7 @@
         println!("  at {at:.0} ms {act:?}: {}", names.join(" "));
         self.world.act(act, &chosen, true, self.begin + at)?;
         if matches!(act, Act::Drain(..)) {
-            // Told late at the worst: once discovery can be reached again.
+            // At worst, aggregators learn of the drain only when discovery can be reached again.
             let reached = self.discovery_is_reached_from(at);
             let told = self.begin + reached + if reached > at { TOLD_MS } else { 0.0 };
             chosen.iter().for_each(|store| self.world.checker.drains(*store, Some(told)));
@@ -208,13 +209,13 @@
         }
         self.world.act(act, &chosen, false, self.begin + at)?;
         if matches!(act, Act::Kill(..)) {
-            // It is listed as ready again, whatever it was before.
+            // The restart lists the run store as ready, even if it was draining before.
             chosen.iter().for_each(|store| self.world.checker.drains(*store, None));
         }
         Ok(())
     }
 
-    /// From when on discovery answers, for what it is told at some time of the life: a watch may have broken before.
+    /// Returns the time from which discovery answers after a change at `at`; a watch may have broken before the change.
     fn discovery_is_reached_from(&self, at: f64) -> f64 {
         let troubles = self.draw.troubles.iter().filter_map(|(from, trouble)| match trouble {
             Trouble::Discovery(_, spell) if *from < at + TOLD_MS => Some(from + spell),
@@ -235,7 +236,7 @@
         let started = Instant::now();
         self.world.aggregator(no, |one| one.start_again())?;
         if started.elapsed() > READY {
-            self.world.checker.breaks("ready", &format!("n-{no} after {:?}", started.elapsed()));
+            self.world.checker.breaks("ready", &format!("n-{no} was ready after {:?}", started.elapsed()));
         }
         self.world.checker.closed(no, closed, self.world.clock.now());
         Ok(())
--- a/crates/lab/src/stores.rs
+++ b/crates/lab/src/stores.rs
@@ -1,4 +1,4 @@
-//! Run stores on loopback that speak frames or the OpenSearch-style API, and answer as their models say.
+//! Simulated run stores on loopback: serve frames or the OpenSearch-style API, with timing from [`Model`].
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -15,7 +15,7 @@
 use crate::model::{Fate, Kind, Model};
 use crate::Api;
 
-/// What a run store answers for a part: nobody else can make it up.
+/// Returns the answer of a run store for a part: a keyed hash, so that a made-up answer is detected.
 pub fn value(seed: u64, part: &str) -> String {
     let hash = part.bytes().fold(seed ^ 0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3)
@@ -23,7 +23,7 @@
     format!("{hash:016x}")
 }
 
-/// An answer that waits for its time.
+/// An answer to be written at a given time.
 struct Due {
     at: u64,
     no: u64,
@@ -53,7 +53,7 @@
 
 struct State {
     model: Model,
-    /// The number of its process; 0 while it is dead.
+    /// Number of the running process; 0 while the run store is down.
     life: u64,
     lives: u64,
     muted: bool,
@@ -62,14 +62,14 @@
     next: u64,
 }
 
-/// The life of a run store that a connection is of, and where that comes from.
+/// Number of the process that accepted a connection, and the source address of the connection.
 type Line = (u64, Option<SocketAddr>);
 
-/// A run store.
+/// A simulated run store.
 pub struct Store {
-    /// Its number.
+    /// Number of the run store.
     pub no: usize,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     kind: Kind,
     api: Api,
@@ -81,7 +81,7 @@
 }
 
 impl Store {
-    /// Starts a run store that has long been warm.
+    /// Starts a run store that is already warm.
     pub fn start(
         no: usize,
         kind: Kind,
@@ -121,7 +121,7 @@
         act(&mut self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// Its process dies: connections are reset and new ones get no word but a close.
+    /// Simulates the death of the process: closes all connections, and new ones right after they are accepted.
     pub fn kill(&self) {
         self.with(|state| {
             state.life = 0;
@@ -132,7 +132,7 @@
         });
     }
 
-    /// Another process starts, cold; says when.
+    /// Starts another process, which is cold, and returns the time of its start.
     pub fn revive(&self) -> f64 {
         let now = self.clock.now();
         self.with(|state| {
@@ -143,17 +143,17 @@
         now
     }
 
-    /// Its speed against the usual.
+    /// Divides the usual speed by a factor.
     pub fn slow(&self, by: f64) {
         self.with(|state| state.model.speed = 1.0 / by);
     }
 
-    /// Connections that it has taken since its process started.
+    /// Returns the number of connections accepted since the last death of the process.
     pub fn connections(&self) -> usize {
         self.with(|state| state.connections.len())
     }
 
-    /// Whether it takes parts and says no word.
+    /// Sets whether parts are accepted but never answered.
     pub fn mute(&self, muted: bool) {
         self.with(|state| state.muted = muted);
     }
@@ -174,7 +174,7 @@
             thread::spawn(move || {
                 let _ = stream.set_nodelay(true);
                 let from = stream.peer_addr().ok();
-                // A connection that ends in whatever way is no matter of the run store's.
+                // An error here means that the peer closed the connection.
                 let _ = match store.api {
                     Api::Platform => store.frames(&stream, (life, from)),
                     Api::Opensearch => store.searches(&stream, (life, from)),
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Writes answers when their time has come.
+    /// Writes answers at their times.
     fn answer(&self) {
         let mut state = self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         loop {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// A part arrives; its answer is written when its time has come, if there is one.
+    /// Records an arriving part and schedules its answer, if there is one.
     fn take(&self, (life, from): Line, part: &str, shard: u32, wait_ms: f64, to: &Arc<Mutex<TcpStream>>) {
         let now = self.clock.now();
         let (fate, report) = self.with(|state| {
@@ -318,7 +318,7 @@
     }
 }
 
-/// A frame of a letter and the rest.
+/// Encodes a frame from its type letter and its payload.
 pub fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
     let mut frame = (rest.len() as u32 + 1).to_le_bytes().to_vec();
     frame.push(letter);
@@ -334,7 +334,8 @@
     .into_bytes()
 }
 
-/// Reads an HTTP message: its first line, its head in lower case, its body; `None` at an end between two.
+/// Reads an HTTP message and returns its first line, its headers in lower case and its body, or `None` if the
+/// connection ended before the first byte.
 pub fn read_message(read: &mut impl BufRead) -> io::Result<Option<(String, String, Vec<u8>)>> {
     let mut first = String::new();
     if read.read_line(&mut first)? == 0 {
