--- a/crates/lab/src/aggregators.rs
+++ b/crates/lab/src/aggregators.rs
@@ -18,9 +18,9 @@
 use crate::stores::read_message;
 
 /// Environment variable from which the library of `crates/faults` reads the faults to inject.
-const FAULTS: &str = "FAULTS";
+const FAULTS_VARIABLE: &str = "FAULTS";
 /// Time within which a started process must answer health checks.
-const START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An aggregator under test, with the process that currently runs it.
 pub struct Aggregator {
@@ -34,22 +34,22 @@
     /// Faults injected into its processes, in the syntax of the library of `crates/faults`.
     faults: Option<String>,
     /// CPU time of its processes that have ended, in milliseconds.
-    cpu_ms: f64,
+    ended_cpu_ms: f64,
 }
 
 /// Ids of the running aggregator processes, to be killed when the lab is ended by a signal.
-static STARTED: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
+static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 /// Installs a signal handler that kills all started aggregators before this process exits.
 ///
 /// # Errors
 /// If signals cannot be caught.
-pub fn end_with_this_process() -> io::Result<()> {
+pub fn kill_children_on_signal() -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])?;
     thread::spawn(move || {
         let signal = async_io::block_on(signals.next());
-        let started = STARTED.lock().unwrap_or_else(PoisonError::into_inner);
-        for id in started.iter().filter_map(|id| rustix::process::Pid::from_raw(*id as i32)) {
+        let running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
+        for id in running.iter().filter_map(|id| rustix::process::Pid::from_raw(*id as i32)) {
             // The process may have ended already.
             let _ = rustix::process::kill_process(id, rustix::process::Signal::KILL);
         }
@@ -60,22 +60,22 @@
 }
 
 /// Removes a process that has ended from the processes to kill on a signal.
-pub fn has_ended(id: u32) {
-    STARTED.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
+pub fn unregister(id: u32) {
+    RUNNING.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
 }
 
 /// Interval at which an aggregator checks that its parent process still runs.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const PARENT_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs the aggregator program in this process, and exits when the parent process has ended.
 ///
 /// # Errors
 /// If the aggregator cannot be run.
-pub fn be(config: &Path) -> Result<(), String> {
+pub fn run_as_aggregator(config: &Path) -> Result<(), String> {
     let parent = std::os::unix::process::parent_id();
     thread::spawn(move || {
         while std::os::unix::process::parent_id() == parent {
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(PARENT_CHECK_INTERVAL);
         }
         std::process::exit(1);
     });
@@ -94,10 +94,10 @@
 }
 
 /// Returns an address with a free port.
-fn free() -> io::Result<SocketAddr> {
-    static TAKEN: AtomicU8 = AtomicU8::new(0);
+fn free_address() -> io::Result<SocketAddr> {
+    static NEXT_HOST: AtomicU8 = AtomicU8::new(0);
     // On 127.0.0.1, an outgoing connection could take the port before the aggregator binds it.
-    let (process, place) = (std::process::id(), TAKEN.fetch_add(1, Ordering::Relaxed));
+    let (process, place) = (std::process::id(), NEXT_HOST.fetch_add(1, Ordering::Relaxed));
     let address = Ipv4Addr::new(127, 1 + (process >> 8 & 0x7f) as u8, process as u8, 1 + place % 254);
     TcpListener::bind((address, 0))?.local_addr()
 }
@@ -108,27 +108,28 @@
     /// # Errors
     /// If it does not answer health checks in time.
     pub fn start(program: &Path, dir: &Path, config: Value) -> io::Result<Self> {
-        Aggregator::start_failing(program, dir, config, None)
+        Aggregator::start_with_faults(program, dir, config, None)
     }
 
     /// Starts an aggregator whose system calls fail as `faults` describes.
     ///
     /// # Errors
     /// If it does not answer health checks in time.
-    pub fn start_failing(
+    pub fn start_with_faults(
         program: &Path,
         dir: &Path,
         mut config: Value,
         faults: Option<&str>,
     ) -> io::Result<Self> {
         std::fs::create_dir_all(dir)?;
-        let (address, operator) = (free()?, free()?);
+        let (address, operator) = (free_address()?, free_address()?);
         config["listen"] = address.to_string().into();
         config["operator"] = operator.to_string().into();
         std::fs::write(dir.join("config.json"), config.to_string())?;
         let (program, dir) = (program.to_path_buf(), dir.to_path_buf());
         let faults = faults.map(str::to_string);
-        let mut aggregator = Aggregator { address, operator, program, dir, child: None, faults, cpu_ms: 0.0 };
+        let mut aggregator =
+            Aggregator { address, operator, program, dir, child: None, faults, ended_cpu_ms: 0.0 };
         aggregator.spawn()?;
         Ok(aggregator)
     }
@@ -141,7 +142,7 @@
             command.arg("aggregator");
         }
         if let Some(faults) = &self.faults {
-            command.env("LD_PRELOAD", faults_library()?).env(FAULTS, faults);
+            command.env("LD_PRELOAD", faults_library()?).env(FAULTS_VARIABLE, faults);
         }
         let child = command
             .arg(self.dir.join("config.json"))
@@ -149,16 +150,16 @@
             .stdout(log.try_clone()?)
             .stderr(log);
         // Holding the lock keeps the signal handler from missing a process that is being started.
-        let mut started = STARTED.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         let child = child.spawn()?;
-        started.insert(child.id());
-        drop(started);
+        running.insert(child.id());
+        drop(running);
         self.child = Some(child);
         let began = Instant::now();
         while !matches!(self.call("GET", "/healthcheck"), Ok((200, _))) {
-            if began.elapsed() > START {
+            if began.elapsed() > START_TIMEOUT {
                 return Err(io::Error::other(format!(
-                    "the aggregator did not answer health checks within {START:?}, see {}",
+                    "the aggregator did not answer health checks within {START_TIMEOUT:?}, see {}",
                     self.dir.join("log").display()
                 )));
             }
@@ -202,7 +203,7 @@
             // After the name and the state, which is not a number, user and system time are the 11th and 12th field.
             Some(words.get(10)? + words.get(11)?)
         });
-        self.cpu_ms + ticks.unwrap_or(0.0) * 10.0
+        self.ended_cpu_ms + ticks.unwrap_or(0.0) * 10.0
     }
 
     /// Kills its process and starts another one.
@@ -219,11 +220,11 @@
     /// # Errors
     /// If the process cannot be killed.
     pub fn kill(&mut self) -> io::Result<()> {
-        self.cpu_ms = self.cpu_ms();
+        self.ended_cpu_ms = self.cpu_ms();
         if let Some(mut child) = self.child.take() {
             child.kill()?;
             child.wait()?;
-            has_ended(child.id());
+            unregister(child.id());
         }
         Ok(())
     }
@@ -247,7 +248,7 @@
 
     /// Hands its process over to the caller, who has to wait for its end.
     pub fn take_process(&mut self) -> Option<Child> {
-        self.cpu_ms = self.cpu_ms();
+        self.ended_cpu_ms = self.cpu_ms();
         self.child.take()
     }
 
@@ -255,10 +256,10 @@
     ///
     /// # Errors
     /// If it does not answer health checks in time.
-    pub fn succeed(&mut self) -> io::Result<Option<Child>> {
+    pub fn start_successor(&mut self) -> io::Result<Option<Child>> {
         let path = self.dir.join("config.json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&path)?)?;
-        self.operator = free()?;
+        self.operator = free_address()?;
         config["operator"] = self.operator.to_string().into();
         std::fs::write(path, config.to_string())?;
         let old = self.take_process();
@@ -280,7 +281,7 @@
     ///
     /// # Errors
     /// If the signal cannot be sent.
-    pub fn stop(&self, stopped: bool) -> io::Result<()> {
+    pub fn set_suspended(&self, stopped: bool) -> io::Result<()> {
         let Some(child) = &self.child else { return Ok(()) };
         let signal = if stopped { "STOP" } else { "CONT" };
         Command::new("kill").args(["-s", signal, &child.id().to_string()]).status().map(drop)
@@ -290,12 +291,12 @@
     ///
     /// # Errors
     /// If the signal cannot be sent or the process cannot be waited for.
-    pub fn end(&mut self) -> io::Result<bool> {
-        self.cpu_ms = self.cpu_ms();
+    pub fn shut_down(&mut self) -> io::Result<bool> {
+        self.ended_cpu_ms = self.cpu_ms();
         let Some(mut child) = self.child.take() else { return Ok(false) };
         Command::new("kill").args(["-s", "TERM", &child.id().to_string()]).status()?;
         let ended = child.wait()?.success();
-        has_ended(child.id());
+        unregister(child.id());
         Ok(ended)
     }
 }
@@ -306,7 +307,7 @@
             // The process may have ended already.
             let _ = child.kill();
             let _ = child.wait();
-            has_ended(child.id());
+            unregister(child.id());
         }
     }
 }
--- a/crates/lab/src/clients.rs
+++ b/crates/lab/src/clients.rs
@@ -83,7 +83,7 @@
 }
 
 /// Draws a random query.
-pub fn draw(random: &mut fastrand::Rng, no: u64, shards: u32, api: Api) -> Query {
+pub fn draw_query(random: &mut fastrand::Rng, no: u64, shards: u32, api: Api) -> Query {
     let at = |shares: &[f64], point: f64| {
         let mut sum = 0.0;
         shares.iter().position(|share| {
@@ -149,35 +149,35 @@
     clock: &crate::clock::Clock,
 ) -> (End, Answer) {
     let wait = CLASSES[query.class].deadline;
-    let (end, mut answer) = settle((aggregator, api), query, (asked, wait), call(to, api, query));
-    answer.at = clock.now();
+    let (end, mut answer) = classify((aggregator, api), query, (asked, wait), send(to, api, query));
+    answer.answered_at = clock.now();
     (end, answer)
 }
 
 /// Classifies the result of a query that was asked at `asked` with a timeout of `wait` milliseconds.
-pub fn settle(
+pub fn classify(
     (aggregator, api): (usize, Api),
     query: &Query,
     (asked, wait): (f64, f64),
-    came: io::Result<(u16, Value)>,
+    result: io::Result<(u16, Value)>,
 ) -> (End, Answer) {
     let class = &CLASSES[query.class];
     let mut answer = Answer {
         query: query.id.clone(),
         aggregator,
-        asked,
-        at: asked,
-        wait,
+        asked_at: asked,
+        answered_at: asked,
+        timeout_ms: wait,
         safe: class.safe,
         refused: false,
         whole: false,
         served: false,
-        unread: matches!(&came, Err(error) if error.kind() == io::ErrorKind::ConnectionReset),
-        asked_for: query.parts.clone(),
+        unread: matches!(&result, Err(error) if error.kind() == io::ErrorKind::ConnectionReset),
+        requested: query.parts.clone(),
         values: Vec::new(),
         least_share: class.least_share,
     };
-    let end = match came {
+    let end = match result {
         Ok((200, body)) => {
             answer.served = true;
             read_values(api, &body, &mut answer);
@@ -219,7 +219,7 @@
     )
 }
 
-fn call(to: SocketAddr, api: Api, query: &Query) -> io::Result<(u16, Value)> {
+fn send(to: SocketAddr, api: Api, query: &Query) -> io::Result<(u16, Value)> {
     let wait = CLASSES[query.class].deadline;
     let head = request(api, query, wait, "Connection: close\r\n");
     let mut stream = TcpStream::connect(to)?;
@@ -262,7 +262,7 @@
 
 /// Counts of the ends of queries of a class or group.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Ends {
+pub struct EndCounts {
     /// Queries asked, retries included.
     pub asked: u64,
     /// Queries answered.
@@ -288,29 +288,29 @@
 
 /// Shared counts of a run in progress.
 #[derive(Default)]
-pub struct Board {
+pub struct LiveCounts {
     inner: Mutex<Inner>,
 }
 
 #[derive(Default)]
 struct Inner {
-    classes: BTreeMap<&'static str, (Ends, Option<Histogram<u32>>)>,
-    groups: BTreeMap<&'static str, Ends>,
+    classes: BTreeMap<&'static str, (EndCounts, Option<Histogram<u32>>)>,
+    groups: BTreeMap<&'static str, EndCounts>,
     ends: BTreeMap<String, End>,
     /// By second of the clock in which a query was first asked: the worth of all queries, and of those answered in
     /// time, by the first request or its retry.
     worth: BTreeMap<u64, [f64; 2]>,
 }
 
-impl Board {
-    fn with<T>(&self, act: impl FnOnce(&mut Inner) -> T) -> T {
-        act(&mut self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
+impl LiveCounts {
+    fn with_state<T>(&self, update: impl FnOnce(&mut Inner) -> T) -> T {
+        update(&mut self.inner.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
     /// Counts the end of a query after `took` milliseconds.
-    pub fn note(&self, query: &Query, end: End, took: f64) {
+    pub fn record_end(&self, query: &Query, end: End, took: f64) {
         let class = &CLASSES[query.class];
-        self.with(|inner| {
+        self.with_state(|inner| {
             inner.ends.insert(query.id.clone(), end);
             let (of_class, latencies) = inner.classes.entry(class.name).or_default();
             if let End::Answered { .. } = end {
@@ -334,9 +334,9 @@
     }
 
     /// Adds the worth of a query, first asked at `asked`, and whether it was answered in time, retry included.
-    pub fn earned(&self, query: &Query, asked: f64, in_time: bool) {
+    pub fn record_worth(&self, query: &Query, asked: f64, in_time: bool) {
         let worth = CLASSES[query.class].worth;
-        self.with(|inner| {
+        self.with_state(|inner| {
             let second = inner.worth.entry((asked / 1000.0) as u64).or_default();
             second[0] += worth;
             second[1] += if in_time { worth } else { 0.0 };
@@ -344,14 +344,14 @@
     }
 
     /// Returns the worth asked for and the worth earned, by second of the clock.
-    pub fn worth(&self) -> BTreeMap<u64, [f64; 2]> {
-        self.with(|inner| inner.worth.clone())
+    pub fn worth_by_second(&self) -> BTreeMap<u64, [f64; 2]> {
+        self.with_state(|inner| inner.worth.clone())
     }
 
     /// Returns the counts by class and by group.
-    pub fn counts(&self) -> (BTreeMap<&'static str, Ends>, BTreeMap<&'static str, Ends>) {
-        self.with(|inner| {
-            let class = |(name, (ends, latencies)): (&&'static str, &(Ends, Option<Histogram<u32>>))| {
+    pub fn totals(&self) -> (BTreeMap<&'static str, EndCounts>, BTreeMap<&'static str, EndCounts>) {
+        self.with_state(|inner| {
+            let class = |(name, (ends, latencies)): (&&'static str, &(EndCounts, Option<Histogram<u32>>))| {
                 let mut ends = ends.clone();
                 for (title, quantile) in [("p50", 0.5), ("p90", 0.9), ("p99", 0.99)] {
                     if let Some(latencies) = latencies {
@@ -365,7 +365,7 @@
     }
 
     /// Returns the end of each query by its id.
-    pub fn ends(&self) -> BTreeMap<String, End> {
-        self.with(|inner| inner.ends.clone())
+    pub fn ends_by_query(&self) -> BTreeMap<String, End> {
+        self.with_state(|inner| inner.ends.clone())
     }
 }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -16,23 +16,23 @@
 
 use crate::aggregators::Aggregator;
 use crate::check::Checker;
-use crate::clients::{self, Board, End, CLASSES, GROUPS};
+use crate::clients::{self, End, LiveCounts, CLASSES, GROUPS};
 use crate::clock::Clock;
 use crate::discovery::Discovery;
-use crate::links::{Link, Weather};
-use crate::model::Kind;
+use crate::links::{Conditions, Link};
+use crate::model::Profile;
 use crate::report::{self, Second};
-use crate::scenario::{self, Act, Ends, Line};
-use crate::stores::{self, Store};
+use crate::scenario::{self, Fault, Line, LinkTarget};
+use crate::stores::{self, RunStore};
 use crate::Api;
 
 /// Returns the default scenario: after three tenths of the run, three run stores die together; later one is slow and
 /// one drains.
-fn usual(seconds: f64) -> String {
+fn default_scenario(seconds: f64) -> String {
     let at = |part: f64| format!("{:.0}s", (seconds * part).max(1.0));
-    let (spell, short) = (at(0.15), at(0.1));
+    let (duration, short) = (at(0.15), at(0.1));
     format!(
-        "at {} kill 3 for {spell}\nat {} slow 1 by 5 for {short}\nat {} drain 1 for {spell}\n",
+        "at {} kill 3 for {duration}\nat {} slow 1 by 5 for {short}\nat {} drain 1 for {duration}\n",
         at(0.3),
         at(0.6),
         at(0.7)
@@ -42,9 +42,9 @@
 /// Typical work of a part, in milliseconds.
 pub const WORK_MS: f64 = 20.0;
 /// Multiple of its capacity that a run store tolerates just after a start.
-pub const BEARS: f64 = 2.0;
+pub const COLD_TOLERATED_MULTIPLE: f64 = 2.0;
 /// Parameters of the simulated run stores.
-pub const KIND: Kind = Kind {
+pub const PROFILE: Profile = Profile {
     slots: 2,
     queue: 16,
     work_ms: WORK_MS,
@@ -117,8 +117,8 @@
 #[derive(Debug, Args)]
 pub struct Fleet {
     /// Scenario file, with one fault on a line.
-    #[arg(value_name = "SCENARIO")]
-    played: PathBuf,
+    #[arg(value_name = "SCENARIO", id = "played")]
+    scenario_file: PathBuf,
     #[command(flatten)]
     options: Options,
 }
@@ -128,8 +128,8 @@
 /// # Errors
 /// If the run cannot be set up or carried out.
 pub fn fleet(fleet: Fleet) -> Result<bool, String> {
-    let Fleet { played, options } = fleet;
-    run(&Options { scenario: Some(played), links: true, ..options })
+    let Fleet { scenario_file, options } = fleet;
+    run(&Options { scenario: Some(scenario_file), links: true, ..options })
 }
 
 fn settings(options: &Options) -> Value {
@@ -148,37 +148,37 @@
         "request_classes": CLASSES.iter().map(class).collect::<Vec<_>>(),
         "realms": GROUPS.map(|(name, share)| json!({"name": name, "quota_per_s": quota * share})),
         "over_share_worth": 0.05,
-        "rules": {"cold_from": 0.3, "fall_multiple": BEARS, "overload_for_ms": 1000.0, "warm_within_ms": 8000.0},
+        "rules": {"cold_from": 0.3, "fall_multiple": COLD_TOLERATED_MULTIPLE, "overload_for_ms": 1000.0, "warm_within_ms": 8000.0},
     })
 }
 
 /// All parts of a run.
 pub struct World {
     pub clock: Clock,
-    pub stores: Vec<Arc<Store>>,
+    pub stores: Vec<Arc<RunStore>>,
     /// Discovery services, with the listed address of each run store: one for each aggregator, or a shared one without
     /// links.
-    pub told: Vec<(Arc<Discovery>, Vec<SocketAddr>)>,
+    pub discoveries: Vec<(Arc<Discovery>, Vec<SocketAddr>)>,
     /// Links by aggregator: one to each run store in order, and the last to discovery.
     pub links: Vec<Vec<Arc<Link>>>,
     /// Factor on the query rate of clients.
-    pub load: Mutex<f64>,
+    pub load_factor: Mutex<f64>,
     pub checker: Arc<Checker>,
-    pub board: Board,
+    pub counts: LiveCounts,
     pub aggregators: Mutex<Vec<Aggregator>>,
     pub addresses: Vec<SocketAddr>,
     /// Whether each run store is up.
     pub up: Mutex<Vec<bool>>,
     pub over: AtomicBool,
     /// Number of queries sent by the special clients of soak runs.
-    pub guests: AtomicU64,
+    pub special_queries: AtomicU64,
 }
 
 impl World {
     /// Lists a run store with a status in every discovery service.
-    pub fn tell(&self, store: usize, status: &str, since: f64) {
-        for (discovery, addresses) in &self.told {
-            discovery.tell(
+    pub fn list_run_store(&self, store: usize, status: &str, since: f64) {
+        for (discovery, addresses) in &self.discoveries {
+            discovery.publish(
                 json!({"name": format!("s-{store}"), "address": addresses[store].to_string(), "zone": "lab",
                 "type": "k", "group": store, "status": status, "weight": 1.0, "since_ms": since.floor()}),
             );
@@ -186,13 +186,13 @@
     }
 
     /// Returns the links of an aggregator to the given targets.
-    fn links(&self, aggregator: usize, to: Ends) -> Vec<&Link> {
+    fn links(&self, aggregator: usize, to: LinkTarget) -> Vec<&Link> {
         let Some(links) = self.links.get(aggregator) else { return Vec::new() };
         let stores = self.stores.len();
         let range = match to {
-            Ends::Stores => 0..stores,
-            Ends::Store(store) => store % stores..store % stores + 1,
-            Ends::Discovery => stores..stores + 1,
+            LinkTarget::Stores => 0..stores,
+            LinkTarget::Store(store) => store % stores..store % stores + 1,
+            LinkTarget::Discovery => stores..stores + 1,
         };
         links[range].iter().map(|link| &**link).collect()
     }
@@ -211,48 +211,48 @@
     }
 
     /// Starts or ends a fault of the load, of links or of aggregators; `began` is the time of its start.
-    fn between(&self, act: &Act, begins: bool, began: f64) -> Result<(), String> {
+    fn apply_process_fault(&self, fault: &Fault, begins: bool, began: f64) -> Result<(), String> {
         let now = self.clock.now();
         let until = if begins { f64::INFINITY } else { now };
-        match act {
-            Act::Load(by, _) => {
-                if let Ok(mut load) = self.load.lock() {
-                    *load = if begins { *by } else { 1.0 };
+        match fault {
+            Fault::Load(by, _) => {
+                if let Ok(mut factor) = self.load_factor.lock() {
+                    *factor = if begins { *by } else { 1.0 };
                 }
             }
-            Act::Cut(no, to, back, _) => {
+            Fault::Cut(no, to, back, _) => {
                 let cut = [begins && !back, begins];
-                let weather = Weather { cut, ..Weather::default() };
-                self.links(*no, *to).iter().for_each(|link| link.turn(weather));
-                if *to == Ends::Discovery {
-                    self.checker.untold(*no, if begins { None } else { Some(now) });
+                let conditions = Conditions { cut, ..Conditions::default() };
+                self.links(*no, *to).iter().for_each(|link| link.set_conditions(conditions));
+                if *to == LinkTarget::Discovery {
+                    self.checker.set_partitioned(*no, if begins { None } else { Some(now) });
                 }
             }
-            Act::Delay(no, to, by, _) => {
+            Fault::Delay(no, to, by, _) => {
                 let delay_ms = if begins { *by } else { 0.0 };
-                let weather = Weather { delay_ms, ..Weather::default() };
-                self.links(*no, *to).iter().for_each(|link| link.turn(weather));
+                let conditions = Conditions { delay_ms, ..Conditions::default() };
+                self.links(*no, *to).iter().for_each(|link| link.set_conditions(conditions));
             }
-            Act::Reset(no, to) if begins => self.links(*no, *to).iter().for_each(|link| link.reset()),
-            Act::Crash(no, _) => {
-                self.checker.away(*no, began, until);
+            Fault::Reset(no, to) if begins => self.links(*no, *to).iter().for_each(|link| link.reset()),
+            Fault::Crash(no, _) => {
+                self.checker.set_unavailable(*no, began, until);
                 self.aggregator(*no, |one| if begins { one.kill() } else { one.start_again() })?;
-                self.checker.away(*no, began, if begins { until } else { self.clock.now() });
+                self.checker.set_unavailable(*no, began, if begins { until } else { self.clock.now() });
             }
-            Act::Stop(no, _) => {
-                self.checker.away(*no, began, until);
-                self.aggregator(*no, |one| one.stop(begins))?;
+            Fault::Stop(no, _) => {
+                self.checker.set_unavailable(*no, began, until);
+                self.aggregator(*no, |one| one.set_suspended(begins))?;
             }
-            Act::Restart(no) if begins => {
-                self.checker.away(*no, began, until);
+            Fault::Restart(no) if begins => {
+                self.checker.set_unavailable(*no, began, until);
                 self.aggregator(*no, |one| {
-                    if one.end()? {
+                    if one.shut_down()? {
                         one.start_again()
                     } else {
                         Err(std::io::Error::other("the aggregator did not shut down cleanly"))
                     }
                 })?;
-                self.checker.away(*no, began, self.clock.now());
+                self.checker.set_unavailable(*no, began, self.clock.now());
             }
             _ => {}
         }
@@ -263,34 +263,40 @@
     ///
     /// # Errors
     /// If the fault cannot be injected.
-    pub fn act(&self, act: &Act, stores: &[usize], begins: bool, began: f64) -> Result<(), String> {
-        self.between(act, begins, began)?;
+    pub fn apply_fault(
+        &self,
+        fault: &Fault,
+        stores: &[usize],
+        begins: bool,
+        began: f64,
+    ) -> Result<(), String> {
+        self.apply_process_fault(fault, begins, began)?;
         for &no in stores {
             let store = &self.stores[no];
-            match (act, begins) {
-                (Act::Kill(..), true) => store.kill(),
-                (Act::Kill(..), false) => {
-                    let since = store.revive();
-                    self.tell(no, "ready", since);
+            match (fault, begins) {
+                (Fault::Kill(..), true) => store.kill(),
+                (Fault::Kill(..), false) => {
+                    let since = store.restart();
+                    self.list_run_store(no, "ready", since);
                 }
-                (Act::Slow(_, by, _), true) => store.slow(*by),
-                (Act::Slow(..), false) => store.slow(1.0),
-                (Act::Mute(..), begins) => store.mute(begins),
-                (Act::Drain(..), true) => {
-                    self.checker.drains(no, Some(self.clock.now()));
-                    self.tell(no, "draining", 0.0);
+                (Fault::Slow(_, by, _), true) => store.set_slowdown(*by),
+                (Fault::Slow(..), false) => store.set_slowdown(1.0),
+                (Fault::Mute(..), begins) => store.set_muted(begins),
+                (Fault::Drain(..), true) => {
+                    self.checker.set_draining(no, Some(self.clock.now()));
+                    self.list_run_store(no, "draining", 0.0);
                 }
-                (Act::Drain(..), false) => {
-                    self.checker.drains(no, None);
-                    self.tell(no, "ready", 0.0);
+                (Fault::Drain(..), false) => {
+                    self.checker.set_draining(no, None);
+                    self.list_run_store(no, "ready", 0.0);
                 }
                 _ => {}
             }
-            if let (Act::Kill(..), Ok(mut up)) = (act, self.up.lock()) {
+            if let (Fault::Kill(..), Ok(mut up)) = (fault, self.up.lock()) {
                 up[no] = !begins;
             }
         }
-        if let (Act::KillAggregator, true, Ok(mut all)) = (act, begins, self.aggregators.lock()) {
+        if let (Fault::KillAggregator, true, Ok(mut all)) = (fault, begins, self.aggregators.lock()) {
             if let Some(first) = all.first_mut() {
                 first.kill_and_start().map_err(|error| error.to_string())?;
             }
@@ -299,15 +305,15 @@
     }
 
     /// Injects the faults of a scenario at their times, counted from `begin`.
-    fn troubles(&self, begin: f64, lines: &[Line], seed: u64) -> Result<(), String> {
+    fn inject_faults(&self, begin: f64, lines: &[Line], seed: u64) -> Result<(), String> {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut all: Vec<(f64, usize, bool, Vec<usize>)> = Vec::new();
         for (no, line) in lines.iter().enumerate() {
-            let (which, spell) = line.act.about();
-            let chosen =
-                which.map_or(Vec::new(), |which| scenario::pick(which, self.stores.len(), &mut random));
+            let (selection, duration) = line.fault.targets_and_duration();
+            let chosen = selection
+                .map_or(Vec::new(), |selection| scenario::select(selection, self.stores.len(), &mut random));
             all.push((line.at, no, true, chosen.clone()));
-            all.push((line.at + spell, no, false, chosen));
+            all.push((line.at + duration, no, false, chosen));
         }
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (at, no, begins, chosen) in all {
@@ -321,25 +327,30 @@
             println!(
                 "     {} {:?} {}",
                 if begins { "begins:" } else { "ends:  " },
-                lines[no].act,
+                lines[no].fault,
                 names.join(" ")
             );
-            self.act(&lines[no].act, &chosen, begins, begin + lines[no].at)?;
+            self.apply_fault(&lines[no].fault, &chosen, begins, begin + lines[no].at)?;
         }
         Ok(())
     }
 
     /// Sends queries at times drawn from the seed, each in a thread of its own.
-    pub fn load<'a>(self: &Arc<Self>, scope: &'a thread::Scope<'a, '_>, begin: f64, options: &'a Options) {
+    pub fn send_queries<'a>(
+        self: &Arc<Self>,
+        scope: &'a thread::Scope<'a, '_>,
+        begin: f64,
+        options: &'a Options,
+    ) {
         let mut random = fastrand::Rng::with_seed(options.seed);
         let (mut at, shards) = (begin, options.stores as u32 * 2);
         for no in 0.. {
-            let load = self.load.lock().map_or(1.0, |load| *load);
-            at += -(1.0 - random.f64()).ln() / (options.rate * load) * 1000.0;
+            let factor = self.load_factor.lock().map_or(1.0, |factor| *factor);
+            at += -(1.0 - random.f64()).ln() / (options.rate * factor) * 1000.0;
             if at > begin + options.seconds * 1000.0 {
                 return;
             }
-            let query = clients::draw(&mut random, no, shards, options.api);
+            let query = clients::draw_query(&mut random, no, shards, options.api);
             let (to, again) = (random.usize(..self.addresses.len()), random.f64() < 0.7);
             self.clock.sleep_until(at);
             let world = self.clone();
@@ -356,7 +367,7 @@
                     end = world.ask(&repeat, (to + 1) % world.addresses.len(), options);
                 }
                 let in_time = world.clock.now() - asked <= CLASSES[query.class].aim;
-                world.board.earned(&query, asked, in_time && matches!(end, End::Answered { .. }));
+                world.counts.record_worth(&query, asked, in_time && matches!(end, End::Answered { .. }));
             });
         }
     }
@@ -367,12 +378,12 @@
         if end == End::Lost && answer.unread {
             // The request was not read, so the aggregator did not have to answer it.
         } else if end == End::Lost {
-            self.checker.lost(&answer);
+            self.checker.check_unanswered(&answer);
         } else {
-            self.checker.answered(&answer, |part| stores::value(options.seed, part));
+            self.checker.check_answer(&answer, |part| stores::value(options.seed, part));
         }
-        self.board.note(query, end, answer.at - asked);
-        self.checker.asked(
+        self.counts.record_end(query, end, answer.answered_at - asked);
+        self.checker.register_query(
             query.id.clone(),
             query.parts.iter().map(|(shard, _)| *shard),
             CLASSES[query.class].safe,
@@ -391,11 +402,11 @@
             std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?
         }
         None if options.calm => String::new(),
-        None => usual(options.seconds),
+        None => default_scenario(options.seconds),
     };
-    let mut lines = scenario::read(&text)?;
+    let mut lines = scenario::parse(&text)?;
     if options.kill_aggregator {
-        lines.push(Line { at: options.seconds * 500.0, act: Act::KillAggregator });
+        lines.push(Line { at: options.seconds * 500.0, fault: Fault::KillAggregator });
     }
     let world = Arc::new(build(options).map_err(|error| error.to_string())?);
     println!(
@@ -406,22 +417,22 @@
     let failed = Mutex::new(None);
     let mut seconds = Vec::new();
     thread::scope(|scope| {
-        let (troubled, lines, fault) = (world.clone(), &lines, &failed);
+        let (injecting, lines, fault) = (world.clone(), &lines, &failed);
         scope.spawn(move || {
-            if let (Err(why), Ok(mut fault)) =
-                (troubled.troubles(begin, lines, options.seed ^ 0x7e), fault.lock())
+            if let (Err(error), Ok(mut fault)) =
+                (injecting.inject_faults(begin, lines, options.seed ^ 0x7e), fault.lock())
             {
-                *fault = Some(why);
+                *fault = Some(error);
             }
         });
         let shown = world.clone();
-        let showing = scope.spawn(move || show(&shown, begin));
-        thread::scope(|clients| world.load(clients, begin, options));
+        let showing = scope.spawn(move || show_progress(&shown, begin));
+        thread::scope(|clients| world.send_queries(clients, begin, options));
         world.over.store(true, Ordering::Release);
         seconds = showing.join().unwrap_or_default();
     });
-    if let Ok(Some(why)) = failed.lock().map(|fault| fault.clone()) {
-        return Err(why);
+    if let Ok(Some(error)) = failed.lock().map(|fault| fault.clone()) {
+        return Err(error);
     }
     finish(options, &world, begin, &seconds, (&text, &lines))
 }
@@ -433,45 +444,45 @@
 pub fn build(options: &Options) -> std::io::Result<World> {
     let clock = Clock::new();
     let checker = Arc::new(Checker::default());
-    checker.slack(options.slack);
-    let kind = Kind { work_ms: options.work, ..KIND };
-    let start = |no| Store::start(no, kind, options.api, options.seed, clock, checker.clone());
+    checker.set_slack(options.slack);
+    let profile = Profile { work_ms: options.work, ..PROFILE };
+    let start = |no| RunStore::start(no, profile, options.api, options.seed, clock, checker.clone());
     let stores = (0..options.stores).map(start).collect::<Result<Vec<_>, _>>()?;
     let up = Mutex::new(vec![true; options.stores]);
-    let (aggregators, board, over) = (Mutex::default(), Board::default(), AtomicBool::new(false));
+    let (aggregators, counts, over) = (Mutex::default(), LiveCounts::default(), AtomicBool::new(false));
     let direct: Vec<SocketAddr> = stores.iter().map(|store| store.address).collect();
-    let (mut told, mut links, mut listings) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut discoveries, mut links, mut listings) = (Vec::new(), Vec::new(), Vec::new());
     for no in 0..if options.links { options.aggregators } else { 1 } {
         let (discovery, listing) = Discovery::start()?;
         let (mut addresses, mut listing, mut own) = (direct.clone(), listing, Vec::new());
         if options.links {
             for address in addresses.iter_mut().chain([&mut listing]) {
                 let checker = checker.clone();
-                let link = Link::start(*address, move |from| checker.route(from, no))?;
+                let link = Link::start(*address, move |from| checker.add_route(from, no))?;
                 own.push(link.0);
                 *address = link.1;
             }
         }
-        told.push((discovery, addresses));
+        discoveries.push((discovery, addresses));
         links.push(own);
         listings.push(listing);
     }
-    let (load, addresses) = (Mutex::new(1.0), Vec::new());
+    let (load_factor, addresses) = (Mutex::new(1.0), Vec::new());
     let mut world = World {
         clock,
         stores,
-        told,
+        discoveries,
         links,
-        load,
+        load_factor,
         checker,
-        board,
+        counts,
         aggregators,
         addresses,
         up,
         over,
-        guests: AtomicU64::new(0),
+        special_queries: AtomicU64::new(0),
     };
-    (0..options.stores).for_each(|no| world.tell(no, "ready", 0.0));
+    (0..options.stores).for_each(|no| world.list_run_store(no, "ready", 0.0));
     let program = options.program.clone().map_or_else(std::env::current_exe, Ok)?;
     let dir = std::env::temp_dir().join(format!("ironpaddle-lab-{}", std::process::id()));
     let mut started = Vec::new();
@@ -483,7 +494,7 @@
             config["trace"] = json!({"dir": trace.join(format!("n{no}"))});
         }
         let faults = options.faults.as_deref();
-        started.push(Aggregator::start_failing(&program, &dir.join(format!("n{no}")), config, faults)?);
+        started.push(Aggregator::start_with_faults(&program, &dir.join(format!("n{no}")), config, faults)?);
     }
     world.addresses = started.iter().map(|aggregator| aggregator.address).collect();
     world.aggregators = Mutex::new(started);
@@ -491,20 +502,21 @@
 }
 
 /// Prints a line each second until the run is over, and returns the counts of each second.
-fn show(world: &World, begin: f64) -> Vec<Second> {
+fn show_progress(world: &World, begin: f64) -> Vec<Second> {
     let mut seconds = Vec::new();
     let mut last = [0; 4];
     while !world.over.load(Ordering::Acquire) {
         world.clock.sleep_until(begin + (seconds.len() + 1) as f64 * 1000.0);
-        let (classes, _) = world.board.counts();
-        let sum = |of: fn(&clients::Ends) -> u64| classes.values().map(of).sum::<u64>();
+        let (classes, _) = world.counts.totals();
+        let sum = |of: fn(&clients::EndCounts) -> u64| classes.values().map(of).sum::<u64>();
         let all = [sum(|e| e.answered), sum(|e| e.refused), sum(|e| e.failed), sum(|e| e.lost)];
         let ends = [0, 1, 2, 3].map(|at| all[at] - last[at]);
         last = all;
         let up = world.up.lock().map_or(0, |up| up.iter().filter(|up| **up).count() as u64);
         seconds.push(Second { ends, up });
         let [answered, refused, failed, lost] = ends;
-        let row = |(name, ends): (&&str, &clients::Ends)| format!("{name} {}/{}", ends.answered, ends.asked);
+        let row =
+            |(name, ends): (&&str, &clients::EndCounts)| format!("{name} {}/{}", ends.answered, ends.asked);
         let rows: Vec<String> = classes.iter().map(row).collect();
         println!(
             "{:>4} s  answered {answered:>4}  refused {refused:>3}  failed {failed:>3}  lost {lost:>3}  up {up:>2}   {}",
@@ -523,23 +535,23 @@
     seconds: &[Second],
     (scenario, lines): (&str, &[Line]),
 ) -> Result<bool, String> {
-    let (classes, groups) = world.board.counts();
+    let (classes, groups) = world.counts.totals();
     let mut cpu_ms = 0.0;
     let mut orderly = true;
     let mut figures = Vec::new();
     for aggregator in world.aggregators.lock().map_err(|_| "a thread failed")?.iter_mut() {
         figures
             .push(aggregator.call("GET", "/stats").map_or_else(|error| error.to_string(), |(_, body)| body));
-        orderly &= aggregator.end().map_err(|error| error.to_string())?;
+        orderly &= aggregator.shut_down().map_err(|error| error.to_string())?;
         cpu_ms += aggregator.cpu_ms();
     }
     let asked: u64 = classes.values().map(|ends| ends.asked).sum();
     // No part can arrive after all aggregators have ended.
-    let broken = world.checker.broken();
+    let broken = world.checker.violations();
     let mut well = orderly && broken.is_empty();
     let head =
         ["class", "asked", "answered", "whole", "in time", "refused", "failed", "lost", "p50 ms", "p99 ms"];
-    let row = |(name, ends): (&&str, &clients::Ends)| {
+    let row = |(name, ends): (&&str, &clients::EndCounts)| {
         let counts =
             [ends.asked, ends.answered, ends.whole, ends.in_time, ends.refused, ends.failed, ends.lost];
         let time =
@@ -561,7 +573,7 @@
         println!("no rule was broken");
     }
     let compared =
-        options.trace.as_ref().map(|dir| compare(dir, options.aggregators, &world.board)).transpose()?;
+        options.trace.as_ref().map(|dir| compare(dir, options.aggregators, &world.counts)).transpose()?;
     if let Some(compared) = &compared {
         let lost = compared["lost"].as_u64().unwrap_or(0);
         // Only the last answers of a killed process may be missing in the trace.
@@ -571,11 +583,12 @@
         println!("trace compared with the results of clients: {compared}");
     }
     let flow = flow(world, begin, options.seconds as u64);
-    let over = lines.iter().map(|line| line.at + line.act.about().1).fold(0.0, f64::max) / 1000.0;
-    let recovered = recovered(&flow, over);
+    let over =
+        lines.iter().map(|line| line.at + line.fault.targets_and_duration().1).fold(0.0, f64::max) / 1000.0;
+    let recovered = recovery_seconds(&flow, over);
     let (asked_for, earned) = flow.iter().fold((0.0, 0.0), |sum, at| (sum.0 + at.worth, sum.1 + at.earned));
     let in_time = earned / f64::max(asked_for, 1.0);
-    println!("worth in time: {in_time:.3} of what was asked for");
+    println!("worth earned in time: {in_time:.3} of the worth asked for");
     match recovered {
         Some(after) => println!("full service {after:.0} s after the end of the last fault"),
         None => println!("full service was not restored by the end of the run"),
@@ -599,7 +612,7 @@
             ("worth asked for", row(|second| second.worth)),
             ("earned in time", row(|second| second.earned)),
             ("first attempts", row(|second| second.first as f64)),
-            ("repeats", row(|second| second.again as f64)),
+            ("repeats", row(|second| second.repeats as f64)),
         ];
         report::chart(&dir.join("flow.svg"), "Worth and attempts by second", "worth, attempts", &rows)?;
     }
@@ -613,41 +626,42 @@
     worth: f64,
     earned: f64,
     first: u64,
-    again: u64,
+    #[serde(rename = "again")]
+    repeats: u64,
 }
 
 fn flow(world: &World, begin: f64, seconds: u64) -> Vec<Flow> {
-    let (worth, sent) = (world.board.worth(), world.checker.sent());
+    let (worth, sent) = (world.counts.worth_by_second(), world.checker.attempts_by_second());
     let at = |no: u64| {
         let second = (begin / 1000.0) as u64 + no;
         let [worth, earned] = worth.get(&second).copied().unwrap_or_default();
-        let [first, again] = sent.get(&second).copied().unwrap_or_default();
-        Flow { worth, earned, first, again }
+        let [first, repeats] = sent.get(&second).copied().unwrap_or_default();
+        Flow { worth, earned, first, repeats }
     };
     (0..seconds).map(at).collect()
 }
 
 /// Returns the seconds from the end of the last fault until full service, from which on every second of the run but the
 /// last earned nine tenths of its worth in time.
-fn recovered(flow: &[Flow], over: f64) -> Option<f64> {
-    let poor = |second: &Flow| second.earned < FULL * second.worth;
+fn recovery_seconds(flow: &[Flow], over: f64) -> Option<f64> {
+    let poor = |second: &Flow| second.earned < FULL_SERVICE_SHARE * second.worth;
     let last = flow.len().saturating_sub(1);
     let full = flow[..last].iter().rposition(poor).map_or(0, |at| at + 1);
     (full < last).then(|| (full as f64 - over).max(0.0))
 }
 
 /// Share of worth earned in time that counts as full service.
-const FULL: f64 = 0.9;
+const FULL_SERVICE_SHARE: f64 = 0.9;
 
 /// Compares the traces of a run with the results of its clients, by class and query by query.
-fn compare(dir: &std::path::Path, aggregators: usize, board: &Board) -> Result<Value, String> {
+fn compare(dir: &std::path::Path, aggregators: usize, counts: &LiveCounts) -> Result<Value, String> {
     let dirs: Vec<PathBuf> = (0..aggregators).map(|no| dir.join(format!("n{no}"))).collect();
     let mut set = Set::open(&dirs).map_err(|error| error.to_string())?;
     let all = (f64::NEG_INFINITY, f64::INFINITY);
     let summary = summarise(&mut set, all, &Filter::default());
     let (mut names, mut ends) = (BTreeMap::new(), BTreeMap::new());
-    set.blockwise(all, |met| {
-        let Item::Entry(source, block, entry) = met else { return };
+    set.blockwise(all, |item| {
+        let Item::Entry(source, block, entry) = item else { return };
         match &entry.record {
             Record::Taken(taken) => {
                 names.insert((source, taken.query), block.text(taken.name).to_string());
@@ -661,7 +675,7 @@
         }
     });
     let (mut same, mut lost, mut different) = (0, 0, 0);
-    for (query, end) in board.ends() {
+    for (query, end) in counts.ends_by_query() {
         match (end, ends.get(&query)) {
             // The client got no answer to compare.
             (End::Lost, _) => {}
@@ -673,14 +687,15 @@
             _ => different += 1,
         }
     }
-    let (live, _) = board.counts();
+    let (live, _) = counts.totals();
     let mut rows = BTreeMap::new();
     for (class, ends) in &live {
-        let told = summary.classes.get(*class).cloned().unwrap_or_default();
-        let both = [[ends.answered, told.answered], [ends.refused, told.refused], [ends.failed, told.failed]];
+        let traced = summary.classes.get(*class).cloned().unwrap_or_default();
+        let both =
+            [[ends.answered, traced.answered], [ends.refused, traced.refused], [ends.failed, traced.failed]];
         rows.insert(*class, both);
     }
-    let equal = rows.values().all(|both| both.iter().all(|[live, told]| live == told));
+    let equal = rows.values().all(|both| both.iter().all(|[live, traced]| live == traced));
     Ok(
         json!({"equal": equal, "same": same, "lost": lost, "different": different, "answered_refused_failed": rows}),
     )
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -30,7 +30,7 @@
 struct State {
     mode: Mode,
     /// The entries, each with the index of its last change.
-    lines: Vec<(u64, Value)>,
+    entries: Vec<(u64, Value)>,
     index: u64,
 }
 
@@ -62,7 +62,7 @@
     }
 
     /// Sets how requests are answered, and wakes the waiting ones.
-    pub fn turn(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         if let Ok(mut state) = self.state.lock() {
             state.mode = mode;
         }
@@ -70,12 +70,12 @@
     }
 
     /// Adds an entry, or replaces the entry of the same name.
-    pub fn tell(&self, line: Value) {
+    pub fn publish(&self, entry: Value) {
         if let Ok(mut state) = self.state.lock() {
             state.index += 1;
             let index = state.index;
-            state.lines.retain(|(_, known)| known["name"] != line["name"]);
-            state.lines.push((index, line));
+            state.entries.retain(|(_, known)| known["name"] != entry["name"]);
+            state.entries.push((index, entry));
         }
         self.changed.notify_all();
     }
@@ -89,9 +89,9 @@
             };
             let (after, wait) = (number("after="), number("wait_ms=").unwrap_or(0).min(60_000));
             let Ok(state) = self.state.lock() else { return Ok(()) };
-            let began = state.mode;
+            let initial_mode = state.mode;
             let waited = self.changed.wait_timeout_while(state, Duration::from_millis(wait), |state| {
-                state.mode == began && after.is_some_and(|after| state.index <= after)
+                state.mode == initial_mode && after.is_some_and(|after| state.index <= after)
             });
             let Ok((state, _)) = waited else { return Ok(()) };
             let mode = state.mode;
@@ -103,10 +103,10 @@
             }
             let whole = after.is_none() || mode == Mode::Whole;
             let newer = |(at, _): &&(u64, Value)| whole || after.is_none_or(|after| *at > after);
-            let listed = |(_, line): &&(u64, Value)| mode != Mode::Whole || line["status"] == "ready";
-            let lines: Vec<&Value> =
-                state.lines.iter().filter(newer).filter(listed).map(|(_, line)| line).collect();
-            let body = json!({"index": state.index, "snapshot": whole, "endpoints": lines}).to_string();
+            let listed = |(_, entry): &&(u64, Value)| mode != Mode::Whole || entry["status"] == "ready";
+            let entries: Vec<&Value> =
+                state.entries.iter().filter(newer).filter(listed).map(|(_, entry)| entry).collect();
+            let body = json!({"index": state.index, "snapshot": whole, "endpoints": entries}).to_string();
             drop(state);
             if mode == Mode::Busy {
                 write.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")?;
--- a/crates/lab/src/links/tests.rs
+++ b/crates/lab/src/links/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn what_a_cut_holds_comes_through_once_it_is_whole_and_a_reset_ends_connections() {
+fn a_cut_link_holds_bytes_until_the_cut_ends_and_a_reset_closes_connections() {
     let (link, address) = Link::start(echo(), |_| ()).unwrap();
     let mut stream = TcpStream::connect(address).unwrap();
     let mut bytes = [0; 4];
@@ -26,12 +26,12 @@
     stream.read_exact(&mut bytes).unwrap();
     assert_eq!(&bytes, b"here");
     // Requests reach the server, and its answers are held.
-    link.turn(Weather { cut: [false, true], delay_ms: 0.0 });
+    link.set_conditions(Conditions { cut: [false, true], delay_ms: 0.0 });
     stream.write_all(b"then").unwrap();
     stream.set_read_timeout(Some(Duration::from_millis(200))).unwrap();
     assert!(stream.read_exact(&mut bytes).is_err(), "the way back is cut");
     stream.set_read_timeout(None).unwrap();
-    link.turn(Weather::default());
+    link.set_conditions(Conditions::default());
     stream.read_exact(&mut bytes).unwrap();
     assert_eq!(&bytes, b"then");
     link.reset();
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -58,7 +58,7 @@
     /// Measure the cost of a log line: with plain writeln, as text, as JSON, and filtered out. Redirect standard error
     /// to /dev/null.
     LogCost {
-        /// Lines of each kind.
+        /// Number of lines of each kind.
         #[arg(long, default_value_t = 300_000)]
         lines: u32,
     },
@@ -81,7 +81,7 @@
         Command::Soak(options) => soak::run(&options),
         Command::Scale(options) => scale::run(&options),
         Command::ScaleRole { role } => scale::roles::play(role),
-        Command::Aggregator { config } => aggregators::be(&config).map(|()| true),
+        Command::Aggregator { config } => aggregators::run_as_aggregator(&config).map(|()| true),
         Command::LogCost { lines } => logs::cost(lines).map(|()| true),
         Command::Measure(options) => measure::run(&options).map(|()| true),
         Command::Capacity(options) => match capacity::run(&options) {
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -15,8 +15,8 @@
 use crate::check::Checker;
 use crate::clock::Clock;
 use crate::discovery::Discovery;
-use crate::model::Kind;
-use crate::stores::{read_message, Store};
+use crate::model::Profile;
+use crate::stores::{read_message, RunStore};
 use crate::Api;
 
 /// What is measured.
@@ -184,7 +184,7 @@
 /// An aggregator with what it meets.
 struct Bed {
     aggregator: Arc<Aggregator>,
-    stores: Vec<Arc<Store>>,
+    stores: Vec<Arc<RunStore>>,
     listed: usize,
     /// Connections whose queries stay out.
     held: Vec<TcpStream>,
@@ -196,7 +196,7 @@
 impl Bed {
     fn new(up: usize, listed: usize, work_ms: f64) -> io::Result<Self> {
         let (clock, checker) = (Clock::new(), Arc::new(Checker::default()));
-        let kind = Kind {
+        let kind = Profile {
             slots: 100_000,
             queue: 100_000,
             work_ms,
@@ -205,7 +205,7 @@
             stall_every_ms: 0.0,
             stall_ms: 0.0,
         };
-        let start = |no| Store::start(no, kind, Api::Platform, 1, clock, checker.clone());
+        let start = |no| RunStore::start(no, kind, Api::Platform, 1, clock, checker.clone());
         let stores = (0..up).map(start).collect::<Result<Vec<_>, _>>()?;
         let (discovery, address) = Discovery::start()?;
         let line = |no: usize| {
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -3,7 +3,7 @@
 
 /// Parameters of a simulated run store. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Kind {
+pub struct Profile {
     /// Parts that run in parallel.
     pub slots: usize,
     /// Parts that may wait in the queue; further parts are rejected.
@@ -22,43 +22,43 @@
 
 /// How a part ends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Fate {
+pub enum PartOutcome {
     /// The queue is full: the part is rejected at once and does not run.
-    TurnedAway,
+    Rejected,
     /// The part is done at the given time.
     Done(f64),
     /// The timeout passes before the part can begin: it does not run and is not answered.
-    Never,
+    Expired,
 }
 
 /// State of a simulated run store process.
 #[derive(Debug, Clone)]
 pub struct Model {
-    kind: Kind,
+    profile: Profile,
     started: f64,
     /// Time at which each slot becomes free.
-    free: Vec<f64>,
+    slot_free_at: Vec<f64>,
     /// Start times of the waiting parts, oldest first.
-    begins: Vec<f64>,
+    waiting_starts: Vec<f64>,
     /// Speed relative to the usual speed, lowered by scenarios.
     pub speed: f64,
-    offset: f64,
+    stall_offset_ms: f64,
     random: fastrand::Rng,
     busy: f64,
 }
 
 impl Model {
     /// Creates a process that started at the given time; it is warm if that was at least `warm_ms` ago.
-    pub fn new(kind: Kind, started: f64, seed: u64) -> Self {
+    pub fn new(profile: Profile, started: f64, seed: u64) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let offset = random.f64() * kind.stall_every_ms;
+        let stall_offset_ms = random.f64() * profile.stall_every_ms;
         Model {
-            kind,
+            profile,
             started,
-            free: vec![0.0; kind.slots],
-            begins: Vec::new(),
+            slot_free_at: vec![0.0; profile.slots],
+            waiting_starts: Vec::new(),
             speed: 1.0,
-            offset,
+            stall_offset_ms,
             random,
             busy: 0.0,
         }
@@ -66,19 +66,19 @@
 
     /// Returns the share of full speed at the given time.
     pub fn warmth(&self, now: f64) -> f64 {
-        let Kind { cold_from, warm_ms, .. } = self.kind;
+        let Profile { cold_from, warm_ms, .. } = self.profile;
         (cold_from + (1.0 - cold_from) * (now - self.started) / warm_ms.max(1.0)).clamp(cold_from, 1.0)
     }
 
     /// Returns the time at which work that begins at `begin` is done, with the stalls in between.
     fn through_stalls(&self, begin: f64, work: f64) -> f64 {
-        let Kind { stall_every_ms: every, stall_ms: stall, .. } = self.kind;
+        let Profile { stall_every_ms: every, stall_ms: stall, .. } = self.profile;
         if every <= stall || stall <= 0.0 {
             return begin + work;
         }
         let (mut at, mut left) = (begin, work);
         loop {
-            let phase = (at + self.offset).rem_euclid(every);
+            let phase = (at + self.stall_offset_ms).rem_euclid(every);
             if phase < stall {
                 at += stall - phase;
                 continue;
@@ -92,33 +92,35 @@
     }
 
     /// Accepts or rejects a part that arrives at `now` and whose timeout ends at `until`.
-    pub fn offer(&mut self, now: f64, until: f64) -> Fate {
-        self.begins.retain(|begin| *begin > now);
-        if self.begins.len() >= self.kind.queue {
-            return Fate::TurnedAway;
+    pub fn offer(&mut self, now: f64, until: f64) -> PartOutcome {
+        self.waiting_starts.retain(|begin| *begin > now);
+        if self.waiting_starts.len() >= self.profile.queue {
+            return PartOutcome::Rejected;
         }
-        let slot = (0..self.free.len()).min_by(|a, b| self.free[*a].total_cmp(&self.free[*b])).unwrap_or(0);
-        let begin = self.free[slot].max(now);
+        let slot = (0..self.slot_free_at.len())
+            .min_by(|a, b| self.slot_free_at[*a].total_cmp(&self.slot_free_at[*b]))
+            .unwrap_or(0);
+        let begin = self.slot_free_at[slot].max(now);
         if begin >= until {
-            return Fate::Never;
+            return PartOutcome::Expired;
         }
         if begin > now {
-            self.begins.push(begin);
+            self.waiting_starts.push(begin);
         }
         // Work is drawn from a shifted exponential distribution, from half to about four times the usual work.
         let spread = 0.5 + 0.5 * -(1.0 - self.random.f64()).max(1e-3).ln();
-        let work = self.kind.work_ms * spread / (self.warmth(begin) * self.speed);
+        let work = self.profile.work_ms * spread / (self.warmth(begin) * self.speed);
         let done = self.through_stalls(begin, work);
-        self.free[slot] = done;
+        self.slot_free_at[slot] = done;
         self.busy += done - begin;
-        Fate::Done(done)
+        PartOutcome::Done(done)
     }
 
     /// Returns the share of busy slots, where a non-empty queue counts as one more slot.
     pub fn utilization(&self, now: f64) -> f64 {
-        let busy = self.free.iter().filter(|free| **free > now).count();
-        ((busy + self.begins.iter().filter(|begin| **begin > now).count().min(1)) as f64
-            / self.free.len() as f64)
+        let busy = self.slot_free_at.iter().filter(|slot_free_at| **slot_free_at > now).count();
+        ((busy + self.waiting_starts.iter().filter(|begin| **begin > now).count().min(1)) as f64
+            / self.slot_free_at.len() as f64)
             .min(1.0)
     }
 }
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -404,7 +404,7 @@
     let mut in_order = true;
     drop(fleet.clients.take());
     for aggregator in &mut fleet.aggregators {
-        in_order &= aggregator.end().map_err(|error| error.to_string())?;
+        in_order &= aggregator.shut_down().map_err(|error| error.to_string())?;
     }
     drop(fleet);
     Outcome::new(
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -28,7 +28,7 @@
 
 /// Selection of run stores.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Which {
+pub enum Selection {
     /// The run store of this number.
     One(usize),
     /// This number of run stores, chosen by the seed.
@@ -37,25 +37,25 @@
 
 /// A fault of a scenario; the last number is its duration in milliseconds unless stated otherwise.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
+pub enum Fault {
     /// Run store processes die and restart cold.
-    Kill(Which, f64),
+    Kill(Selection, f64),
     /// Run stores work slower by this factor.
-    Slow(Which, f64, f64),
+    Slow(Selection, f64, f64),
     /// Run stores are listed as draining.
-    Drain(Which, f64),
+    Drain(Selection, f64),
     /// Run stores send no answers, but keep connections open.
-    Mute(Which, f64),
+    Mute(Selection, f64),
     /// The first aggregator is killed and restarted at once; has no duration.
     KillAggregator,
     /// Clients multiply their query rate by this factor.
     Load(f64, f64),
     /// Links of an aggregator hold all bytes, or only those on the way back if the flag is set.
-    Cut(usize, Ends, bool, f64),
+    Cut(usize, LinkTarget, bool, f64),
     /// Links of an aggregator add a delay in milliseconds.
-    Delay(usize, Ends, f64, f64),
+    Delay(usize, LinkTarget, f64, f64),
     /// Connections over links of an aggregator are closed; has no duration.
-    Reset(usize, Ends),
+    Reset(usize, LinkTarget),
     /// An aggregator is killed, and restarted after the duration.
     Crash(usize, f64),
     /// An aggregator is suspended.
@@ -66,7 +66,7 @@
 
 /// Targets of the links of an aggregator.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Ends {
+pub enum LinkTarget {
     /// All run stores.
     Stores,
     /// One run store.
@@ -75,20 +75,20 @@
     Discovery,
 }
 
-impl Act {
+impl Fault {
     /// Returns the selected run stores, if any, and the duration in milliseconds.
-    pub fn about(&self) -> (Option<&Which>, f64) {
+    pub fn targets_and_duration(&self) -> (Option<&Selection>, f64) {
         match self {
-            Act::Kill(which, spell) | Act::Drain(which, spell) | Act::Mute(which, spell) => {
-                (Some(which), *spell)
-            }
-            Act::Slow(which, _, spell) => (Some(which), *spell),
-            Act::KillAggregator | Act::Reset(..) | Act::Restart(_) => (None, 0.0),
-            Act::Load(_, spell)
-            | Act::Cut(.., spell)
-            | Act::Delay(.., spell)
-            | Act::Crash(_, spell)
-            | Act::Stop(_, spell) => (None, *spell),
+            Fault::Kill(selection, duration)
+            | Fault::Drain(selection, duration)
+            | Fault::Mute(selection, duration) => (Some(selection), *duration),
+            Fault::Slow(selection, _, duration) => (Some(selection), *duration),
+            Fault::KillAggregator | Fault::Reset(..) | Fault::Restart(_) => (None, 0.0),
+            Fault::Load(_, duration)
+            | Fault::Cut(.., duration)
+            | Fault::Delay(.., duration)
+            | Fault::Crash(_, duration)
+            | Fault::Stop(_, duration) => (None, *duration),
         }
     }
 }
@@ -99,7 +99,7 @@
     /// Time from the start of the run, in milliseconds.
     pub at: f64,
     /// The fault.
-    pub act: Act,
+    pub fault: Fault,
 }
 
 fn time(input: &mut &str) -> ModalResult<f64> {
@@ -114,14 +114,16 @@
     digit1.parse_to().parse_next(input)
 }
 
-fn which(input: &mut &str) -> ModalResult<Which> {
-    alt((preceded("s-", number).map(Which::One), number.map(Which::Some)))
+fn selection(input: &mut &str) -> ModalResult<Selection> {
+    alt((preceded("s-", number).map(Selection::One), number.map(Selection::Some)))
         .context(StrContext::Label("run store, as s-1, or a number of them"))
         .parse_next(input)
 }
 
-fn spell(input: &mut &str) -> ModalResult<f64> {
-    preceded((space1, "for", space1), time).context(StrContext::Label("spell, as for 15s")).parse_next(input)
+fn duration(input: &mut &str) -> ModalResult<f64> {
+    preceded((space1, "for", space1), time)
+        .context(StrContext::Label("duration, as for 15s"))
+        .parse_next(input)
 }
 
 fn aggregator(input: &mut &str) -> ModalResult<usize> {
@@ -129,43 +131,53 @@
 }
 
 /// Parses an aggregator and the targets of its links.
-fn links(input: &mut &str) -> ModalResult<(usize, Ends)> {
+fn links(input: &mut &str) -> ModalResult<(usize, LinkTarget)> {
     let to = alt((
-        "stores".value(Ends::Stores),
-        "discovery".value(Ends::Discovery),
-        preceded("s-", number).map(Ends::Store),
+        "stores".value(LinkTarget::Stores),
+        "discovery".value(LinkTarget::Discovery),
+        preceded("s-", number).map(LinkTarget::Store),
     ));
     (aggregator, preceded((space1, "from", space1), to))
         .context(StrContext::Label("links, as n-0 from stores, from s-3 or from discovery"))
         .parse_next(input)
 }
 
-fn act(input: &mut &str) -> ModalResult<Act> {
+fn fault(input: &mut &str) -> ModalResult<Fault> {
     let verb = terminated(alpha1, space1).context(StrContext::Label("act")).parse_next(input)?;
     match verb {
-        "kill" => cut_err((which, spell)).map(|(which, spell)| Act::Kill(which, spell)).parse_next(input),
-        "drain" => cut_err((which, spell)).map(|(which, spell)| Act::Drain(which, spell)).parse_next(input),
-        "mute" if input.starts_with("n-") => {
-            cut_err((links, spell)).map(|((no, to), spell)| Act::Cut(no, to, true, spell)).parse_next(input)
-        }
-        "mute" => cut_err((which, spell)).map(|(which, spell)| Act::Mute(which, spell)).parse_next(input),
-        "cut" => {
-            cut_err((links, spell)).map(|((no, to), spell)| Act::Cut(no, to, false, spell)).parse_next(input)
-        }
-        "delay" => cut_err((links, preceded((space1, "by", space1), time), spell))
-            .map(|((no, to), by, spell)| Act::Delay(no, to, by, spell))
+        "kill" => cut_err((selection, duration))
+            .map(|(selection, duration)| Fault::Kill(selection, duration))
+            .parse_next(input),
+        "drain" => cut_err((selection, duration))
+            .map(|(selection, duration)| Fault::Drain(selection, duration))
+            .parse_next(input),
+        "mute" if input.starts_with("n-") => cut_err((links, duration))
+            .map(|((no, to), duration)| Fault::Cut(no, to, true, duration))
             .parse_next(input),
-        "reset" => cut_err(links).map(|(no, to)| Act::Reset(no, to)).parse_next(input),
-        "load" => cut_err((preceded(("by", space1), float), spell))
-            .map(|(by, spell)| Act::Load(by, spell))
+        "mute" => cut_err((selection, duration))
+            .map(|(selection, duration)| Fault::Mute(selection, duration))
             .parse_next(input),
-        "crash" => cut_err((aggregator, spell)).map(|(no, spell)| Act::Crash(no, spell)).parse_next(input),
-        "stop" => cut_err((aggregator, spell)).map(|(no, spell)| Act::Stop(no, spell)).parse_next(input),
-        "restart" => cut_err(aggregator).map(Act::Restart).parse_next(input),
-        "slow" => cut_err((which, preceded((space1, "by", space1), float), spell))
-            .map(|(which, by, spell)| Act::Slow(which, by, spell))
+        "cut" => cut_err((links, duration))
+            .map(|((no, to), duration)| Fault::Cut(no, to, false, duration))
+            .parse_next(input),
+        "delay" => cut_err((links, preceded((space1, "by", space1), time), duration))
+            .map(|((no, to), by, duration)| Fault::Delay(no, to, by, duration))
+            .parse_next(input),
+        "reset" => cut_err(links).map(|(no, to)| Fault::Reset(no, to)).parse_next(input),
+        "load" => cut_err((preceded(("by", space1), float), duration))
+            .map(|(by, duration)| Fault::Load(by, duration))
+            .parse_next(input),
+        "crash" => {
+            cut_err((aggregator, duration)).map(|(no, duration)| Fault::Crash(no, duration)).parse_next(input)
+        }
+        "stop" => {
+            cut_err((aggregator, duration)).map(|(no, duration)| Fault::Stop(no, duration)).parse_next(input)
+        }
+        "restart" => cut_err(aggregator).map(Fault::Restart).parse_next(input),
+        "slow" => cut_err((selection, preceded((space1, "by", space1), float), duration))
+            .map(|(selection, by, duration)| Fault::Slow(selection, by, duration))
             .parse_next(input),
-        "aggregator" => cut_err("kill").value(Act::KillAggregator).parse_next(input),
+        "aggregator" => cut_err("kill").value(Fault::KillAggregator).parse_next(input),
         _ => Err(winnow::error::ErrMode::Cut(ContextError::new()))
             .map_err(|error: winnow::error::ErrMode<ContextError>| error),
     }
@@ -173,21 +185,21 @@
 
 fn line(input: &mut &str) -> ModalResult<Line> {
     let at = preceded(("at", space1), cut_err(time)).parse_next(input)?;
-    let act = preceded(space1, act)
+    let fault = preceded(space1, fault)
         .context(StrContext::Label(
             "act: kill, slow, drain, mute, aggregator kill, load, cut, delay, reset, crash, stop or restart",
         ))
         .parse_next(input)?;
     (opt(space1), opt(('#', till_line_ending))).parse_next(input)?;
-    Ok(Line { at, act })
+    Ok(Line { at, fault })
 }
 
 /// Parses a scenario and returns its lines in order of time.
 ///
 /// # Errors
 /// Lists each invalid line, with the column and what is expected there.
-pub fn read(text: &str) -> Result<Vec<Line>, String> {
-    let (mut lines, mut faults) = (Vec::new(), Vec::new());
+pub fn parse(text: &str) -> Result<Vec<Line>, String> {
+    let (mut lines, mut errors) = (Vec::new(), Vec::new());
     for (no, row) in text.lines().enumerate() {
         let row = row.trim();
         if row.is_empty() || row.starts_with('#') {
@@ -197,23 +209,23 @@
             Ok(line) => lines.push(line),
             Err(error) => {
                 let (at, why) = (error.offset() + 1, error.inner().to_string());
-                faults.push(format!("line {}, column {at}: {row}: {}", no + 1, why.replace('\n', ", ")));
+                errors.push(format!("line {}, column {at}: {row}: {}", no + 1, why.replace('\n', ", ")));
             }
         }
     }
     lines.sort_by(|a, b| a.at.total_cmp(&b.at));
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(lines)
     } else {
-        Err(faults.join("\n"))
+        Err(errors.join("\n"))
     }
 }
 
 /// Returns the selected run stores out of `stores`; a number of them is drawn at random without repetition.
-pub fn pick(which: &Which, stores: usize, random: &mut fastrand::Rng) -> Vec<usize> {
-    match which {
-        Which::One(store) => vec![*store % stores.max(1)],
-        Which::Some(count) => {
+pub fn select(selection: &Selection, stores: usize, random: &mut fastrand::Rng) -> Vec<usize> {
+    match selection {
+        Selection::One(store) => vec![*store % stores.max(1)],
+        Selection::Some(count) => {
             let mut all: Vec<usize> = (0..stores).collect();
             random.shuffle(&mut all);
             all.truncate(*count);
--- a/crates/lab/src/soak.rs
+++ b/crates/lab/src/soak.rs
@@ -15,7 +15,7 @@
 
 /// Selection of the APIs to test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum Wires {
+pub enum ApiSelection {
     /// The platform's protocol, and frames to run stores.
     Platform,
     /// The OpenSearch-style API.
@@ -24,12 +24,12 @@
     Both,
 }
 
-impl Wires {
+impl ApiSelection {
     fn apis(self) -> &'static [Api] {
         match self {
-            Wires::Platform => &[Api::Platform],
-            Wires::Opensearch => &[Api::Opensearch],
-            Wires::Both => &[Api::Platform, Api::Opensearch],
+            ApiSelection::Platform => &[Api::Platform],
+            ApiSelection::Opensearch => &[Api::Opensearch],
+            ApiSelection::Both => &[Api::Platform, Api::Opensearch],
         }
     }
 }
@@ -44,11 +44,11 @@
     #[arg(long)]
     seed: u64,
     /// Seconds for which clients send queries in each life (the run of one seed).
-    #[arg(long, default_value_t = 12.0, value_parser = sound_seconds)]
+    #[arg(long, default_value_t = 12.0, value_parser = parse_seconds)]
     seconds: f64,
     /// APIs to test.
     #[arg(long, value_enum, default_value = "both")]
-    api: Wires,
+    api: ApiSelection,
     /// Additional time before a rule counts as broken, in milliseconds, for slow machines.
     #[arg(long, default_value_t = 100.0)]
     slack: f64,
@@ -61,14 +61,14 @@
 }
 
 /// Allowed length of a run, in seconds; in a shorter one the drawn faults could not be checked.
-const SECONDS: std::ops::RangeInclusive<f64> = 6.0..=600.0;
+const RUN_SECONDS: std::ops::RangeInclusive<f64> = 6.0..=600.0;
 
-fn sound_seconds(text: &str) -> Result<f64, String> {
+fn parse_seconds(text: &str) -> Result<f64, String> {
     let seconds: f64 = text.parse().map_err(|_| "not a number")?;
-    if SECONDS.contains(&seconds) {
+    if RUN_SECONDS.contains(&seconds) {
         Ok(seconds)
     } else {
-        Err(format!("a life lasts {} to {} s", SECONDS.start(), SECONDS.end()))
+        Err(format!("a life lasts {} to {} s", RUN_SECONDS.start(), RUN_SECONDS.end()))
     }
 }
 
@@ -91,13 +91,13 @@
 /// # Errors
 /// If a run cannot be set up or carried out.
 pub fn run(options: &Options) -> Result<bool, String> {
-    aggregators::end_with_this_process().map_err(|error| error.to_string())?;
+    aggregators::kill_children_on_signal().map_err(|error| error.to_string())?;
     let mut outcomes = Vec::new();
     for seed in options.seed..options.seed + options.seeds {
         for &api in options.api.apis() {
             let draw = draw::Draw::of(seed, options.seconds);
             println!("seed {seed} {api:?}: {draw}");
-            let outcome = life::play(&draw, api, options)?;
+            let outcome = life::run(&draw, api, options)?;
             println!("  asked {}, answered {}", outcome.asked, outcome.answered);
             for (rule, (count, first)) in &outcome.broken {
                 println!("  rule broken: {rule}, {count} times, first: {first}");
--- a/crates/lab/src/soak/life.rs
+++ b/crates/lab/src/soak/life.rs
@@ -6,38 +6,38 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::draw::{Draw, Trouble};
+use super::draw::{Draw, SoakFault};
 use super::guests::Client;
 use super::{Options, Outcome};
-use crate::check::Cold;
-use crate::demo::{self, World, BEARS, KIND};
+use crate::check::ColdStart;
+use crate::demo::{self, World, COLD_TOLERATED_MULTIPLE, PROFILE};
 use crate::discovery::Mode;
-use crate::scenario::{self, Act};
+use crate::scenario::{self, Fault};
 use crate::{aggregators, Api};
 
 /// Time after the signal to end in which an aggregator still accepts connections, in milliseconds.
-const FRONT_MS: f64 = 400.0;
+const ACCEPTING_MS: f64 = 400.0;
 /// Time from the signal to end until the platform kills a process: the longest deadline, capped at 3 s, and 0.7 s more.
 const KILLED_AFTER: Duration = Duration::from_millis(3700);
 /// Time within which a restarted process must be ready.
-const READY: Duration = Duration::from_secs(10);
+const READY_WITHIN: Duration = Duration::from_secs(10);
 /// Time after discovery can be reached until aggregators must know of a change, in milliseconds.
-const TOLD_MS: f64 = 6000.0;
+const DISCOVERY_DELAY_MS: f64 = 6000.0;
 /// Lateness from which an answer counts as lost, in milliseconds.
-const LOST_MS: f64 = 500.0;
+const LATE_LIMIT_MS: f64 = 500.0;
 /// Memory limit of an aggregator, in megabytes.
-const MEMORY_MB: f64 = 192.0;
+const MEMORY_LIMIT_MB: f64 = 192.0;
 /// Interval at which the end of a process is polled.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval at which descriptors and memory are checked.
-const USAGE_EVERY: Duration = Duration::from_millis(250);
+const USAGE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Carries out a run and returns its outcome.
 ///
 /// # Errors
 /// If the run cannot be set up or carried out.
-pub fn play(draw: &Draw, api: Api, options: &Options) -> Result<Outcome, String> {
-    let load = demo::Options {
+pub fn run(draw: &Draw, api: Api, options: &Options) -> Result<Outcome, String> {
+    let demo_options = demo::Options {
         seconds: options.seconds,
         seed: draw.seed,
         api,
@@ -57,35 +57,35 @@
         sockets: draw.sockets,
         faults: draw.faults.clone(),
     };
-    let world = Arc::new(demo::build(&load).map_err(|error| error.to_string())?);
-    world.checker.lost_after(LOST_MS);
+    let world = Arc::new(demo::build(&demo_options).map_err(|error| error.to_string())?);
+    world.checker.set_late_limit(LATE_LIMIT_MS);
     let begin = world.clock.now();
-    let troubled = thread::scope(|scope| {
+    let results = thread::scope(|scope| {
         let watched = world.clone();
         scope.spawn(move || watch_usage(&watched, draw));
-        let others = draw.guests.iter().enumerate();
-        for (no, guest) in others {
+        let others = draw.client_kinds.iter().enumerate();
+        for (no, kind) in others {
             let to = no % world.addresses.len();
             let client =
                 Client { world: world.clone(), to: (to, world.addresses[to]), api, seed: draw.seed, no };
-            scope.spawn(move || client.behave(*guest));
+            scope.spawn(move || client.run(*kind));
         }
-        let spell = Spell { world: &world, begin, draw };
-        let troubles: Vec<_> = draw
-            .troubles
+        let injector = FaultInjector { world: &world, begin, draw };
+        let soak_faults: Vec<_> = draw
+            .soak_faults
             .iter()
-            .map(|(at, trouble)| scope.spawn(move || spell.carry_out(*at, trouble)))
+            .map(|(at, soak_fault)| scope.spawn(move || injector.inject(*at, soak_fault)))
             .collect();
-        thread::scope(|clients| world.load(clients, begin, &load));
-        let troubled: Vec<_> = troubles.into_iter().map(thread::ScopedJoinHandle::join).collect();
+        thread::scope(|clients| world.send_queries(clients, begin, &demo_options));
+        let results: Vec<_> = soak_faults.into_iter().map(thread::ScopedJoinHandle::join).collect();
         world.over.store(true, Ordering::Release);
-        troubled
+        results
     });
-    for done in troubled {
+    for done in results {
         done.map_err(|_| "a thread failed")??;
     }
-    end(&world)?;
-    let (classes, _) = world.board.counts();
+    shut_down_all(&world)?;
+    let (classes, _) = world.counts.totals();
     Ok(Outcome {
         seed: draw.seed,
         api: match api {
@@ -95,39 +95,39 @@
         draw: draw.to_string(),
         asked: classes.values().map(|ends| ends.asked).sum(),
         answered: classes.values().map(|ends| ends.answered).sum(),
-        broken: world.checker.broken(),
+        broken: world.checker.violations(),
     })
 }
 
 /// Shuts all aggregators down.
-fn end(world: &World) -> Result<(), String> {
+fn shut_down_all(world: &World) -> Result<(), String> {
     for (no, aggregator) in world.aggregators.lock().map_err(|_| "a thread failed")?.iter_mut().enumerate() {
         aggregator.signal("TERM").map_err(|error| error.to_string())?;
         if let Some(child) = aggregator.take_process() {
-            outlive(world, no, child)?;
+            wait_for_exit(world, no, child)?;
         }
     }
     Ok(())
 }
 
 /// Waits for the exit of a process that got a signal to end, and kills it as early as the platform may.
-fn outlive(world: &World, no: usize, mut child: Child) -> Result<(), String> {
-    let told = Instant::now();
+fn wait_for_exit(world: &World, no: usize, mut child: Child) -> Result<(), String> {
+    let signalled = Instant::now();
     loop {
         if let Some(status) = child.try_wait().map_err(|error| error.to_string())? {
-            aggregators::has_ended(child.id());
+            aggregators::unregister(child.id());
             if !status.success() {
-                world.checker.breaks("crash", &format!("n-{no} exited with {status}"));
+                world.checker.report_violation("crash", &format!("n-{no} exited with {status}"));
             }
             return Ok(());
         }
-        if told.elapsed() >= KILLED_AFTER {
+        if signalled.elapsed() >= KILLED_AFTER {
             // The checker reports queries that are still unanswered as lost.
             let ended = child.kill().and_then(|()| child.wait());
-            aggregators::has_ended(child.id());
+            aggregators::unregister(child.id());
             return ended.map(drop).map_err(|error| error.to_string());
         }
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(EXIT_POLL_INTERVAL);
     }
 }
 
@@ -138,119 +138,124 @@
             world.aggregators.lock().map_or(Vec::new(), |all| all.iter().map(|one| one.usage()).collect());
         for (no, (descriptors, memory)) in used.into_iter().enumerate().filter_map(|(no, u)| Some((no, u?))) {
             if descriptors > draw.sockets {
-                world.checker.breaks("descriptors", &format!("n-{no} has {descriptors} descriptors open"));
+                world
+                    .checker
+                    .report_violation("descriptors", &format!("n-{no} has {descriptors} descriptors open"));
             }
-            if memory > MEMORY_MB {
-                world.checker.breaks("memory", &format!("n-{no} has used {memory:.0} MB"));
+            if memory > MEMORY_LIMIT_MB {
+                world.checker.report_violation("memory", &format!("n-{no} has used {memory:.0} MB"));
             }
         }
-        thread::sleep(USAGE_EVERY);
+        thread::sleep(USAGE_CHECK_INTERVAL);
     }
 }
 
-/// A run in progress.
+/// Injects the faults of a run in progress.
 #[derive(Clone, Copy)]
-struct Spell<'w> {
+struct FaultInjector<'w> {
     world: &'w World,
     begin: f64,
     draw: &'w Draw,
 }
 
-impl Spell<'_> {
-    fn carry_out(self, at: f64, trouble: &Trouble) -> Result<(), String> {
+impl FaultInjector<'_> {
+    fn inject(self, at: f64, soak_fault: &SoakFault) -> Result<(), String> {
         self.world.clock.sleep_until(self.begin + at);
-        match trouble {
-            Trouble::Stores(act) => self.trouble_stores(at, act),
-            Trouble::End(no, signals) => self.end(*no, signals),
-            Trouble::Reload(no, times) => {
+        match soak_fault {
+            SoakFault::Stores(fault) => self.apply_to_run_stores(at, fault),
+            SoakFault::End(no, signals) => self.end_and_restart(*no, signals),
+            SoakFault::Reload(no, times) => {
                 for _ in 0..*times {
                     self.world.aggregator(*no, |one| one.signal("HUP"))?;
                 }
                 Ok(())
             }
-            Trouble::Upgrade(no) => self.upgrade(*no),
-            Trouble::Discovery(mode, spell) => {
-                self.turn_discovery(*mode);
-                self.world.clock.sleep_until(self.begin + at + spell);
-                self.turn_discovery(Mode::Sound);
+            SoakFault::Upgrade(no) => self.upgrade(*no),
+            SoakFault::Discovery(mode, duration) => {
+                self.set_discovery_mode(*mode);
+                self.world.clock.sleep_until(self.begin + at + duration);
+                self.set_discovery_mode(Mode::Sound);
                 Ok(())
             }
         }
     }
 
-    fn turn_discovery(&self, mode: Mode) {
-        self.world.told.iter().for_each(|(discovery, _)| discovery.turn(mode));
+    fn set_discovery_mode(&self, mode: Mode) {
+        self.world.discoveries.iter().for_each(|(discovery, _)| discovery.set_mode(mode));
     }
 
-    fn trouble_stores(&self, at: f64, act: &Act) -> Result<(), String> {
-        let (which, spell) = act.about();
+    fn apply_to_run_stores(&self, at: f64, fault: &Fault) -> Result<(), String> {
+        let (selection, duration) = fault.targets_and_duration();
         let mut random = fastrand::Rng::with_seed(self.draw.seed ^ at.to_bits());
-        let chosen = which.map_or(Vec::new(), |which| scenario::pick(which, self.draw.stores, &mut random));
+        let chosen = selection
+            .map_or(Vec::new(), |selection| scenario::select(selection, self.draw.stores, &mut random));
         let names: Vec<_> = chosen.iter().map(|store| format!("s-{store}")).collect();
-        println!("  at {at:.0} ms {act:?}: {}", names.join(" "));
-        self.world.act(act, &chosen, true, self.begin + at)?;
-        if matches!(act, Act::Drain(..)) {
+        println!("  at {at:.0} ms {fault:?}: {}", names.join(" "));
+        self.world.apply_fault(fault, &chosen, true, self.begin + at)?;
+        if matches!(fault, Fault::Drain(..)) {
             // At worst, aggregators learn of the drain only when discovery can be reached again.
-            let reached = self.discovery_is_reached_from(at);
-            let told = self.begin + reached + if reached > at { TOLD_MS } else { 0.0 };
-            chosen.iter().for_each(|store| self.world.checker.drains(*store, Some(told)));
+            let reached = self.discovery_reachable_from(at);
+            let known_since = self.begin + reached + if reached > at { DISCOVERY_DELAY_MS } else { 0.0 };
+            chosen.iter().for_each(|store| self.world.checker.set_draining(*store, Some(known_since)));
             return Ok(());
         }
-        self.world.clock.sleep_until(self.begin + at + spell);
-        if matches!(act, Act::Kill(..)) {
-            let cold = Cold {
+        self.world.clock.sleep_until(self.begin + at + duration);
+        if matches!(fault, Fault::Kill(..)) {
+            let cold = ColdStart {
                 since: self.world.clock.now(),
-                capacity: KIND.slots as f64 * 1000.0 / demo::WORK_MS,
-                from: KIND.cold_from,
-                warm_ms: KIND.warm_ms,
-                multiple: BEARS,
+                capacity: PROFILE.slots as f64 * 1000.0 / demo::WORK_MS,
+                initial_share: PROFILE.cold_from,
+                warm_ms: PROFILE.warm_ms,
+                tolerated_multiple: COLD_TOLERATED_MULTIPLE,
             };
-            chosen.iter().for_each(|store| self.world.checker.started(*store, cold));
+            chosen.iter().for_each(|store| self.world.checker.record_cold_start(*store, cold));
         }
-        self.world.act(act, &chosen, false, self.begin + at)?;
-        if matches!(act, Act::Kill(..)) {
+        self.world.apply_fault(fault, &chosen, false, self.begin + at)?;
+        if matches!(fault, Fault::Kill(..)) {
             // The restart lists the run store as ready, even if it was draining before.
-            chosen.iter().for_each(|store| self.world.checker.drains(*store, None));
+            chosen.iter().for_each(|store| self.world.checker.set_draining(*store, None));
         }
         Ok(())
     }
 
     /// Returns the time from which discovery answers after a change at `at`; a watch may have broken before the change.
-    fn discovery_is_reached_from(&self, at: f64) -> f64 {
-        let troubles = self.draw.troubles.iter().filter_map(|(from, trouble)| match trouble {
-            Trouble::Discovery(_, spell) if *from < at + TOLD_MS => Some(from + spell),
+    fn discovery_reachable_from(&self, at: f64) -> f64 {
+        let soak_faults = self.draw.soak_faults.iter().filter_map(|(from, soak_fault)| match soak_fault {
+            SoakFault::Discovery(_, duration) if *from < at + DISCOVERY_DELAY_MS => Some(from + duration),
             _ => None,
         });
-        troubles.fold(at, f64::max)
+        soak_faults.fold(at, f64::max)
     }
 
-    fn end(&self, no: usize, signals: &[&str]) -> Result<(), String> {
-        let closed = self.world.clock.now() + FRONT_MS;
-        self.world.checker.closed(no, closed, f64::INFINITY);
+    fn end_and_restart(&self, no: usize, signals: &[&str]) -> Result<(), String> {
+        let closed = self.world.clock.now() + ACCEPTING_MS;
+        self.world.checker.set_not_accepting(no, closed, f64::INFINITY);
         let child = self.world.aggregator(no, |one| {
             signals.iter().try_for_each(|signal| one.signal(signal))?;
             Ok(one.take_process())
         })?;
         let Some(child) = child else { return Ok(()) };
-        outlive(self.world, no, child)?;
+        wait_for_exit(self.world, no, child)?;
         let started = Instant::now();
         self.world.aggregator(no, |one| one.start_again())?;
-        if started.elapsed() > READY {
-            self.world.checker.breaks("ready", &format!("n-{no} was ready after {:?}", started.elapsed()));
+        if started.elapsed() > READY_WITHIN {
+            self.world
+                .checker
+                .report_violation("ready", &format!("n-{no} was ready after {:?}", started.elapsed()));
         }
-        self.world.checker.closed(no, closed, self.world.clock.now());
+        self.world.checker.set_not_accepting(no, closed, self.world.clock.now());
         Ok(())
     }
 
     fn upgrade(&self, no: usize) -> Result<(), String> {
         let old = self.world.aggregator(no, |one| match one.id() {
-            Some(_) => one.succeed(),
+            Some(_) => one.start_successor(),
             None => Ok(None),
         })?;
         let Some(old) = old else { return Ok(()) };
         let id = rustix::process::Pid::from_child(&old);
         rustix::process::kill_process(id, rustix::process::Signal::TERM)
             .map_err(|error| error.to_string())?;
-        outlive(self.world, no, old)
+        wait_for_exit(self.world, no, old)
     }
 }
--- a/crates/lab/src/stores.rs
+++ b/crates/lab/src/stores.rs
@@ -12,7 +12,7 @@
 
 use crate::check::{Arrival, Checker};
 use crate::clock::Clock;
-use crate::model::{Fate, Kind, Model};
+use crate::model::{Model, PartOutcome, Profile};
 use crate::Api;
 
 /// Returns the answer of a run store for a part: a keyed hash, so that a made-up answer is detected.
@@ -24,28 +24,28 @@
 }
 
 /// An answer to be written at a given time.
-struct Due {
+struct ScheduledAnswer {
     at: u64,
     no: u64,
     bytes: Vec<u8>,
     to: Arc<Mutex<TcpStream>>,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledAnswer {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.no) == (other.at, other.no)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledAnswer {}
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledAnswer {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for ScheduledAnswer {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.no).cmp(&(other.at, other.no))
     }
@@ -54,24 +54,24 @@
 struct State {
     model: Model,
     /// Number of the running process; 0 while the run store is down.
-    life: u64,
-    lives: u64,
+    process_no: u64,
+    processes_started: u64,
     muted: bool,
     connections: Vec<TcpStream>,
-    due: BinaryHeap<Reverse<Due>>,
-    next: u64,
+    scheduled: BinaryHeap<Reverse<ScheduledAnswer>>,
+    next_no: u64,
 }
 
 /// Number of the process that accepted a connection, and the source address of the connection.
-type Line = (u64, Option<SocketAddr>);
+type Origin = (u64, Option<SocketAddr>);
 
 /// A simulated run store.
-pub struct Store {
+pub struct RunStore {
     /// Number of the run store.
     pub no: usize,
     /// Address at which it listens.
     pub address: SocketAddr,
-    kind: Kind,
+    profile: Profile,
     api: Api,
     seed: u64,
     clock: Clock,
@@ -80,11 +80,11 @@
     changed: Condvar,
 }
 
-impl Store {
+impl RunStore {
     /// Starts a run store that is already warm.
     pub fn start(
         no: usize,
-        kind: Kind,
+        profile: Profile,
         api: Api,
         seed: u64,
         clock: Clock,
@@ -92,18 +92,18 @@
     ) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let state = State {
-            model: Model::new(kind, clock.now() - kind.warm_ms, seed ^ no as u64),
-            life: 1,
-            lives: 1,
+            model: Model::new(profile, clock.now() - profile.warm_ms, seed ^ no as u64),
+            process_no: 1,
+            processes_started: 1,
             muted: false,
             connections: Vec::new(),
-            due: BinaryHeap::new(),
-            next: 0,
+            scheduled: BinaryHeap::new(),
+            next_no: 0,
         };
-        let store = Arc::new(Store {
+        let store = Arc::new(RunStore {
             no,
             address: listener.local_addr()?,
-            kind,
+            profile,
             api,
             seed,
             clock,
@@ -113,19 +113,19 @@
         });
         let (accepting, answering) = (store.clone(), store.clone());
         thread::spawn(move || accepting.accept(&listener));
-        thread::spawn(move || answering.answer());
+        thread::spawn(move || answering.write_answers());
         Ok(store)
     }
 
-    fn with<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
-        act(&mut self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
+    fn with_state<T>(&self, update: impl FnOnce(&mut State) -> T) -> T {
+        update(&mut self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
     /// Simulates the death of the process: closes all connections, and new ones right after they are accepted.
     pub fn kill(&self) {
-        self.with(|state| {
-            state.life = 0;
-            state.due.clear();
+        self.with_state(|state| {
+            state.process_no = 0;
+            state.scheduled.clear();
             for stream in state.connections.drain(..) {
                 let _ = stream.shutdown(Shutdown::Both);
             }
@@ -133,40 +133,41 @@
     }
 
     /// Starts another process, which is cold, and returns the time of its start.
-    pub fn revive(&self) -> f64 {
+    pub fn restart(&self) -> f64 {
         let now = self.clock.now();
-        self.with(|state| {
-            state.lives += 1;
-            state.life = state.lives;
-            state.model = Model::new(self.kind, now, self.seed ^ self.no as u64 ^ state.lives << 32);
+        self.with_state(|state| {
+            state.processes_started += 1;
+            state.process_no = state.processes_started;
+            state.model =
+                Model::new(self.profile, now, self.seed ^ self.no as u64 ^ state.processes_started << 32);
         });
         now
     }
 
     /// Divides the usual speed by a factor.
-    pub fn slow(&self, by: f64) {
-        self.with(|state| state.model.speed = 1.0 / by);
+    pub fn set_slowdown(&self, by: f64) {
+        self.with_state(|state| state.model.speed = 1.0 / by);
     }
 
     /// Returns the number of connections accepted since the last death of the process.
     pub fn connections(&self) -> usize {
-        self.with(|state| state.connections.len())
+        self.with_state(|state| state.connections.len())
     }
 
     /// Sets whether parts are accepted but never answered.
-    pub fn mute(&self, muted: bool) {
-        self.with(|state| state.muted = muted);
+    pub fn set_muted(&self, muted: bool) {
+        self.with_state(|state| state.muted = muted);
     }
 
     fn accept(self: Arc<Self>, listener: &TcpListener) {
         for stream in listener.incoming().map_while(Result::ok) {
-            let life = self.with(|state| {
-                if state.life > 0 {
+            let process_no = self.with_state(|state| {
+                if state.process_no > 0 {
                     state.connections.extend(stream.try_clone().ok());
                 }
-                state.life
+                state.process_no
             });
-            if life == 0 {
+            if process_no == 0 {
                 drop(stream);
                 continue;
             }
@@ -176,8 +177,8 @@
                 let from = stream.peer_addr().ok();
                 // An error here means that the peer closed the connection.
                 let _ = match store.api {
-                    Api::Platform => store.frames(&stream, (life, from)),
-                    Api::Opensearch => store.searches(&stream, (life, from)),
+                    Api::Platform => store.serve_frames(&stream, (process_no, from)),
+                    Api::Opensearch => store.serve_searches(&stream, (process_no, from)),
                 };
                 let _ = stream.shutdown(Shutdown::Both);
             });
@@ -185,25 +186,25 @@
     }
 
     /// Writes answers at their times.
-    fn answer(&self) {
+    fn write_answers(&self) {
         let mut state = self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
         loop {
             let now = self.clock.micros();
             let mut ready = Vec::new();
-            while state.due.peek().is_some_and(|Reverse(due)| due.at <= now) {
-                ready.extend(state.due.pop().map(|Reverse(due)| due));
+            while state.scheduled.peek().is_some_and(|Reverse(answer)| answer.at <= now) {
+                ready.extend(state.scheduled.pop().map(|Reverse(answer)| answer));
             }
             if !ready.is_empty() {
                 drop(state);
-                for due in ready {
-                    if let Ok(mut stream) = due.to.lock() {
-                        let _ = stream.write_all(&due.bytes);
+                for answer in ready {
+                    if let Ok(mut stream) = answer.to.lock() {
+                        let _ = stream.write_all(&answer.bytes);
                     }
                 }
                 state = self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
                 continue;
             }
-            let wait = state.due.peek().map_or(50_000, |Reverse(due)| due.at - now);
+            let wait = state.scheduled.peek().map_or(50_000, |Reverse(answer)| answer.at - now);
             state = match self.changed.wait_timeout(state, Duration::from_micros(wait)) {
                 Ok((state, _)) => state,
                 Err(poisoned) => poisoned.into_inner().0,
@@ -212,42 +213,52 @@
     }
 
     /// Records an arriving part and schedules its answer, if there is one.
-    fn take(&self, (life, from): Line, part: &str, shard: u32, wait_ms: f64, to: &Arc<Mutex<TcpStream>>) {
+    fn receive_part(
+        &self,
+        (process_no, from): Origin,
+        part: &str,
+        shard: u32,
+        wait_ms: f64,
+        to: &Arc<Mutex<TcpStream>>,
+    ) {
         let now = self.clock.now();
-        let (fate, report) = self.with(|state| {
-            if state.life != life || state.muted {
+        let (outcome, report) = self.with_state(|state| {
+            if state.process_no != process_no || state.muted {
                 return (None, 0.0);
             }
-            let fate = state.model.offer(now, now + wait_ms);
-            (Some(fate), state.model.utilization(now))
+            let outcome = state.model.offer(now, now + wait_ms);
+            (Some(outcome), state.model.utilization(now))
         });
-        let ran = matches!(fate, Some(Fate::Done(_)));
-        let from = from.and_then(|from| self.checker.whose(from));
-        self.checker.arrived(Arrival {
+        let ran = matches!(outcome, Some(PartOutcome::Done(_)));
+        let from = from.and_then(|from| self.checker.aggregator_of(from));
+        self.checker.check_arrival(Arrival {
             at: now,
             store: self.no,
             part: part.into(),
             shard,
             ran,
             from,
-            told_ms: wait_ms,
+            timeout_ms: wait_ms,
         });
-        let (at, bytes) = match fate {
-            Some(Fate::Done(at)) => (at, self.say(part, shard, Some(&value(self.seed, part)), report)),
-            Some(Fate::TurnedAway) => (now, self.say(part, shard, None, report)),
-            Some(Fate::Never) | None => return,
+        let (at, bytes) = match outcome {
+            Some(PartOutcome::Done(at)) => {
+                (at, self.encode_answer(part, shard, Some(&value(self.seed, part)), report))
+            }
+            Some(PartOutcome::Rejected) => (now, self.encode_answer(part, shard, None, report)),
+            Some(PartOutcome::Expired) | None => return,
         };
-        self.with(|state| {
-            if state.life == life {
-                state.next += 1;
-                let due = Due { at: (at * 1000.0) as u64, no: state.next, bytes, to: to.clone() };
-                state.due.push(Reverse(due));
+        self.with_state(|state| {
+            if state.process_no == process_no {
+                state.next_no += 1;
+                let answer =
+                    ScheduledAnswer { at: (at * 1000.0) as u64, no: state.next_no, bytes, to: to.clone() };
+                state.scheduled.push(Reverse(answer));
             }
         });
         self.changed.notify_all();
     }
 
-    fn say(&self, part: &str, shard: u32, value: Option<&str>, report: f64) -> Vec<u8> {
+    fn encode_answer(&self, part: &str, shard: u32, value: Option<&str>, report: f64) -> Vec<u8> {
         match self.api {
             Api::Platform => {
                 let end = if value.is_some() { "S" } else { "B" };
@@ -269,7 +280,7 @@
         }
     }
 
-    fn frames(&self, stream: &TcpStream, line: Line) -> io::Result<()> {
+    fn serve_frames(&self, stream: &TcpStream, origin: Origin) -> io::Result<()> {
         let to = Arc::new(Mutex::new(stream.try_clone()?));
         let mut read = BufReader::new(stream);
         loop {
@@ -283,7 +294,7 @@
                     let words: Vec<&str> = text.lines().next().unwrap_or("").split(' ').collect();
                     let [part, shard, list, _] = words[..] else { return Ok(()) };
                     let wait = list.strip_prefix("d=").and_then(|wait| wait.parse().ok()).unwrap_or(0.0);
-                    self.take(line, part, shard.parse().unwrap_or(0), wait, &to);
+                    self.receive_part(origin, part, shard.parse().unwrap_or(0), wait, &to);
                 }
                 Some(b'3' | b'4') => {
                     if let Ok(mut stream) = to.lock() {
@@ -296,7 +307,7 @@
         }
     }
 
-    fn searches(&self, stream: &TcpStream, line: Line) -> io::Result<()> {
+    fn serve_searches(&self, stream: &TcpStream, origin: Origin) -> io::Result<()> {
         let to = Arc::new(Mutex::new(stream.try_clone()?));
         let mut read = BufReader::new(stream);
         while let Some((first, head, _)) = read_message(&mut read)? {
@@ -312,7 +323,7 @@
                 .and_then(|wait| wait.trim_end_matches("ms").parse().ok())
                 .unwrap_or(0.0);
             let query = head.lines().find_map(|line| line.strip_prefix("x-opaque-id: ")).unwrap_or("");
-            self.take(line, &format!("{query}.{shard}"), shard, wait, &to);
+            self.receive_part(origin, &format!("{query}.{shard}"), shard, wait, &to);
         }
         Ok(())
     }
