--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -118,7 +118,7 @@
 
     /// Returns the share of busy slots, where a non-empty queue counts as one more slot.
     pub fn utilization(&self, now: f64) -> f64 {
-        let busy = self.slot_free_at.iter().filter(|slot_free_at| **slot_free_at > now).count();
+        let busy = self.slot_free_at.iter().filter(|free_at| **free_at > now).count();
         ((busy + self.waiting_starts.iter().filter(|begin| **begin > now).count().min(1)) as f64
             / self.slot_free_at.len() as f64)
             .min(1.0)
