--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery on loopback: the list of run stores, asked whole or watched for changes.
+//! Discovery service on loopback: serves the list of run stores, whole or as changes after an index.
 
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,31 +10,31 @@
 
 use crate::stores::read_message;
 
-/// How it answers calls.
+/// How the service answers requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum Mode {
-    /// As they are meant.
+    /// Correctly.
     #[default]
     Sound,
-    /// Not at all: calls hang.
+    /// Not at all: requests hang.
     Silent,
-    /// With 503.
+    /// With status 503.
     Busy,
-    /// So many milliseconds later.
+    /// Correctly, after a delay in milliseconds.
     Slow(u64),
-    /// Always with the whole list, which leaves out what drains.
+    /// Always with the whole list, without run stores that drain.
     Whole,
 }
 
 #[derive(Default)]
 struct State {
     mode: Mode,
-    /// All lines, and the version at which each was changed last.
-    lines: Vec<(u64, Value)>,
+    /// The entries, each with the index of its last change.
+    entries: Vec<(u64, Value)>,
     index: u64,
 }
 
-/// The service.
+/// The discovery service.
 #[derive(Default)]
 pub struct Discovery {
     state: Mutex<State>,
@@ -42,7 +42,7 @@
 }
 
 impl Discovery {
-    /// Starts it; says where it listens.
+    /// Starts the service and returns its address.
     ///
     /// # Errors
     /// If it cannot listen.
@@ -54,28 +54,28 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let serving = serving.clone();
-                // A caller that leaves is no matter of discovery's.
+                // An error here means that the peer closed the connection.
                 thread::spawn(move || drop(serving.serve(&stream)));
             }
         });
         Ok((discovery, address))
     }
 
-    /// From now on it answers like this; calls that hang are broken off.
-    pub fn turn(&self, mode: Mode) {
+    /// Sets how requests are answered, and wakes the waiting ones.
+    pub fn set_mode(&self, mode: Mode) {
         if let Ok(mut state) = self.state.lock() {
             state.mode = mode;
         }
         self.changed.notify_all();
     }
 
-    /// Tells a line, new or changed.
-    pub fn tell(&self, line: Value) {
+    /// Adds an entry, or replaces the entry of the same name.
+    pub fn publish(&self, entry: Value) {
         if let Ok(mut state) = self.state.lock() {
             state.index += 1;
             let index = state.index;
-            state.lines.retain(|(_, known)| known["name"] != line["name"]);
-            state.lines.push((index, line));
+            state.entries.retain(|(_, known)| known["name"] != entry["name"]);
+            state.entries.push((index, entry));
         }
         self.changed.notify_all();
     }
@@ -89,24 +89,24 @@
             };
             let (after, wait) = (number("after="), number("wait_ms=").unwrap_or(0).min(60_000));
             let Ok(state) = self.state.lock() else { return Ok(()) };
-            let began = state.mode;
+            let initial_mode = state.mode;
             let waited = self.changed.wait_timeout_while(state, Duration::from_millis(wait), |state| {
-                state.mode == began && after.is_some_and(|after| state.index <= after)
+                state.mode == initial_mode && after.is_some_and(|after| state.index <= after)
             });
             let Ok((state, _)) = waited else { return Ok(()) };
             let mode = state.mode;
             if mode == Mode::Silent {
-                // What hangs is broken off once it answers again.
+                // A hanging request gets its connection closed when the service leaves the silent mode.
                 let hung = self.changed.wait_while(state, |state| state.mode == Mode::Silent);
                 drop(hung);
                 return Ok(());
             }
             let whole = after.is_none() || mode == Mode::Whole;
             let newer = |(at, _): &&(u64, Value)| whole || after.is_none_or(|after| *at > after);
-            let listed = |(_, line): &&(u64, Value)| mode != Mode::Whole || line["status"] == "ready";
-            let lines: Vec<&Value> =
-                state.lines.iter().filter(newer).filter(listed).map(|(_, line)| line).collect();
-            let body = json!({"index": state.index, "snapshot": whole, "endpoints": lines}).to_string();
+            let listed = |(_, entry): &&(u64, Value)| mode != Mode::Whole || entry["status"] == "ready";
+            let entries: Vec<&Value> =
+                state.entries.iter().filter(newer).filter(listed).map(|(_, entry)| entry).collect();
+            let body = json!({"index": state.index, "snapshot": whole, "endpoints": entries}).to_string();
             drop(state);
             if mode == Mode::Busy {
                 write.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")?;
