--- a/src/api.rs
+++ b/src/api.rs
@@ -183,7 +183,8 @@
     pub max_attempts: u32,
     /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// Whether a part may have two attempts in flight at once.
+    /// Whether a part may be sent again before an earlier attempt of it has provably ended. The core and the
+    /// transports enforce this.
     #[serde(rename = "parallel_tries")]
     pub parallel_attempts: bool,
     /// How long idle connections are kept open. With `None`, the router does not detect idle connections that
@@ -195,7 +196,7 @@
     pub max_retry_after: Millis,
     /// How the list of replicas reaches the router.
     pub discovery: Discovery,
-    /// With [`Discovery::Asked`], the maximum time between two requests for the list.
+    /// With [`Discovery::Asked`], an upper bound of the backoff after a failed request for the list.
     #[serde(rename = "ask_within")]
     pub list_refresh_within: Millis,
     /// The capacity of replicas that warm up, if their load is to be limited.
@@ -390,7 +391,7 @@
         /// The replica's load report, if the response carried one.
         load: Option<LoadReport>,
     },
-    /// The client disconnected, so the query needs no answer.
+    /// The client disconnected, or the time of the query ran out and the core ended it.
     ClientGone(QueryId),
     /// The time requested by [`Action::WakeAt`] has come.
     Wake,
@@ -417,9 +418,9 @@
     MayHaveRun(Shard),
     /// The part of this shard failed in all its attempts.
     AttemptsSpent(Shard),
-    /// The replicas that it was sent to reset their connections, so it probably crashed them.
+    /// The replicas that received its parts reset their connections, so the query probably crashed them.
     Poison,
-    /// The aggregator holds the maximum number of open queries.
+    /// The aggregator holds as many open queries and unanswered parts as it may.
     MaxOpen,
     /// The client's deadline passed while the query was still open.
     Overdue,
@@ -472,7 +473,8 @@
     }
 }
 
-/// Why an attempt is made, or why it was cancelled.
+/// Why an attempt is made, or why one was cancelled. In the descriptions, the replaced attempt is the
+/// previous one of the part or, for a cancellation, the cancelled one itself.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AttemptReason {
     /// It is the first attempt of its part.
@@ -480,13 +482,14 @@
     First,
     /// The previous attempt ended with this outcome.
     After(Outcome),
-    /// The replica of the previous attempt did not answer anything for too long.
+    /// The replica of the replaced attempt answered nothing for too long.
     Silent,
-    /// The replica of the previous attempt answered several later parts first, so the attempt counts as lost.
+    /// The replica of the replaced attempt answered several later parts first, so that attempt counts as
+    /// lost.
     Overtaken,
-    /// The previous attempt used an idle connection that was probably dropped on the path without notice.
+    /// The replaced attempt used an idle connection that was probably dropped on the path without notice.
     Dropped,
-    /// Its query has ended.
+    /// Its query has ended, or the step of the query that it belongs to was answered.
     Over,
 }
 
--- a/src/asking.rs
+++ b/src/asking.rs
@@ -1,7 +1,7 @@
 //! Decides when to ask the discovery service for the list of replicas.
 //!
-//! All routers of a fleet ask the same service, which handles calls one after another, and they tend to
-//! fail at the same moment. Backoff therefore grows with the number of routers and is jittered.
+//! All routers ask the same service, which handles calls one after another, and their calls tend to fail at
+//! the same moment. Backoff therefore grows with the number of routers and is jittered.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,17 +14,16 @@
 const BACKOFF_OF_AIM: f64 = 0.25;
 /// Upper bound of `n` in the backoff.
 const MAX_DOUBLINGS: u32 = 5;
-/// A call without an answer is made again after this many of the shortest aims.
+/// Time after which a call without an answer is made again, as a multiple of the shortest aim.
 const REPEAT_AIMS: f64 = 8.0;
 
 /// Longest time until a change of the list reaches a router, from when the discovery service has the change
 /// and can be reached. After that the change counts as received even if it has not come, so calls, watches
 /// and backoff are bounded such that the next list arrives within this time.
 pub const MAX_LIST_DELAY: Millis = 6000.0;
-/// Timeout of a call that does not wait for changes, from the start of its connect. The service handles
-/// calls one after another and itself fails those that waited this long. A call for the whole list is then
-/// repeated once on another connection while the first goes on for as long again, as the service may only
-/// be slow.
+/// Time from the start of the connect after which a call for the whole list is repeated on a second connection,
+/// as the service may only be slow; both end after twice this time. The service handles calls one after
+/// another and itself fails those that waited this long.
 pub const CALL_TIMEOUT: Millis = 2000.0;
 /// Longest backoff after a failed call. The failed call may have started just before the service came back,
 /// and one more has to complete in time after the backoff.
@@ -37,8 +36,9 @@
 /// How long a watch asks the service to wait for a change. If a watch goes silent, the call that reopens it
 /// still delivers a missed change in time.
 pub const WATCH_WAIT: Millis = MAX_LIST_DELAY - WATCH_GRACE - REOPEN_JITTER - CALL_TIMEOUT;
-/// Delay before a broken watch on the agent is reopened. The agent keeps a watch alive if the next call
-/// comes within 200 ms of the last answer; the other half of that is left for the call itself.
+/// Delay before a broken watch on the agent (see [`WatchSchedule`]) is reopened. The agent keeps a watch
+/// alive if the next call comes within 200 ms of the last answer; the other half of that is left for the call
+/// itself.
 const REOPEN_DELAY: Millis = 100.0;
 
 /// Requests of one router for the list. A request is due whenever changes do not arrive by themselves.
@@ -54,15 +54,15 @@
 }
 
 impl ListRequests {
-    /// Records that a list arrived, from the discovery service or (`false`) an old one from elsewhere.
+    /// Records that a list arrived. `from_service` is false for a cached list.
     pub fn record_list(&mut self, from_service: bool) {
         self.subscribed = from_service;
         self.failures = 0;
     }
 
     /// Records a failed call and schedules the next. The backoff grows with the shortest aim, the failures
-    /// in a row and the number of routers. It is at most [`MAX_BACKOFF`] and the interval in which the
-    /// list has to be refreshed, and is jittered by a random number from 0 to 1.
+    /// in a row and the number of routers, up to the smaller of [`MAX_BACKOFF`] and `refresh_within`. It is
+    /// jittered by a random number from 0 to 1.
     pub fn record_failure(
         &mut self,
         now: Millis,
@@ -88,13 +88,13 @@
     }
 }
 
-/// When to reopen a watch on the list that broke, independent of the requests that the router makes.
+/// Schedules the reopening of a broken watch on the list, independent of the requests that the router makes.
 ///
-/// Lists that are pushed come from the process's own agent, which is watched at all times: what the agent
-/// holds counts as received, and asking it loads nothing else. A watch on the discovery service, which all
-/// routers share, is reopened here only if it went silent. A failed call shows that the service is
-/// overloaded, so it is left to the backoff of [`ListRequests`]. Silence shows nothing, and a change that
-/// it hides soon counts as received.
+/// Pushed lists come from the process's own agent. A broken watch on it is always reopened: a change that the
+/// agent has counts as received, and calls to the agent put no load on a shared service. A watch on the
+/// discovery service, which all routers share, is reopened here only if it went silent. If a call failed,
+/// the service is overloaded, and the next call is left to the backoff of [`ListRequests`]. Silence does not
+/// show that, and a change that is missed during it soon counts as received.
 #[derive(Debug, Clone)]
 pub struct WatchSchedule(State);
 
--- a/src/cold.rs
+++ b/src/cold.rs
@@ -1,9 +1,9 @@
-//! Limits what one router of a fleet sends to a replica that has just started.
+//! Limits what one router of many sends to a replica that has just started.
 //!
 //! A cold replica can take a limited load from all routers together, and routers share no state. If each
 //! took an even share, most of the load would go unused: a router that rarely has a part for the replica
-//! cannot save up its share, and a busy router exhausts its own. Each router therefore takes the share that
-//! it has of the fleet's traffic, where replicas report what they serve. These shares still add up to one.
+//! cannot save up its share, and a busy router exhausts its own. If replicas report their throughput, each
+//! router therefore takes the share that it has of the fleet's traffic. These shares still add up to one.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,15 +14,15 @@
 const MIN_WARM_UTILIZATION: f64 = 0.2;
 /// Standard deviations by which a count may exceed its expected value.
 const DEVIATIONS: f64 = 2.0;
-/// Share of the overload limit of a cold replica that is aimed at. The rest is the margin for random
+/// Target load of a cold replica, as a share of its overload limit. The rest is the margin for random
 /// variation.
 const TARGET_OF_OVERLOAD: f64 = 0.5;
 
 /// Upper bound of the estimated warm-up speed. Without it the estimate diverges, as the report of a replica
 /// that has just started carries almost no information.
 const MAX_WARM_UP_SPEED: f64 = 1000.0;
-/// A router with rare queries may keep one call for a cold replica for as long as this many of its queries
-/// take to arrive.
+/// A router with rare queries may save up the allowance for a cold replica that it gains while this many of
+/// its queries arrive.
 const KEPT_QUERIES: f64 = 2.0;
 
 /// One router's share of the fleet's traffic, in counts that decay with the longest warm-up time as their
@@ -30,12 +30,13 @@
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FleetTraffic {
-    /// Parts of this router and of the whole fleet that ran, both with the same decay, and the time of the
-    /// last update.
+    /// Attempts of this router that may have run.
     #[serde(rename = "own")]
     own_parts: f64,
+    /// Estimated number of parts that ran in the whole fleet.
     #[serde(rename = "fleet")]
     fleet_parts: f64,
+    /// The time of the last update.
     #[serde(rename = "at")]
     updated: Millis,
     /// Estimated throughput of all replicas, in parts per millisecond; 0 if no replica reports its
@@ -44,16 +45,16 @@
     fleet_throughput: f64,
     /// Estimated capacity of a warm replica, in parts per millisecond, once reports allow an estimate.
     capacity: Option<f64>,
-    /// How many times faster than the longest warm-up time replicas get warm, by the reports of those that
-    /// are cold now.
+    /// The longest warm-up time divided by the estimated actual one, from the reports of replicas that are
+    /// cold now.
     #[serde(rename = "pace")]
     warm_up_speed: f64,
     /// Moving average of the parts of a query.
     #[serde(rename = "clump")]
     parts_per_query: Option<f64>,
-    /// Queries of this router, and the time in which they came in, in milliseconds, both with the same
-    /// decay.
+    /// Queries of this router.
     queries: f64,
+    /// The time in which these queries arrived, in milliseconds, with the same decay.
     #[serde(rename = "seen")]
     observed: Millis,
 }
@@ -123,27 +124,29 @@
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct LoadReports {
     replicas: usize,
-    /// Replicas that report their throughput, and the sum of it in parts per second.
+    /// Replicas that report their throughput.
     reporting: usize,
+    /// The sum of their throughputs, in parts per second.
     throughput: ExactSum,
-    /// Of these, warm replicas that are busy enough for an estimate of the capacity, and cold ones.
+    /// Those of them that are warm and busy enough for an estimate of the capacity.
     warm: LoadSums,
+    /// Those of them that are cold and report their utilization.
     cold: LoadSums,
 }
 
 /// Sums over the reports of some replicas.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct LoadSums {
-    /// Throughput in parts per second, utilization, and utilization times age, where the age is in longest
-    /// warm-up times.
+    /// Throughput in parts per second.
     throughput: ExactSum,
     utilization: ExactSum,
+    /// Utilization times age, with the age as a multiple of the longest warm-up time.
     utilization_times_age: ExactSum,
 }
 
 impl LoadReports {
-    /// Adds the report of a replica. `age` is the age of the replica at the report, in longest warm-up
-    /// times, if its start is known.
+    /// Adds the report of a replica. `age` is the age of the replica at the report, as a multiple of the
+    /// longest warm-up time, if its start is known.
     pub fn add(&mut self, load: LoadReport, age: Option<f64>) {
         self.replicas += 1;
         self.apply(load, age, ExactSum::add, |count| count + 1);
@@ -179,7 +182,7 @@
 }
 
 impl LoadSums {
-    /// Returns a lower bound of the warm-up speed: how many times faster than the longest warm-up time
+    /// Returns a lower bound of the warm-up speed: the longest warm-up time divided by the time in which
     /// these cold replicas get warm. A cold replica's capacity begins at the share `initial_share` and
     /// grows linearly, and its throughput is its utilization times that capacity. Summed over the replicas,
     /// throughput / capacity is `initial_share * utilization + (1 - initial_share) * speed * utilization *
@@ -205,10 +208,10 @@
 /// single part, in cost units per millisecond.
 ///
 /// The allowance grows evenly from a random start, so that only a few of many routers send at the same time
-/// and none waits long. What is not used is lost beyond an upper bound: the saved allowances of all routers
-/// plus what they gain meanwhile do not exceed what the replica can take in its overload window, even if
-/// all routers get work for it at the same moment. If queries are so rare that most of the allowance would
-/// be lost, the bound is what the router gains while two queries arrive.
+/// and none waits long. Unused allowance accumulates only up to a bound, chosen such that the saved
+/// allowances of all routers plus what they gain in one overload window do not exceed what the replica can
+/// take in that window, even if all routers get work for it at the same moment. If queries are so rare that
+/// most of the allowance would be lost, the bound is what the router gains while two queries arrive.
 pub fn allowance(
     rule: &ColdStartRule,
     (started, now): (Millis, Millis),
@@ -222,9 +225,9 @@
     }
     let speed = traffic.warm_up_speed.max(1.0);
     let warmth = rule.initial_share + (1.0 - rule.initial_share) * (age.max(0.0) * speed).min(1.0);
-    // With reports the aim is at most the capacity of the replica: more would only queue there. Without
-    // them the best rate of a single part stands in for it, which includes the call overhead and uses only
-    // one core.
+    // With reports, the target is at most the capacity of the replica: more would only queue there. Without
+    // reports, the best rate of a single part is used instead of the capacity; it is lower, as it includes
+    // the call overhead and uses only one core.
     let multiple = rule.overload_multiple;
     let (target_rate, overload_rate) =
         traffic.capacity.map_or((multiple * best_rate, multiple * best_rate), |capacity| {
@@ -233,24 +236,28 @@
     let share = traffic.share(f64::from(routers));
     let elapsed = now - previous.1;
     let saved = previous.0 + share * target_rate * warmth * elapsed;
-    // All time since then counts with the present warmth, so while the replica warms up more is gained than
-    // the share. The growth term accounts for that.
+    // The time since the last update is counted at the present warmth, which is too much while the replica
+    // warms up. The growth term accounts for that.
     let growth =
         if age * speed < 1.0 { (1.0 - rule.initial_share) * speed / rule.warm_within.max(1.0) } else { 0.0 };
     let gained_per_window = target_rate * (warmth + growth * elapsed) * rule.overload_window;
-    // The bound on what all routers have saved up: the budget of one overload window, less what is gained
-    // during one, plus two calls as random variation. The random variation that the overload rule tolerates
-    // beyond that (twice the square root of the budget) stays as a margin, except for one root where the
-    // estimate by one core would leave nothing to save. A router with rare queries keeps its call until two
-    // queries have arrived, as most of its allowance would be lost otherwise; this bounds the calls that
-    // such routers have out at the same time.
+    // All routers together may save up the budget of one overload window, less what they gain during one,
+    // plus two cost units for random variation. The random variation that the overload rule tolerates beyond
+    // that, twice the square root of the budget, stays as a margin. If less than one square root is left of
+    // the budget, as is the case without reports, one of the two square roots may be saved up instead.
+    //
+    // A router with rare queries may save up what it gains until [`KEPT_QUERIES`] queries have arrived, as
+    // most of its allowance would be lost otherwise. This bounds the calls that such routers have in flight
+    // at the same time.
     let budget = overload_rate * warmth * rule.overload_window;
     let saved_by_all = (budget - gained_per_window).max(budget.sqrt()) + 2.0;
     let max = share * saved_by_all.max(target_rate * warmth * traffic.query_interval() * KEPT_QUERIES);
     if max >= 1.0 || saved < 1.0 {
         return Some((saved.min(max.max(1.0)), max.max(1.0)));
     }
-    // A bound below one call: one call is kept until the gain towards the next one exceeds the bound.
+    // The bound is below one cost unit, and at least one is saved. One unit is kept, with the fraction gained
+    // beyond it, while that fraction is within the bound. Once it exceeds the bound, only the fraction is
+    // kept.
     let next = saved.fract();
     Some((if next <= max { 1.0 + next } else { next }, 1.0))
 }
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -2,8 +2,8 @@
 //!
 //! Parts are placed by C2LD, client-centered load distribution (docs/DESIGN.md): the rate of a replica is the
 //! cost of the last completed part divided by its latency, and a part goes to the replica with the least
-//! predicted finish time. A replica that times out is parked, and probed until it answers. Each rule beyond
-//! that names the failure that it guards against.
+//! predicted finish time. A replica that times out is parked, and probed until it answers. The comments on
+//! the other rules say what they guard against.
 //!
 //! Cost units measure work: a part without a cost hint costs 1, and others cost their hint divided by the
 //! mean hint. Constants whose names end in `_AIMS` are multiples of an aim, the latency target of a query
@@ -23,8 +23,8 @@
 
 use state::{FleetMeasures, InFlight, Part, Query, ReplicaNo, ReplicaStats};
 
-/// Length of C2LD's monitoring interval S, in shortest aims: long enough to span the latencies of several
-/// parts.
+/// Length of C2LD's monitoring interval S, as a multiple of the shortest aim: long enough to span the
+/// latencies of several parts.
 const MONITORING_INTERVAL_AIMS: f64 = 0.25;
 /// Monitoring intervals without a sample after which a learned value starts to decay by half per interval:
 /// the rate of a replica towards the mean rate, and the query time of a class towards zero.
@@ -34,8 +34,8 @@
 const RETEST_CAPACITY_SHARE: f64 = 0.1;
 /// Assumed time that a replica takes for one cost unit, in aims, while no replica has been measured.
 const ASSUMED_COST_UNIT_AIMS: f64 = 0.1;
-/// Time between two probes of a parked replica, in shortest aims: a recovered replica is back before its
-/// absence costs much.
+/// Time between two probes of a parked replica, as a multiple of the shortest aim: a recovered replica is
+/// back before its absence costs much.
 const PROBE_INTERVAL_AIMS: f64 = 2.0 / 3.0;
 /// Silence, in aims, after which a replica is suspected to hang, unless [`SUSPECT_AFTER_LATENCIES`] is
 /// longer.
@@ -43,8 +43,8 @@
 /// Minimum silence, in typical latencies, after which a replica is suspected to hang. It keeps replicas from
 /// being suspected while all of them are slow.
 const SUSPECT_AFTER_LATENCIES: f64 = 3.0;
-/// Number of later parts that a replica completes first from which a part counts as lost rather than slow:
-/// replicas work through their queues roughly in order.
+/// A part counts as lost rather than slow once its replica has completed this many parts that were sent
+/// later: replicas work through their queues roughly in order.
 const LOST_WHEN_OVERTAKEN_BY: u32 = 4;
 /// Share of the replicas that fail at the same time above which a shared cause is assumed. Replicas that are
 /// only suspected are then not parked, as that would pile up load on the rest. If more than this share look
@@ -57,8 +57,8 @@
 const QUERY_SAMPLE_WEIGHT: f64 = 0.2;
 /// Weight of an outcome in the failure rate of a replica: a few failures must show at once.
 const FAILURE_SAMPLE_WEIGHT: f64 = 0.4;
-/// Half-life of the failure records of replicas, in shortest aims: a replica that has recovered is tried
-/// again.
+/// Half-life of the failure records of replicas, as a multiple of the shortest aim: a replica that has
+/// recovered is tried again.
 const RECORD_HALF_LIFE_AIMS: f64 = 4.0;
 /// Exponents of a replica's success rate in its effective rate, for parts that may be sent again and for
 /// unsafe parts. Unsafe parts weigh failures more because they cannot be retried.
@@ -76,11 +76,11 @@
 /// settles near the 97th percentile of the samples.
 const BEST_RATE_WEIGHTS: (f64, f64) = (0.2, 0.005);
 /// Predicted finish times within this factor of the least one count as tied. Ties go first to a replica that
-/// is sent a call with room for the part in this step anyway, since the overhead of that call is already
-/// paid, then to a replica in the router's own zone, then to the first in a hash order.
+/// already gets a call in this step, if that call has room for the part, since the overhead of that call is
+/// already paid, then to a replica in the router's own zone, then to the first in a hash order.
 const TIE_FACTOR: f64 = 1.15;
-/// Predicted finish times, in aims, that also count as tied on a replica that is sent a call with room for
-/// the part in this step: no client notices the difference.
+/// Predicted finish time, in aims, up to which a replica also counts as tied if it already gets a call in
+/// this step that has room for the part: no client notices the difference.
 const CALL_TIE_AIMS: f64 = 0.3;
 /// Bounds of the factor that corrects a predicted query time for the cost in flight now, relative to the cost
 /// that was in flight when the typical latency was measured.
@@ -90,22 +90,24 @@
 const MIN_LATE_WORTH: f64 = 0.5;
 /// Time between steps while no query is open, as a share of the time between probes.
 const IDLE_STEP_OF_PROBE_INTERVAL: f64 = 0.25;
-/// Time, in typical latencies, within which a send on an idle connection that was dropped on the path is
-/// reset.
+/// If a send on an idle connection ends in a reset within this time, in typical latencies, the path is taken
+/// to have dropped the connection.
 const DROPPED_WITHIN_LATENCIES: f64 = 0.25;
-/// Number of replicas that reset parts of a query, with no part completed, from which the query itself is the
+/// If at least this many replicas reset parts of a query and no part completed, the query itself is the
 /// likely cause.
 const POISON_RESETS: usize = 3;
-/// Time after the failure of many replicas at once, in shortest aims, during which each query is tried on one
-/// replica first. It is long because the next query that crashes replicas may come late.
+/// Time after the failure of many replicas at once, as a multiple of the shortest aim, during which each
+/// query is tried on one replica first. It is long because the next query that crashes replicas may come
+/// late.
 const MASS_FAILURE_CAUTION_AIMS: f64 = 20.0;
 /// Time without a completed part, in typical latencies, after which a replica that reset a connection counts
 /// as dead rather than briefly disconnected.
 const DEAD_AFTER_LATENCIES: f64 = 1.5;
-/// Share of recent parts of all classes that a replica lost from which unsafe parts avoid it if they can.
+/// If they can, unsafe parts avoid replicas that lost at least this share of their recent parts of all
+/// classes.
 const LOSSY_SHARE: f64 = 0.05;
-/// Share of recent parts of a class that a replica failed from which all parts of the class avoid it
-/// if they can: a replica that fails at once looks fast and idle, above all to retries.
+/// If they can, all parts of a class avoid replicas that failed at least this share of its recent parts. A
+/// replica that fails parts at once looks fast and idle and would attract parts, above all retries.
 const FAILING_SHARE: f64 = 0.5;
 /// Time between steps while queries are open, in ticks. Each step sweeps over the queries that are due.
 const SWEEP_INTERVAL_TICKS: f64 = 2.0;
@@ -125,8 +127,8 @@
     record_half_life: Millis,
     /// The state of the random number generator.
     rng: u64,
-    /// The seed of the order in which queries without a shared key try tied replicas. It differs between
-    /// routers.
+    /// The seed of the order in which a query prefers tied replicas for parts whose order no key determines.
+    /// It differs between routers.
     #[serde(rename = "own")]
     order_seed: u64,
     /// The time of the current or last step.
@@ -171,14 +173,14 @@
     /// The actions of the current step.
     #[serde(skip)]
     actions: Vec<Action>,
-    /// Aggregates over all replicas. Both indexes are derived from the other fields and updated
+    /// Aggregates over all replicas. Like `query_index`, it is derived from the other fields and updated
     /// incrementally, so that a step need not visit all replicas and queries.
     #[serde(skip)]
     replica_index: ReplicaIndex,
     /// The queries by the time at which they must be checked.
     #[serde(skip)]
     query_index: QueryIndex,
-    /// Whether both indexes have been built.
+    /// Whether `replica_index` and `query_index` have been built.
     #[serde(skip)]
     indexed: bool,
 }
@@ -491,8 +493,8 @@
         }
         match outcome {
             Outcome::Completed => {
-                // A latency that includes a stall of this router is too long. It counts only as the first
-                // sample.
+                // A latency that includes a stall of this router is too long. It is used only if there is no
+                // sample yet.
                 replica.last_rate = replica.last_rate.filter(|_| self.lag.stall_ended == now).or(Some(rate));
                 (
                     replica.rate_sampled_at,
@@ -602,9 +604,10 @@
         mean + (rate - mean) * 0.5f64.powf(decay_intervals.max(0.0))
     }
 
-    /// Returns after how long this router tests a suspect replica again, if it would do so after
-    /// `single_router` when it was the only one. Routers share no state: if each of many tested as often as a
-    /// single one, they would together overload a slow replica with tests.
+    /// Lengthens a retest interval or a half-life that is chosen for a single router, such that the tests of
+    /// a replica by all routers take up at most [`RETEST_CAPACITY_SHARE`] of its capacity. Routers share no
+    /// state: if each of many tested as often as a single one, they would together overload a slow replica
+    /// with tests.
     fn scaled_to_fleet(&self, single_router: Millis) -> Millis {
         let best_rate = self.measures.best_rate.unwrap_or(1.0 / (self.min_aim * ASSUMED_COST_UNIT_AIMS));
         single_router.max(f64::from(self.settings.routers) / (best_rate * RETEST_CAPACITY_SHARE))
@@ -656,8 +659,8 @@
             // is idle.
             let relative_time = self.measures.relative_query_times[class]
                 .at(self.now, self.scaled_to_fleet(self.record_half_life));
-            // A router in a large fleet gets few load reports, and often has no recent one. For it, having
-            // none does not rule out that the fleet is busy.
+            // One of many routers gets few load reports, and often has no recent one. For it, having none
+            // does not rule out that the fleet is busy.
             let large_fleet = self.scaled_to_fleet(self.record_half_life) > self.record_half_life;
             let misses_deadline =
                 relative_time * self.measures.typical_latency.unwrap_or(0.0) > query.deadline - self.now;
@@ -700,7 +703,7 @@
     /// remaining capacity of such replicas goes to queries of high worth.
     fn leave_out_backlogged(&mut self, number: u64, share: f64) -> Option<Cause> {
         let query = self.queries.get(&number)?;
-        // Before the first list, no part is known to lack holders.
+        // While no replica is listed, no part is known to lack holders.
         self.replica_index.any_listed().then_some(())?;
         let (mut cause, mut weight_left_out, mut left_out) = (Cause::PredictedLate, 0.0, Vec::new());
         for (index, part) in query.parts.iter().enumerate() {
@@ -847,10 +850,9 @@
         let choice =
             if candidates.len() == 1 { ReplicaChoice::OnlyCandidate } else { ReplicaChoice::LeastFinish };
         let all_parked = candidates.iter().all(|replica| replica.parked_at.is_some());
-        // A retry is held back, until the time for suspecting a hang has passed since the last send, if all
-        // candidates are parked. So is a retry of a rejected part if it is the last one allowed or if all
-        // candidates are parked or were tried before. Otherwise retries would be used up at once on replicas
-        // that are hung or full.
+        // For one hang timeout after the last send, a retry is held back if all candidates are parked; and,
+        // after a rejection, if it is the last one allowed or no candidate is both unparked and untried.
+        // Otherwise retries would be used up at once on replicas that are hung or full.
         let unavailable = |replica: &&ReplicaStats| {
             replica.parked_at.is_some() || part.tried_replicas.contains(&replica.number)
         };
@@ -885,8 +887,8 @@
             });
         }
         // The effective rate: the rate, weighted by the replica's success rate. For an unsafe part, which
-        // can't be retried after an error, the lowest success rate of all classes counts, and more than the
-        // rate does.
+        // can't be retried after an error, the lowest success rate of all classes is used, with a higher
+        // exponent.
         let effective_rate = |replica: &ReplicaStats| {
             let success_rate = |class: usize| 1.0 - failure_rate(replica, class);
             let success_rate = match self.settings.classes[class].repeat {
@@ -957,8 +959,8 @@
         if replica.attempts_in_flight == 0 {
             replica.in_flight_since = self.now;
             let keep_alive = self.settings.keep_alive.unwrap_or(0.0);
-            // Connections that were idle for less than an aim are not dropped on the path: a failure there
-            // has other causes.
+            // The path is assumed to drop no connection that was idle for at most the shortest aim: a failure
+            // there has other causes. At the keep-alive time, connections are closed in any case.
             let may_be_dropped = |idle: &Millis| *idle > self.min_aim && *idle < keep_alive;
             replica.connection_idle =
                 replica.connection_used_at.map(|used| self.now - used).filter(may_be_dropped);
@@ -1009,8 +1011,6 @@
         }
     }
 
-    // ---- Checks of open queries
-
     /// Checks the queries that are due, in order of their numbers.
     fn check_due_queries(&mut self) {
         let step = self.settings.tick * SWEEP_INTERVAL_TICKS;
@@ -1032,7 +1032,8 @@
         let Some(query) = self.queries.get(&number) else { return };
         let class = &self.settings.classes[query.class];
         let enough = query.completed_share > 0.0 && query.completed_share >= class.least_share;
-        // An answer that is given exactly at the aim reaches its client late, and earns next to nothing.
+        // An answer that is given exactly at the aim reaches its client after it, and earns only the late
+        // worth.
         let lag = self.lag.answer_margin(self.now, class.aim, self.record_half_life);
         let answer_by = (query.accepted + class.aim).min(query.deadline) - step * 2.0 - lag;
         let out_of_time = self.now + step >= self.useful_until(query);
@@ -1129,9 +1130,10 @@
         }
     }
 
-    /// Handles the parts of a query whose replica has been silent since their send for so long that it is
-    /// suspected to hang. The replica is parked, and the part is cancelled and retried elsewhere if there is
-    /// time and retry budget.
+    /// Handles those parts of a query that were sent to a replica which has been silent since the send for so
+    /// long that it is suspected to hang. The replica is parked and, if there is time and retry budget, the
+    /// attempt is cancelled, so that the part can be sent again. If the path probably dropped the connection,
+    /// the replica is not parked: the attempt is cancelled, and idle connections to the replica are closed.
     fn retry_silent(&mut self, number: u64) {
         let Some(query) = self.queries.get(&number) else { return };
         let class = query.class;
@@ -1207,8 +1209,9 @@
         }
     }
 
-    /// Refuses a query if no part of it can have had an effect; otherwise fails it. `admitted` is false for
-    /// a new query that is turned away.
+    /// Refuses a query if no part of its current step can have run and no first step was answered; otherwise
+    /// fails it. A query that is not `admitted`, as it is turned away when new, is also refused if its class
+    /// is idempotent and no first step was answered.
     fn end_query(&mut self, number: u64, admitted: bool, cause: Cause) {
         let Some(query) = self.queries.get(&number) else { return };
         let class = &self.settings.classes[query.class];
@@ -1268,7 +1271,7 @@
         for number in self.replica_index.probes_due(now) {
             let replica_id = self.update_replica(number, |replica| {
                 replica.probe_at = next_probe;
-                // Where probes are not allowed, the replica gets parts again instead.
+                // If probes are not allowed, the replica gets parts again instead.
                 replica.parked_at = replica.parked_at.filter(|_| probes);
                 replica.entry.id.clone()
             });
--- a/src/decide/indexes.rs
+++ b/src/decide/indexes.rs
@@ -5,7 +5,7 @@
 use crate::replica_index::ReplicaFacts;
 
 impl Router {
-    /// Rebuilds both indexes from the rest of the state.
+    /// Rebuilds the replica index and the query index from the rest of the state.
     pub(super) fn rebuild_indexes(&mut self) {
         self.replica_index = self.build_replica_index();
         self.query_index = self.build_query_index(|_| true);
@@ -87,8 +87,8 @@
         Some(result)
     }
 
-    /// Returns the times at which a query must be checked: its aim or, if that is earlier, its deadline; and
-    /// its deadline.
+    /// Returns the times at which a query must be checked: its arrival plus its aim or, if that is earlier,
+    /// its deadline; and its deadline.
     pub(super) fn check_times(&self, number: u64, query: &Query) -> QueryTimes {
         let aim = (query.accepted + self.settings.classes[query.class].aim).min(query.deadline);
         QueryTimes { number, answer_by: aim, deadline: query.deadline }
--- a/src/decide/state.rs
+++ b/src/decide/state.rs
@@ -1,5 +1,5 @@
-//! The serialized parts of the router's state: queries, parts, attempts, replica statistics and fleet
-//! measures.
+//! The types that the router's serialized state consists of: queries, parts, attempts, replica statistics and
+//! fleet measures.
 
 use serde::{Deserialize, Serialize};
 
@@ -55,7 +55,7 @@
     pub(super) completed: bool,
     /// Whether the answer is built without it.
     pub(super) left_out: bool,
-    /// The reason of its next attempt.
+    /// The reason for its next attempt.
     #[serde(rename = "why")]
     pub(super) reason: AttemptReason,
     /// The number of attempts made.
@@ -66,7 +66,8 @@
     /// The replicas of all attempts.
     #[serde(rename = "tried")]
     pub(super) tried_replicas: Vec<ReplicaNo>,
-    /// The time of the first send that may have run; `None` if all ended attempts are known not to have run.
+    /// When the first attempt that may have run was sent; `None` if all ended attempts are known not to have
+    /// run.
     pub(super) may_have_run: Option<Millis>,
     /// When the last attempt was sent.
     pub(super) last_sent: Millis,
@@ -94,8 +95,8 @@
     /// The replicas that reset a part of it, once each, and whether the connection was certainly open before
     /// the send. A connection that had been idle may have been dropped on the path.
     pub(super) resets: Vec<(ReplicaNo, bool)>,
-    /// When enough parts had completed for an answer. The time spent waiting for the others until the aim is
-    /// no sign of overload.
+    /// When enough parts had completed for an answer. Waiting for the other parts after that is no sign of
+    /// overload.
     pub(super) enough_at: Option<Millis>,
 }
 
@@ -138,7 +139,8 @@
     /// The share of its recent parts that failed, by class.
     #[serde(rename = "failed")]
     pub(super) failure_rates: Vec<DecayingMean>,
-    /// The share of its recent parts of all classes that it may have run without answering them.
+    /// The share of its recent parts of all classes that ended in an error, a reset or a timeout or count as
+    /// lost. Resets of idle connections that the path dropped are left out.
     #[serde(rename = "lost")]
     pub(super) loss_rate: DecayingMean,
     /// When it was parked, if it is.
--- a/src/idle.rs
+++ b/src/idle.rs
@@ -6,7 +6,7 @@
 use crate::api::Millis;
 use crate::decaying_mean::DecayingMean;
 
-/// Share of sends on idle connections that are lost from which idle connections count as dropped.
+/// Idle connections count as dropped if more than this share of the sends on them is lost.
 const DROPPED_SHARE: f64 = 0.1;
 /// Idle connections are then closed at this share of the shortest idle time with a loss.
 const LIMIT_MARGIN: f64 = 0.5;
--- a/src/query_index.rs
+++ b/src/query_index.rs
@@ -22,7 +22,7 @@
 pub struct QueryTimes {
     /// The number of the query.
     pub number: u64,
-    /// The end of its aim or its deadline, whichever comes first.
+    /// Its arrival plus its aim, or its deadline if that is earlier.
     pub answer_by: Millis,
     /// When its client gives up.
     pub deadline: Millis,
@@ -175,7 +175,8 @@
         reached(&self.classes[class].answer_by, at)
     }
 
-    /// Returns those of them that have enough parts for an answer.
+    /// Returns the queries of a class whose aims or deadlines have come at a time and that have enough parts
+    /// for an answer.
     pub fn answerable_past_aim(&self, class: usize, at: Millis) -> impl Iterator<Item = u64> + '_ {
         reached(&self.classes[class].answerable, at)
     }
@@ -187,9 +188,10 @@
         sent.map(|(_, (number, _))| *number)
     }
 
-    /// Describes a difference from a rebuilt index, if there is one. Changed queries are not compared. The
-    /// parts in flight have to include those of `silent` and be included in those of `all`, as parts whose
-    /// replica has answered since they were sent are removed late.
+    /// Describes a difference from a rebuilt index, if there is one. `all` is rebuilt with all parts in
+    /// flight, `silent` only with those whose replica has not answered since they were sent. The parts in
+    /// flight of `self` may lie between the two, because parts whose replica has answered are removed late.
+    /// Changed queries are not compared.
     pub fn difference(&self, all: &QueryIndex, silent: &QueryIndex) -> Option<String> {
         let comparable = |index: &QueryIndex| {
             let class = |class: &Class| Class { in_flight: BTreeSet::new(), ..class.clone() };
