--- a/src/api.rs
+++ b/src/api.rs
@@ -59,7 +59,7 @@
     /// The part is idempotent and may always be sent again.
     Safe,
     /// Replicas drop duplicates by an idempotency key, so the part may be sent again within a window that
-    /// starts with the first send that may have run.
+    /// starts when the first attempt that may have run was sent.
     Keyed {
         /// The time for which replicas drop duplicates.
         window: Millis,
@@ -69,12 +69,13 @@
 }
 
 impl RepeatPolicy {
-    /// Returns whether a part may be sent at `now`, given the time of its first send that may have run.
+    /// Returns whether a part may be sent at `now`, given when its first attempt that may have run was sent.
     pub fn allows(self, may_have_run: Option<Millis>, now: Millis) -> bool {
         now <= self.allowed_until(may_have_run)
     }
 
-    /// Returns the latest time at which a part may be sent, given its first send that may have run.
+    /// Returns the latest time at which a part may be sent, given when its first attempt that may have run
+    /// was sent.
     pub fn allowed_until(self, may_have_run: Option<Millis>) -> Millis {
         match (self, may_have_run) {
             (RepeatPolicy::Safe, _) | (_, None) => Millis::INFINITY,
@@ -273,7 +274,7 @@
     Failed,
 }
 
-/// The load that a replica reported. A value is `None` where the replicas don't report it.
+/// The load that a replica reported. A value is `None` if the replicas don't report it.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct LoadReport {
     /// The number of queued parts.
--- a/src/asking.rs
+++ b/src/asking.rs
@@ -21,9 +21,9 @@
 /// and can be reached. After that the change counts as received even if it has not come, so calls, watches
 /// and backoff are bounded such that the next list arrives within this time.
 pub const MAX_LIST_DELAY: Millis = 6000.0;
-/// Time from the start of the connect after which a call for the whole list is repeated on a second connection,
-/// as the service may only be slow; both end after twice this time. The service handles calls one after
-/// another and itself fails those that waited this long.
+/// Time from the start of the connect after which a call for the whole list is repeated on a second
+/// connection, as the service may only be slow; both end after twice this time. The service handles calls
+/// one after another and itself fails those that waited this long.
 pub const CALL_TIMEOUT: Millis = 2000.0;
 /// Longest backoff after a failed call. The failed call may have started just before the service came back,
 /// and one more has to complete in time after the backoff.
--- a/src/lag.rs
+++ b/src/lag.rs
@@ -6,8 +6,8 @@
 use crate::api::Millis;
 use crate::decaying_mean::DecayingMean;
 
-/// Lateness of a step, as a share of the shortest aim, from which the router itself counts as stalled. It
-/// also bounds the margin for usual lag.
+/// The router itself counts as stalled if a step is late by more than this share of the shortest aim. The
+/// margin for usual lag is at most this share of the aim of a class.
 const STALL_OF_AIM: f64 = 0.1;
 /// Lags that an answer may meet: its query waits to be read, its step is late, and its bytes wait to be
 /// written.
--- a/src/replica_index.rs
+++ b/src/replica_index.rs
@@ -75,8 +75,8 @@
     }
 }
 
-/// Returns the replicas whose times meet a condition that holds up to some time, in the order of their
-/// numbers.
+/// Returns the replicas whose times satisfy a condition, in the order of their numbers. If the condition does
+/// not hold for a time, it must not hold for any later one.
 fn while_time(set: &ByTime, condition: impl Fn(Millis) -> bool) -> Vec<u64> {
     let mut due: Vec<u64> =
         set.iter().take_while(|(time, _)| condition(time.0)).map(|(_, number)| *number).collect();
@@ -86,7 +86,7 @@
 
 impl ReplicaIndex {
     /// Builds the index of all replicas. Shards are laid out over `cells`, and a number of consecutive
-    /// cells holds each. Utilizations count that were reported after `since`.
+    /// cells holds each. Only utilizations that were reported after `since` count.
     pub fn build(
         (cells, cells_per_shard): (u32, u32),
         warm_within: Option<Millis>,
