--- a/src/api.rs
+++ b/src/api.rs
@@ -70,14 +70,14 @@
 
 impl RepeatPolicy {
     /// Returns whether a part may be sent at `now`, given when its first attempt that may have run was sent.
-    pub fn allows(self, may_have_run: Option<Millis>, now: Millis) -> bool {
-        now <= self.allowed_until(may_have_run)
+    pub fn allows(self, may_have_run_since: Option<Millis>, now: Millis) -> bool {
+        now <= self.allowed_until(may_have_run_since)
     }
 
     /// Returns the latest time at which a part may be sent, given when its first attempt that may have run
     /// was sent.
-    pub fn allowed_until(self, may_have_run: Option<Millis>) -> Millis {
-        match (self, may_have_run) {
+    pub fn allowed_until(self, may_have_run_since: Option<Millis>) -> Millis {
+        match (self, may_have_run_since) {
             (RepeatPolicy::Safe, _) | (_, None) => Millis::INFINITY,
             (RepeatPolicy::Keyed { window }, Some(first)) => first + window,
             (RepeatPolicy::Unsafe, Some(_)) => Millis::NEG_INFINITY,
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -15,13 +15,14 @@
 
 use crate::api::*;
 use crate::hash::{draw, hash, mix};
-use crate::{asking::ListRequests, cold, decaying_mean::DecayingMean, lag::StepLag, query_index::QueryIndex};
+use crate::query_index::{PartLocation, QueryIndex};
+use crate::{asking::ListRequests, cold, decaying_mean::DecayingMean, lag::StepLag};
 use crate::{quota::Quotas, replica_index::ReplicaIndex, trim::parts_to_leave_out};
 
 mod indexes;
 mod state;
 
-use state::{FleetMeasures, InFlight, Part, Query, ReplicaNo, ReplicaStats};
+use state::{FleetMeasures, InFlight, Part, Query, ReplicaHash, ReplicaStats};
 
 /// Length of C2LD's monitoring interval S, as a multiple of the shortest aim: long enough to span the
 /// latencies of several parts.
@@ -137,7 +138,7 @@
     lag: StepLag,
     /// The replicas of the list, and those that are gone but have attempts in flight.
     #[serde(rename = "servers")]
-    replicas: BTreeMap<ReplicaNo, Box<ReplicaStats>>,
+    replicas: BTreeMap<ReplicaHash, Box<ReplicaStats>>,
     /// The open queries by number.
     queries: BTreeMap<u64, Query>,
     /// The numbers of the open queries.
@@ -145,7 +146,7 @@
     query_numbers: HashMap<QueryId, u64>,
     /// The query number and the index of each part of an open query.
     #[serde(rename = "parts")]
-    part_places: HashMap<PartId, (u64, usize)>,
+    part_locations: HashMap<PartId, PartLocation>,
     /// The attempts that were sent and have not ended, including those whose query is over.
     #[serde(rename = "flights")]
     in_flight: HashMap<(PartId, Attempt), InFlight>,
@@ -274,7 +275,7 @@
         };
         (self.measures, self.replicas) = (
             measures,
-            replicas.into_iter().map(|stats| (stats.number, Box::new(without_traffic(stats)))).collect(),
+            replicas.into_iter().map(|stats| (stats.id_hash, Box::new(without_traffic(stats)))).collect(),
         );
         self.apply_settings(self.settings.clone()).is_ok()
     }
@@ -309,9 +310,9 @@
             self.replicas.values_mut().for_each(|replica| replica.entry.state = ReplicaState::Gone);
         }
         for entry in entries {
-            let number = hash(&entry.id.0);
-            let before = self.replicas.get(&number).map(|replica| replica.facts()).filter(|_| !is_complete);
-            match self.replicas.get_mut(&number) {
+            let id_hash = hash(&entry.id.0);
+            let before = self.replicas.get(&id_hash).map(|replica| replica.facts()).filter(|_| !is_complete);
+            match self.replicas.get_mut(&id_hash) {
                 // A changed start time means a new process, to which the learned state doesn't apply.
                 Some(replica) if replica.entry.started == entry.started => replica.entry = entry,
                 _ => {
@@ -319,7 +320,7 @@
                     let (rate_sampled_at, last_response) = (self.now, self.now);
                     let cold_budget = (draw(&mut self.rng), self.now);
                     let replica = ReplicaStats {
-                        number,
+                        id_hash,
                         cold_budget,
                         entry,
                         rate_sampled_at,
@@ -327,25 +328,25 @@
                         failure_rates,
                         ..ReplicaStats::default()
                     };
-                    self.replicas.insert(number, Box::new(replica));
+                    self.replicas.insert(id_hash, Box::new(replica));
                 }
             }
             if !is_complete {
                 self.replica_index.update(
                     before.as_ref(),
-                    self.replicas.get(&number).map(|replica| replica.facts()).as_ref(),
+                    self.replicas.get(&id_hash).map(|replica| replica.facts()).as_ref(),
                 );
             }
         }
         if is_complete {
             self.replica_index = self.build_replica_index();
         }
-        for number in self.replica_index.gone() {
+        for id_hash in self.replica_index.gone() {
             if let Some(replica) =
-                self.replicas.get(&number).filter(|replica| replica.attempts_in_flight == 0)
+                self.replicas.get(&id_hash).filter(|replica| replica.attempts_in_flight == 0)
             {
                 self.replica_index.update(Some(&replica.facts()), None);
-                self.replicas.remove(&number);
+                self.replicas.remove(&id_hash);
             }
         }
     }
@@ -353,7 +354,7 @@
     /// Opens a query. It is admitted or refused after all events of the step.
     fn handle_query(&mut self, new: NewQuery) {
         let class = new.class.0.min(self.settings.classes.len() - 1);
-        self.measures.attempt_budget.record(self.settings.budget, self.now, false);
+        self.measures.retry_limit_usage.record(self.settings.budget, self.now, false);
         let mut worth = self.settings.classes[class].worth;
         let tenant = new.tenant.map_or(usize::MAX, |TenantIndex(tenant)| tenant);
         if !self.measures.quotas.charge(tenant, &self.settings.tenants, self.settings.routers, self.now) {
@@ -361,8 +362,8 @@
         }
         let NewQuery { id, number, deadline, arrived, .. } = new;
         self.query_numbers.insert(id.clone(), number);
-        let accepted = arrived.min(self.now);
-        let query = Query { id, class, accepted, deadline, worth, ..Query::default() };
+        let arrived = arrived.min(self.now);
+        let query = Query { id, class, arrived, deadline, worth, ..Query::default() };
         self.query_index.insert_query(class, self.check_times(number, &query));
         self.queries.insert(number, query);
         self.new_queries.push(number);
@@ -370,7 +371,7 @@
 
     /// Adds a part to its query and queues it to be sent.
     fn handle_part(&mut self, new: NewPart) {
-        self.measures.attempt_budget.record(self.settings.budget, self.now, false);
+        self.measures.retry_limit_usage.record(self.settings.budget, self.now, false);
         let Some(query) = self.queries.get_mut(&new.query) else { return };
         let hint = new.cost_hint.filter(|hint| *hint > 0.0);
         self.measures.mean_cost_hint = hint
@@ -386,7 +387,7 @@
             .filter(|_| self.settings.warm_keys)
             .map_or(mix(self.order_seed ^ new.query), hash);
         let NewPart { id, shard, weight, .. } = new;
-        self.part_places.insert(id.clone(), (new.query, query.parts.len()));
+        self.part_locations.insert(id.clone(), (new.query, query.parts.len()));
         self.waiting.insert((new.query, shard, query.parts.len()));
         self.query_index.mark_changed(new.query);
         query.parts.push(Part { id, shard, weight, cost, order_key, ..Part::default() });
@@ -400,7 +401,7 @@
             self.cost_in_flight = (self.cost_in_flight - flight.cost).max(0.0);
         }
         self.record_outcome(&flight, outcome, latency, load);
-        let Some(&(number, index)) = self.part_places.get(&id) else { return };
+        let Some(&(number, index)) = self.part_locations.get(&id) else { return };
         self.query_index.remove_in_flight(flight.class, flight.sent, (number, index));
         self.query_index.untrack_attempt(flight.replica, flight.sent, (id, attempt), (number, index));
         self.query_index.mark_changed(number);
@@ -424,7 +425,8 @@
             return;
         }
         if !outcome.never_ran() {
-            part.may_have_run = Some(part.may_have_run.map_or(flight.sent, |at| at.min(flight.sent)));
+            part.may_have_run_since =
+                Some(part.may_have_run_since.map_or(flight.sent, |at| at.min(flight.sent)));
         }
         self.waiting.insert((number, part.shard, index));
     }
@@ -453,7 +455,7 @@
         load: Option<LoadReport>,
     ) {
         let (now, half_life, failure_half_life) =
-            (self.now, self.record_half_life, self.scaled_to_fleet(self.record_half_life));
+            (self.now, self.record_half_life, self.scaled_to_routers(self.record_half_life));
         // A connection that was dropped on the path while idle is reset at once on the next send.
         let at_once = latency <= self.measures.typical_latency.unwrap_or(latency) * DROPPED_WITHIN_LATENCIES;
         let dropped = outcome == Outcome::Reset && flight.connection_idle.is_some() && at_once;
@@ -566,20 +568,20 @@
 
     /// Parks a replica and returns whether it is parked. A replica whose failure is not certain is not parked
     /// if too many others are, as that suggests a shared cause.
-    fn park(&mut self, number: ReplicaNo, certain: bool) -> bool {
+    fn park(&mut self, id_hash: ReplicaHash, certain: bool) -> bool {
         let (active, parked) = self.replica_index.active_and_parked();
         let shared_cause = !certain && (parked + 1) as f64 > (SHARED_CAUSE_SHARE * active as f64).max(1.0);
-        let Some(replica) = self.replicas.get(&number) else { return false };
+        let Some(replica) = self.replicas.get(&id_hash) else { return false };
         let park_now =
             replica.parked_at.is_none() && replica.entry.state == ReplicaState::Active && !shared_cause;
         if park_now {
             self.actions.push(Action::Log(format!("{} parked", replica.entry.id.0)));
             let (now, probe_at) = (self.now, self.now + self.min_aim * PROBE_INTERVAL_AIMS);
-            self.update_replica(number, |replica| {
+            self.update_replica(id_hash, |replica| {
                 (replica.parked_at, replica.probe_at) = (Some(now), probe_at)
             });
         }
-        park_now || self.replicas.get(&number).is_some_and(|replica| replica.parked_at.is_some())
+        park_now || self.replicas.get(&id_hash).is_some_and(|replica| replica.parked_at.is_some())
     }
 
     /// Returns the number of the current monitoring interval.
@@ -598,7 +600,7 @@
         let mean = self.mean_rate(class);
         let Some(rate) = replica.last_rate else { return mean };
         let decay_after =
-            self.scaled_to_fleet(self.min_aim * MONITORING_INTERVAL_AIMS * DECAY_AFTER_INTERVALS);
+            self.scaled_to_routers(self.min_aim * MONITORING_INTERVAL_AIMS * DECAY_AFTER_INTERVALS);
         let decay_intervals =
             ((self.now - replica.rate_sampled_at) / decay_after - 1.0) * DECAY_AFTER_INTERVALS;
         mean + (rate - mean) * 0.5f64.powf(decay_intervals.max(0.0))
@@ -608,7 +610,7 @@
     /// a replica by all routers take up at most [`RETEST_CAPACITY_SHARE`] of its capacity. Routers share no
     /// state: if each of many tested as often as a single one, they would together overload a slow replica
     /// with tests.
-    fn scaled_to_fleet(&self, single_router: Millis) -> Millis {
+    fn scaled_to_routers(&self, single_router: Millis) -> Millis {
         let best_rate = self.measures.best_rate.unwrap_or(1.0 / (self.min_aim * ASSUMED_COST_UNIT_AIMS));
         single_router.max(f64::from(self.settings.routers) / (best_rate * RETEST_CAPACITY_SHARE))
     }
@@ -658,10 +660,10 @@
             // A query that is not expected to finish before its client gives up is refused even if the fleet
             // is idle.
             let relative_time = self.measures.relative_query_times[class]
-                .at(self.now, self.scaled_to_fleet(self.record_half_life));
+                .at(self.now, self.scaled_to_routers(self.record_half_life));
             // One of many routers gets few load reports, and often has no recent one. For it, having none
             // does not rule out that the fleet is busy.
-            let large_fleet = self.scaled_to_fleet(self.record_half_life) > self.record_half_life;
+            let many_routers = self.scaled_to_routers(self.record_half_life) > self.record_half_life;
             let misses_deadline =
                 relative_time * self.measures.typical_latency.unwrap_or(0.0) > query.deadline - self.now;
             if !misses_deadline && self.is_fleet_busy() == Some(false) {
@@ -674,7 +676,7 @@
                     false,
                     if within_quota { Cause::PredictedLate } else { Cause::BeyondShare },
                 );
-            } else if predicted_aims > OVERLOADED_AIMS || large_fleet || self.is_fleet_busy().is_some() {
+            } else if predicted_aims > OVERLOADED_AIMS || many_routers || self.is_fleet_busy().is_some() {
                 let weights: Vec<_> = query.parts.iter().map(|part| part.weight).collect();
                 let class = &self.settings.classes[class];
                 self.leave_out(number, parts_to_leave_out(&weights, class, predicted_aims > OVERLOADED_AIMS));
@@ -728,12 +730,12 @@
         // A query that was ended early would have taken longer, so it counts with at least its aim. It is
         // ignored if its client set a deadline before the aim.
         let is_representative = |query: &&Query| {
-            served || query.deadline - query.accepted >= self.settings.classes[query.class].aim
+            served || query.deadline - query.arrived >= self.settings.classes[query.class].aim
         };
         let Some(query) = self.queries.get(&number).filter(is_representative) else { return };
         let end = if served { query.enough_at.unwrap_or(self.now) } else { self.now };
         let time =
-            (end - query.accepted).max(if served { 0.0 } else { self.settings.classes[query.class].aim });
+            (end - query.arrived).max(if served { 0.0 } else { self.settings.classes[query.class].aim });
         let sample = time / self.measures.typical_latency.unwrap_or(time).max(self.settings.tick);
         let (class, known) = (query.class, self.relative_query_time(query.class));
         self.measures.relative_query_times[class] =
@@ -769,7 +771,7 @@
     /// can't be retried.
     fn useful_until(&self, query: &Query) -> Millis {
         if self.ends_at_aim(query.class) {
-            query.deadline.min(query.accepted + self.settings.classes[query.class].aim)
+            query.deadline.min(query.arrived + self.settings.classes[query.class].aim)
         } else {
             query.deadline
         }
@@ -788,7 +790,7 @@
     fn may_send(&self, part: &Part, class: usize) -> bool {
         let excluded =
             part.completed || part.current_attempt.is_some() || part.attempts >= self.settings.max_attempts;
-        !excluded && self.settings.classes[class].repeat.allows(part.may_have_run, self.now)
+        !excluded && self.settings.classes[class].repeat.allows(part.may_have_run_since, self.now)
     }
 
     /// Sends the waiting parts for which a replica is available.
@@ -798,8 +800,8 @@
         let since = self.now - self.record_half_life;
         let until = self.now - self.measures.typical_latency.unwrap_or(0.0) * DEAD_AFTER_LATENCIES;
         // A replica counts as dead if a connection to it failed and its rate has not been sampled since.
-        let no_sample_since = |(number, failed_at): &(ReplicaNo, Millis)| {
-            self.replicas.get(number).is_some_and(|replica| replica.rate_sampled_at < *failed_at)
+        let no_sample_since = |(id_hash, failed_at): &(ReplicaHash, Millis)| {
+            self.replicas.get(id_hash).is_some_and(|replica| replica.rate_sampled_at < *failed_at)
         };
         let dead_replicas = self.replica_index.died_between(since, until).filter(no_sample_since).count();
         if dead_replicas as f64 > SHARED_CAUSE_SHARE * self.replicas.len() as f64 {
@@ -815,7 +817,7 @@
             let held_back = (may_crash_replicas
                 && query.parts.iter().any(|part| part.current_attempt.is_some()))
                 || (part.attempts > 0
-                    && !self.measures.attempt_budget.allows_retry(self.settings.budget, self.now));
+                    && !self.measures.retry_limit_usage.allows_retry(self.settings.budget, self.now));
             if held_back || !self.may_send(part, query.class) {
                 continue;
             }
@@ -829,15 +831,15 @@
     /// Returns the listed replicas that hold a shard.
     fn holders(&self, shard: Shard) -> Vec<&ReplicaStats> {
         let numbers = self.replica_index.holders(shard);
-        numbers.iter().filter_map(|number| self.replicas.get(number).map(|replica| &**replica)).collect()
+        numbers.iter().filter_map(|id_hash| self.replicas.get(id_hash).map(|replica| &**replica)).collect()
     }
 
     /// Returns the holder of the part's shard with the least predicted finish time; `None` if no replica may
     /// take the part now.
-    fn choose_replica(&self, part: &Part, class: usize) -> Option<(ReplicaNo, ReplicaChoice)> {
+    fn choose_replica(&self, part: &Part, class: usize) -> Option<(ReplicaHash, ReplicaChoice)> {
         let interval_left =
             (self.monitoring_interval() + 1) as f64 * self.min_aim * MONITORING_INTERVAL_AIMS - self.now;
-        let failure_half_life = self.scaled_to_fleet(self.record_half_life);
+        let failure_half_life = self.scaled_to_routers(self.record_half_life);
         let failure_rate = |replica: &ReplicaStats, class: usize| {
             replica.failure_rates[class].at(self.now, failure_half_life)
         };
@@ -854,7 +856,7 @@
         // after a rejection, if it is the last one allowed or no candidate is both unparked and untried.
         // Otherwise retries would be used up at once on replicas that are hung or full.
         let unavailable = |replica: &&ReplicaStats| {
-            replica.parked_at.is_some() || part.tried_replicas.contains(&replica.number)
+            replica.parked_at.is_some() || part.tried_replicas.contains(&replica.id_hash)
         };
         let nearly_exhausted =
             part.attempts + 1 >= self.settings.max_attempts || candidates.iter().all(unavailable);
@@ -867,7 +869,7 @@
             let rating =
                 |replica: &&&ReplicaStats| self.rate(replica, class) * (1.0 - failure_rate(replica, class));
             let best = candidates.iter().max_by(|a, b| rating(a).total_cmp(&rating(b)));
-            return best.map(|replica| (replica.number, ReplicaChoice::BestParked));
+            return best.map(|replica| (replica.id_hash, ReplicaChoice::BestParked));
         }
         retain_if_any(&mut candidates, |replica| replica.parked_at.is_none());
         retain_if_any(&mut candidates, |replica| failure_rate(replica, class) < FAILING_SHARE);
@@ -878,7 +880,7 @@
         retain_if_any(&mut candidates, |replica| {
             !self.is_backlogged(replica, class, ADMISSION_LIMIT_AIMS) && !is_silent(replica)
         });
-        retain_if_any(&mut candidates, |replica| !part.tried_replicas.contains(&replica.number));
+        retain_if_any(&mut candidates, |replica| !part.tried_replicas.contains(&replica.id_hash));
         // The failure rate recovers within a few parts. Unsafe parts, which can't be retried, also need the
         // loss rate, which has a longer memory.
         if self.settings.classes[class].repeat == RepeatPolicy::Unsafe {
@@ -932,28 +934,28 @@
             (
                 joins_call(replica),
                 replica.entry.zone == self.settings.zone,
-                mix(replica.number ^ part.order_key),
+                mix(replica.id_hash ^ part.order_key),
             )
         };
-        candidates.iter().max_by_key(preference).map(|replica| (replica.number, choice))
+        candidates.iter().max_by_key(preference).map(|replica| (replica.id_hash, choice))
     }
 
     /// Starts an attempt at a part and updates the statistics and indexes.
-    fn send(&mut self, number: u64, index: usize, replica_no: ReplicaNo, choice: ReplicaChoice) {
+    fn send(&mut self, number: u64, index: usize, replica_hash: ReplicaHash, choice: ReplicaChoice) {
         let interval = self.monitoring_interval();
         let Some(query) = self.queries.get(&number) else { return };
         let (useful_until, is_retry) = (self.useful_until(query), query.parts[index].attempts > 0);
         let allowance =
-            self.replicas.get(&replica_no).and_then(|replica| self.cold_allowance(replica, query.class));
+            self.replicas.get(&replica_hash).and_then(|replica| self.cold_allowance(replica, query.class));
         let Some(query) = self.queries.get_mut(&number) else { return };
-        let Some(replica) = self.replicas.get_mut(&replica_no) else { return };
+        let Some(replica) = self.replicas.get_mut(&replica_hash) else { return };
         let before = replica.facts();
         let part = &mut query.parts[index];
         let attempt = Attempt(part.attempts);
         part.attempts += 1;
         part.last_sent = self.now;
-        part.current_attempt = Some((attempt, replica_no));
-        part.tried_replicas.push(replica_no);
+        part.current_attempt = Some((attempt, replica_hash));
+        part.tried_replicas.push(replica_hash);
         replica.interval_cost = (interval, replica.sent_in(interval) + part.cost);
         replica.cost_in_flight += part.cost;
         if replica.attempts_in_flight == 0 {
@@ -975,7 +977,7 @@
             (query.class, self.now, part.cost, replica.connection_idle, replica.cost_in_flight);
         let router_cost_in_flight = self.cost_in_flight;
         let flight = InFlight {
-            replica: replica_no,
+            replica: replica_hash,
             class,
             sent,
             cost,
@@ -988,12 +990,12 @@
         let timeout = (useful_until - self.now).max(self.settings.tick);
         let (reason, part, replica_id) = (part.reason, part.id.clone(), replica.entry.id.clone());
         self.query_index.insert_in_flight(class, sent, (number, index));
-        self.query_index.track_attempt(replica_no, sent, (part.clone(), attempt), None);
+        self.query_index.track_attempt(replica_hash, sent, (part.clone(), attempt), None);
         self.in_flight.insert((part.clone(), attempt), flight);
         self.actions.push(Action::Send { part, replica: replica_id, timeout, reason, choice });
         if is_retry {
             self.measures.retry_budget.spend(self.settings.routers);
-            self.measures.attempt_budget.record(self.settings.budget, self.now, true);
+            self.measures.retry_limit_usage.record(self.settings.budget, self.now, true);
         }
     }
 
@@ -1004,8 +1006,13 @@
         if let (Some(flight), true) = (in_flight, self.settings.may_cancel) {
             flight.cancelled = Some(reason);
             self.cost_in_flight = (self.cost_in_flight - flight.cost).max(0.0);
-            if let Some(place) = self.part_places.get(id) {
-                self.query_index.untrack_attempt(flight.replica, flight.sent, (id.clone(), attempt), *place);
+            if let Some(location) = self.part_locations.get(id) {
+                self.query_index.untrack_attempt(
+                    flight.replica,
+                    flight.sent,
+                    (id.clone(), attempt),
+                    *location,
+                );
             }
             self.actions.push(Action::Cancel { part: id.clone(), attempt, reason });
         }
@@ -1035,7 +1042,7 @@
         // An answer that is given exactly at the aim reaches its client after it, and earns only the late
         // worth.
         let lag = self.lag.answer_margin(self.now, class.aim, self.record_half_life);
-        let answer_by = (query.accepted + class.aim).min(query.deadline) - step * 2.0 - lag;
+        let answer_by = (query.arrived + class.aim).min(query.deadline) - step * 2.0 - lag;
         let out_of_time = self.now + step >= self.useful_until(query);
         let all_completed = query.completed_share > 0.0 && query.parts.iter().all(|part| part.completed);
         let whole = all_completed
@@ -1058,7 +1065,7 @@
         let failed_part =
             query.parts.iter().find(|part| class.least_share >= class.whole_from && cannot_complete(part));
         let may_have_had_effect =
-            |part: &Part| part.may_have_run.is_some() && class.repeat != RepeatPolicy::Safe;
+            |part: &Part| part.may_have_run_since.is_some() && class.repeat != RepeatPolicy::Safe;
         let failure_cause = |part: &Part| {
             let cause = if may_have_had_effect(part) { Cause::MayHaveRun } else { Cause::AttemptsSpent };
             cause(part.shard)
@@ -1105,9 +1112,9 @@
     fn retry_lost(&mut self, number: u64) {
         let Some(query) = self.queries.get(&number) else { return };
         let (class, now, half_life, failure_half_life) =
-            (query.class, self.now, self.record_half_life, self.scaled_to_fleet(self.record_half_life));
+            (query.class, self.now, self.record_half_life, self.scaled_to_routers(self.record_half_life));
         let since = now - self.measures.typical_latency.unwrap_or(0.0) * SUSPECT_AFTER_LATENCIES;
-        for (index, id, (attempt, replica_no), sent, attempts) in query.parts_in_flight_since(since) {
+        for (index, id, (attempt, replica_hash), sent, attempts) in query.parts_in_flight_since(since) {
             let is_lost = |flight: &&mut InFlight| {
                 flight.cancelled.is_none() && flight.overtaken_by >= LOST_WHEN_OVERTAKEN_BY
             };
@@ -1116,9 +1123,9 @@
             };
             // The loss counts once, even if the part stays in flight.
             flight.overtaken_by = 0;
-            self.query_index.untrack_attempt(replica_no, sent, (id.clone(), attempt), (number, index));
-            self.query_index.track_attempt(replica_no, sent, (id.clone(), attempt), None);
-            if let Some(replica) = self.replicas.get_mut(&replica_no) {
+            self.query_index.untrack_attempt(replica_hash, sent, (id.clone(), attempt), (number, index));
+            self.query_index.track_attempt(replica_hash, sent, (id.clone(), attempt), None);
+            if let Some(replica) = self.replicas.get_mut(&replica_hash) {
                 replica.failure_rates[class].record(1.0, FAILURE_SAMPLE_WEIGHT, now, failure_half_life);
                 replica.loss_rate.record(1.0, PART_SAMPLE_WEIGHT, now, half_life);
             }
@@ -1144,8 +1151,8 @@
         let no_retries =
             fleet_slow || self.now + self.measures.typical_latency.unwrap_or(0.0) > query.deadline;
         let repeatable = self.settings.classes[class].repeat != RepeatPolicy::Unsafe;
-        for (index, id, (attempt, replica_no), sent, attempts) in query.parts_in_flight_since(since) {
-            let Some(stats) = self.replicas.get(&replica_no).filter(|stats| stats.last_response < sent)
+        for (index, id, (attempt, replica_hash), sent, attempts) in query.parts_in_flight_since(since) {
+            let Some(stats) = self.replicas.get(&replica_hash).filter(|stats| stats.last_response < sent)
             else {
                 self.query_index.remove_in_flight(class, sent, (number, index));
                 continue;
@@ -1154,7 +1161,7 @@
             // If no other replica can take the part, the silence is accepted for as long as the backlog at
             // this replica explains it.
             let can_replace = |stats: &ReplicaStats| {
-                stats.number != replica_no
+                stats.id_hash != replica_hash
                     && stats.parked_at.is_none()
                     && stats.entry.state == ReplicaState::Active
             };
@@ -1171,20 +1178,20 @@
             let was_idle = flight.cancelled.is_none() && flight.connection_idle.is_some();
             let dropped =
                 was_idle && self.measures.idle_drops.drops_detected(self.now, self.record_half_life);
-            let is_parked = !dropped && self.park(replica_no, false);
+            let is_parked = !dropped && self.park(replica_hash, false);
             if may_retry && (dropped || (is_parked && !no_retries && self.measures.retry_budget.allows())) {
                 let reason = if dropped { AttemptReason::Dropped } else { AttemptReason::Silent };
                 self.cancel(&id, attempt, reason);
             }
             if dropped {
-                self.close_idle(replica_no);
+                self.close_idle(replica_hash);
             }
         }
     }
 
     /// Closes the idle connections to a replica.
-    fn close_idle(&mut self, number: ReplicaNo) {
-        let replica_id = self.update_replica(number, |replica| {
+    fn close_idle(&mut self, id_hash: ReplicaHash) {
+        let replica_id = self.update_replica(id_hash, |replica| {
             replica.connection_used_at = None;
             replica.entry.id.clone()
         });
@@ -1215,10 +1222,9 @@
     fn end_query(&mut self, number: u64, admitted: bool, cause: Cause) {
         let Some(query) = self.queries.get(&number) else { return };
         let class = &self.settings.classes[query.class];
-        let may_have_run = query
-            .parts
-            .iter()
-            .any(|part| part.may_have_run.is_some() || part.current_attempt.is_some() || part.completed);
+        let may_have_run = query.parts.iter().any(|part| {
+            part.may_have_run_since.is_some() || part.current_attempt.is_some() || part.completed
+        });
         let id = query.id.clone();
         self.measures.retry_advice.record(true, self.now, self.record_half_life);
         let (decay, chance) = ((self.now, self.record_half_life), draw(&mut self.rng));
@@ -1250,7 +1256,7 @@
     fn drop_parts(&mut self, number: u64, class: usize, parts: Vec<Part>) {
         for (index, part) in parts.into_iter().enumerate() {
             self.waiting.remove(&(number, part.shard, index));
-            self.part_places.remove(&part.id);
+            self.part_locations.remove(&part.id);
             if let Some((attempt, replica)) = part.current_attempt {
                 self.query_index.remove_in_flight(class, part.last_sent, (number, index));
                 let key = (part.id.clone(), attempt);
@@ -1265,11 +1271,11 @@
         let now = self.now;
         if self.measures.idle_drops.drops_detected(self.now, self.record_half_life) {
             let idle_replicas = self.replica_index.idle_longer_than(now, self.measures.idle_drops.limit);
-            idle_replicas.into_iter().for_each(|number| self.close_idle(number));
+            idle_replicas.into_iter().for_each(|id_hash| self.close_idle(id_hash));
         }
         let (next_probe, probes) = (now + self.min_aim * PROBE_INTERVAL_AIMS, self.settings.probes);
-        for number in self.replica_index.probes_due(now) {
-            let replica_id = self.update_replica(number, |replica| {
+        for id_hash in self.replica_index.probes_due(now) {
+            let replica_id = self.update_replica(id_hash, |replica| {
                 replica.probe_at = next_probe;
                 // If probes are not allowed, the replica gets parts again instead.
                 replica.parked_at = replica.parked_at.filter(|_| probes);
--- a/src/decide/indexes.rs
+++ b/src/decide/indexes.rs
@@ -1,7 +1,7 @@
 //! Keeps the indexes of [`Router`] consistent with the state that they are derived from. Takes no decisions.
 
 use super::*;
-use crate::query_index::{PartLocation, QueryTimes};
+use crate::query_index::QueryTimes;
 use crate::replica_index::ReplicaFacts;
 
 impl Router {
@@ -43,8 +43,8 @@
             }
         }
         for (key, flight) in &self.in_flight {
-            if let Some(place) = self.part_places.get(&key.0).filter(|_| flight.cancelled.is_none()) {
-                index.track_attempt(flight.replica, flight.sent, key.clone(), flight.lost_at(*place));
+            if let Some(location) = self.part_locations.get(&key.0).filter(|_| flight.cancelled.is_none()) {
+                index.track_attempt(flight.replica, flight.sent, key.clone(), flight.lost_at(*location));
             }
         }
         index
@@ -77,10 +77,10 @@
     /// Modifies a replica and updates the replica index; returns the result of `modify`.
     pub(super) fn update_replica<T>(
         &mut self,
-        number: ReplicaNo,
+        id_hash: ReplicaHash,
         modify: impl FnOnce(&mut ReplicaStats) -> T,
     ) -> Option<T> {
-        let replica = self.replicas.get_mut(&number)?;
+        let replica = self.replicas.get_mut(&id_hash)?;
         let before = replica.facts();
         let result = modify(replica);
         self.replica_index.update(Some(&before), Some(&replica.facts()));
@@ -90,8 +90,8 @@
     /// Returns the times at which a query must be checked: its arrival plus its aim or, if that is earlier,
     /// its deadline; and its deadline.
     pub(super) fn check_times(&self, number: u64, query: &Query) -> QueryTimes {
-        let aim = (query.accepted + self.settings.classes[query.class].aim).min(query.deadline);
-        QueryTimes { number, answer_by: aim, deadline: query.deadline }
+        let aim_or_deadline = (query.arrived + self.settings.classes[query.class].aim).min(query.deadline);
+        QueryTimes { number, aim_or_deadline, deadline: query.deadline }
     }
 
     /// Returns whether enough parts of a query have completed for an answer.
@@ -116,11 +116,11 @@
         for key in self.query_index.attempts_before(replica, completed.sent) {
             let Some(flight) = self.in_flight.get_mut(&key) else { continue };
             flight.overtaken_by += 1;
-            if let Some(place) =
-                self.part_places.get(&key.0).filter(|place| flight.lost_at(**place).is_some())
+            if let Some(location) =
+                self.part_locations.get(&key.0).filter(|location| flight.lost_at(**location).is_some())
             {
-                self.query_index.untrack_attempt(replica, flight.sent, key.clone(), *place);
-                self.query_index.track_attempt(replica, flight.sent, key, Some(*place));
+                self.query_index.untrack_attempt(replica, flight.sent, key.clone(), *location);
+                self.query_index.track_attempt(replica, flight.sent, key, Some(*location));
             }
         }
     }
@@ -150,9 +150,9 @@
 }
 
 impl InFlight {
-    /// Returns the given place of its part if the attempt counts as lost.
-    fn lost_at(&self, place: PartLocation) -> Option<PartLocation> {
-        (self.overtaken_by >= LOST_WHEN_OVERTAKEN_BY).then_some(place)
+    /// Returns the given location of its part if the attempt counts as lost.
+    fn lost_at(&self, location: PartLocation) -> Option<PartLocation> {
+        (self.overtaken_by >= LOST_WHEN_OVERTAKEN_BY).then_some(location)
     }
 }
 
@@ -160,7 +160,7 @@
     /// Returns the facts that the replica index is built from.
     pub(super) fn facts(&self) -> ReplicaFacts {
         ReplicaFacts {
-            number: self.number,
+            number: self.id_hash,
             cell: self.entry.cell,
             state: self.entry.state,
             started: self.entry.started,
--- a/src/decide/state.rs
+++ b/src/decide/state.rs
@@ -8,13 +8,13 @@
 use crate::{budget::BudgetUsage, cold, decaying_mean::DecayingMean, idle::IdleDrops, pace::ServiceRate};
 
 /// The hash of a replica's identifier, which is cheaper to compare than the text.
-pub(super) type ReplicaNo = u64;
+pub(super) type ReplicaHash = u64;
 
 /// An attempt that was sent and has not ended. It may outlive its query.
 #[derive(Default, Serialize, Deserialize)]
 pub(super) struct InFlight {
     #[serde(rename = "server")]
-    pub(super) replica: ReplicaNo,
+    pub(super) replica: ReplicaHash,
     /// The class of its query.
     pub(super) class: usize,
     /// When it was sent.
@@ -62,13 +62,14 @@
     pub(super) attempts: u32,
     /// The attempt in flight and its replica. There are never two at once, as a duplicate adds load.
     #[serde(rename = "out")]
-    pub(super) current_attempt: Option<(Attempt, ReplicaNo)>,
+    pub(super) current_attempt: Option<(Attempt, ReplicaHash)>,
     /// The replicas of all attempts.
     #[serde(rename = "tried")]
-    pub(super) tried_replicas: Vec<ReplicaNo>,
+    pub(super) tried_replicas: Vec<ReplicaHash>,
     /// When the first attempt that may have run was sent; `None` if all ended attempts are known not to have
     /// run.
-    pub(super) may_have_run: Option<Millis>,
+    #[serde(rename = "may_have_run")]
+    pub(super) may_have_run_since: Option<Millis>,
     /// When the last attempt was sent.
     pub(super) last_sent: Millis,
 }
@@ -79,7 +80,8 @@
     pub(super) id: QueryId,
     pub(super) class: usize,
     /// When it arrived.
-    pub(super) accepted: Millis,
+    #[serde(rename = "accepted")]
+    pub(super) arrived: Millis,
     /// When its client gives up.
     pub(super) deadline: Millis,
     /// The parts of its current step.
@@ -94,7 +96,7 @@
     pub(super) completed_share: f64,
     /// The replicas that reset a part of it, once each, and whether the connection was certainly open before
     /// the send. A connection that had been idle may have been dropped on the path.
-    pub(super) resets: Vec<(ReplicaNo, bool)>,
+    pub(super) resets: Vec<(ReplicaHash, bool)>,
     /// When enough parts had completed for an answer. Waiting for the other parts after that is no sign of
     /// overload.
     pub(super) enough_at: Option<Millis>,
@@ -105,7 +107,8 @@
 #[serde(default)]
 pub(super) struct ReplicaStats {
     /// The hash of its identifier.
-    pub(super) number: ReplicaNo,
+    #[serde(rename = "number")]
+    pub(super) id_hash: ReplicaHash,
     /// Its entry in the list of replicas.
     #[serde(rename = "line")]
     pub(super) entry: Replica,
@@ -212,11 +215,11 @@
     pub(super) retry_advice: RetryAdvice,
     /// The usage of the configured limit on retries.
     #[serde(rename = "budget")]
-    pub(super) attempt_budget: BudgetUsage,
+    pub(super) retry_limit_usage: BudgetUsage,
 }
 
 /// A part in flight: its index, identifier, current attempt with replica, send time and number of attempts.
-pub(super) type PartInFlight = (usize, PartId, (Attempt, ReplicaNo), Millis, u32);
+pub(super) type PartInFlight = (usize, PartId, (Attempt, ReplicaHash), Millis, u32);
 
 impl Query {
     /// Returns the parts in flight that were sent no later than `since`.
--- a/src/query_index.rs
+++ b/src/query_index.rs
@@ -23,7 +23,7 @@
     /// The number of the query.
     pub number: u64,
     /// Its arrival plus its aim, or its deadline if that is earlier.
-    pub answer_by: Millis,
+    pub aim_or_deadline: Millis,
     /// When its client gives up.
     pub deadline: Millis,
 }
@@ -31,9 +31,9 @@
 /// The queries of one class.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Class {
-    answer_by: BTreeSet<(OrderedTime, u64)>,
+    aim_or_deadline: BTreeSet<(OrderedTime, u64)>,
     deadlines: BTreeSet<(OrderedTime, u64)>,
-    /// The entries of `answer_by` whose queries have enough parts for an answer.
+    /// The entries of `aim_or_deadline` whose queries have enough parts for an answer.
     answerable: BTreeSet<(OrderedTime, u64)>,
     /// Parts in flight by the time they were sent, except those whose replica is known to have answered
     /// since.
@@ -67,14 +67,14 @@
 
     /// Adds a query.
     pub fn insert_query(&mut self, class: usize, times: QueryTimes) {
-        self.classes[class].answer_by.insert((OrderedTime(times.answer_by), times.number));
+        self.classes[class].aim_or_deadline.insert((OrderedTime(times.aim_or_deadline), times.number));
         self.classes[class].deadlines.insert((OrderedTime(times.deadline), times.number));
         self.changed.insert(times.number);
     }
 
     /// Removes a query.
     pub fn remove_query(&mut self, class: usize, times: QueryTimes) {
-        self.classes[class].answer_by.remove(&(OrderedTime(times.answer_by), times.number));
+        self.classes[class].aim_or_deadline.remove(&(OrderedTime(times.aim_or_deadline), times.number));
         self.classes[class].deadlines.remove(&(OrderedTime(times.deadline), times.number));
         self.set_answerable(class, times, false);
         self.resets.remove(&times.number);
@@ -83,7 +83,7 @@
 
     /// Sets whether a query has enough parts for an answer.
     pub fn set_answerable(&mut self, class: usize, times: QueryTimes, answerable: bool) {
-        let key = (OrderedTime(times.answer_by), times.number);
+        let key = (OrderedTime(times.aim_or_deadline), times.number);
         if answerable {
             self.classes[class].answerable.insert(key);
         } else {
@@ -172,7 +172,7 @@
 
     /// Returns the queries of a class whose aims or deadlines have come at a time.
     pub fn past_aim(&self, class: usize, at: Millis) -> impl Iterator<Item = u64> + '_ {
-        reached(&self.classes[class].answer_by, at)
+        reached(&self.classes[class].aim_or_deadline, at)
     }
 
     /// Returns the queries of a class whose aims or deadlines have come at a time and that have enough parts
