--- a/src/decide.rs
+++ b/src/decide.rs
@@ -128,7 +128,7 @@
     record_half_life: Millis,
     /// The state of the random number generator.
     rng: u64,
-    /// The seed of the order in which a query prefers tied replicas for parts whose order no key determines.
+    /// The seed of the order in which the parts of a query prefer tied replicas, unless a key determines it.
     /// It differs between routers.
     #[serde(rename = "own")]
     order_seed: u64,
@@ -1138,9 +1138,10 @@
     }
 
     /// Handles those parts of a query that were sent to a replica which has been silent since the send for so
-    /// long that it is suspected to hang. The replica is parked and, if there is time and retry budget, the
-    /// attempt is cancelled, so that the part can be sent again. If the path probably dropped the connection,
-    /// the replica is not parked: the attempt is cancelled, and idle connections to the replica are closed.
+    /// long that it is suspected to hang. The replica is parked and, if the part may be sent again and there
+    /// is time and retry budget, the attempt is cancelled. If the path probably dropped the connection, the
+    /// replica is not parked: the attempt is cancelled if the part may be sent again, and the idle connections
+    /// to the replica are closed.
     fn retry_silent(&mut self, number: u64) {
         let Some(query) = self.queries.get(&number) else { return };
         let class = query.class;
