--- a/src/query_index.rs
+++ b/src/query_index.rs
@@ -22,8 +22,8 @@
 pub struct QueryTimes {
     /// The number of the query.
     pub number: u64,
-    /// The end of its aim or its deadline, whichever comes first.
-    pub answer_by: Millis,
+    /// Its arrival plus its aim, or its deadline if that is earlier.
+    pub aim_or_deadline: Millis,
     /// When its client gives up.
     pub deadline: Millis,
 }
@@ -31,9 +31,9 @@
 /// The queries of one class.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Class {
-    answer_by: BTreeSet<(OrderedTime, u64)>,
+    aim_or_deadline: BTreeSet<(OrderedTime, u64)>,
     deadlines: BTreeSet<(OrderedTime, u64)>,
-    /// The entries of `answer_by` whose queries have enough parts for an answer.
+    /// The entries of `aim_or_deadline` whose queries have enough parts for an answer.
     answerable: BTreeSet<(OrderedTime, u64)>,
     /// Parts in flight by the time they were sent, except those whose replica is known to have answered
     /// since.
@@ -67,14 +67,14 @@
 
     /// Adds a query.
     pub fn insert_query(&mut self, class: usize, times: QueryTimes) {
-        self.classes[class].answer_by.insert((OrderedTime(times.answer_by), times.number));
+        self.classes[class].aim_or_deadline.insert((OrderedTime(times.aim_or_deadline), times.number));
         self.classes[class].deadlines.insert((OrderedTime(times.deadline), times.number));
         self.changed.insert(times.number);
     }
 
     /// Removes a query.
     pub fn remove_query(&mut self, class: usize, times: QueryTimes) {
-        self.classes[class].answer_by.remove(&(OrderedTime(times.answer_by), times.number));
+        self.classes[class].aim_or_deadline.remove(&(OrderedTime(times.aim_or_deadline), times.number));
         self.classes[class].deadlines.remove(&(OrderedTime(times.deadline), times.number));
         self.set_answerable(class, times, false);
         self.resets.remove(&times.number);
@@ -83,7 +83,7 @@
 
     /// Sets whether a query has enough parts for an answer.
     pub fn set_answerable(&mut self, class: usize, times: QueryTimes, answerable: bool) {
-        let key = (OrderedTime(times.answer_by), times.number);
+        let key = (OrderedTime(times.aim_or_deadline), times.number);
         if answerable {
             self.classes[class].answerable.insert(key);
         } else {
@@ -172,10 +172,11 @@
 
     /// Returns the queries of a class whose aims or deadlines have come at a time.
     pub fn past_aim(&self, class: usize, at: Millis) -> impl Iterator<Item = u64> + '_ {
-        reached(&self.classes[class].answer_by, at)
+        reached(&self.classes[class].aim_or_deadline, at)
     }
 
-    /// Returns those of them that have enough parts for an answer.
+    /// Returns the queries of a class whose aims or deadlines have come at a time and that have enough parts
+    /// for an answer.
     pub fn answerable_past_aim(&self, class: usize, at: Millis) -> impl Iterator<Item = u64> + '_ {
         reached(&self.classes[class].answerable, at)
     }
@@ -187,9 +188,10 @@
         sent.map(|(_, (number, _))| *number)
     }
 
-    /// Describes a difference from a rebuilt index, if there is one. Changed queries are not compared. The
-    /// parts in flight have to include those of `silent` and be included in those of `all`, as parts whose
-    /// replica has answered since they were sent are removed late.
+    /// Describes a difference from a rebuilt index, if there is one. `all` is rebuilt with all parts in
+    /// flight, `silent` only with those whose replica has not answered since they were sent. The parts in
+    /// flight of `self` may lie between the two, because parts whose replica has answered are removed late.
+    /// Changed queries are not compared.
     pub fn difference(&self, all: &QueryIndex, silent: &QueryIndex) -> Option<String> {
         let comparable = |index: &QueryIndex| {
             let class = |class: &Class| Class { in_flight: BTreeSet::new(), ..class.clone() };
