--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -46,11 +46,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Error::Io(error) => write!(f, "{error}"),
-            Error::Damaged => write!(f, "damaged block"),
-            Error::Version(version) => {
-                write!(f, "unsupported version or codec in a block of version {version}")
-            }
-            Error::NoTrace => write!(f, "not a trace file"),
+            Error::Damaged => write!(f, "a damaged block"),
+            Error::Version(version) => write!(f, "a block of version {version}, which is not known here"),
+            Error::NoTrace => write!(f, "this is no trace"),
             Error::TooLong => write!(f, "block exceeds the maximum size"),
             Error::Other(message) => write!(f, "{message}"),
         }
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -231,18 +231,18 @@
             Cause::NoList => "no run store was listed".into(),
             Cause::NoHolder(no) => format!("no listed run store held shard {no}"),
             Cause::Drained(no) => format!("all run stores that held shard {no} were being drained"),
-            Cause::AllParked(no) => format!("all run stores that held shard {no} were parked"),
+            Cause::AllParked(no) => format!("all run stores that held shard {no} had fallen silent"),
             Cause::BeyondShare => "the run stores were busy and the group was beyond its share".into(),
             Cause::PredictedLate => "the run stores were busy and the answer would have come too late".into(),
-            Cause::TimeUp => "too few parts had completed when its time was up".into(),
+            Cause::TimeUp => "too few parts had come in when its time was up".into(),
             Cause::MayHaveRun(no) => {
                 format!("the part of shard {no} failed, may have run, and must not run twice")
             }
             Cause::AttemptsSpent(no) => format!("the part of shard {no} failed in all its attempts"),
-            Cause::Poison => "the run stores that received it reset their connections".into(),
-            Cause::MaxOpen => "the limit on held queries and parts was reached (max_open)".into(),
-            Cause::Overdue => "its client's deadline had passed".into(),
-            Cause::TooLittle => "too few parts had completed for the answer that was decided on".into(),
+            Cause::Poison => "the run stores that took it broke off".into(),
+            Cause::MaxOpen => "as much was held as may be (max_open)".into(),
+            Cause::Overdue => "its client's time was up".into(),
+            Cause::TooLittle => "what had come in was too little for the answer that was meant".into(),
         }
     }
 }
@@ -270,13 +270,13 @@
     /// Returns a description for operators.
     pub fn description(self) -> String {
         match self {
-            Why::Unknown => "reason not recorded".into(),
+            Why::Unknown => "why was not recorded".into(),
             Why::First => "the first".into(),
-            Why::After(outcome) => format!("because the previous one ended {}", outcome.code()),
-            Why::Silent => "because its run store was silent for too long".into(),
-            Why::Overtaken => "because its run store answered several later parts first".into(),
-            Why::Dropped => "because idle connections are being dropped without notice".into(),
-            Why::Over => "because the query is over".into(),
+            Why::After(outcome) => format!("as the last one ended {}", outcome.code()),
+            Why::Silent => "as its run store was silent for too long".into(),
+            Why::Overtaken => "as its run store answered several later parts first".into(),
+            Why::Dropped => "as idle connections are being dropped unseen".into(),
+            Why::Over => "as the query is over".into(),
         }
     }
 }
@@ -298,9 +298,9 @@
     /// Returns a description for operators.
     pub fn description(self) -> &'static str {
         match self {
-            Choice::Unknown => "reason for the choice not recorded",
-            Choice::Least => "earliest predicted finish",
-            Choice::Only => "no other accepts parts of this shard",
+            Choice::Unknown => "why there was not recorded",
+            Choice::Least => "least finish there",
+            Choice::Only => "no other takes parts of this shard",
             Choice::BestParked => "all of this shard are parked, this one is rated best",
         }
     }
--- a/crates/trace/src/set.rs
+++ b/crates/trace/src/set.rs
@@ -90,11 +90,12 @@
     fn add(&mut self, path: &Path) -> Result<(), Error> {
         let reader = Reader::open(BufReader::new(File::open(path)?))?;
         for damage in reader.damage() {
-            let why = format!("{} bytes at offset {} contain no intact block", damage.length, damage.at);
+            let why = format!("{} bytes at {} hold no sound block", damage.length, damage.at);
             self.troubles.push((path.into(), why));
         }
         if !reader.is_complete() {
-            self.troubles.push((path.into(), "it has no index: the recording was not closed".into()));
+            self.troubles
+                .push((path.into(), "it has no index: the recording did not end in good order".into()));
         }
         // The sources of a file without a readable header are unknown; it is treated as a process of its own.
         let unknown =
--- a/crates/trace/src/story.rs
+++ b/crates/trace/src/story.rs
@@ -47,7 +47,7 @@
 pub fn describe_end(how: How) -> &'static str {
     match how {
         How::Whole => "answered whole",
-        How::Partial => "answered partially",
+        How::Partial => "answered from some parts",
         How::Refused => "refused",
         How::Failed => "failed",
         How::Left => "left by its client",
@@ -90,7 +90,7 @@
                 self.name = Some(block.text(taken.name).into());
                 self.class = Some(block.text(taken.class).into());
                 self.group = taken.group.map(|group| block.text(group).into());
-                let again = if taken.retry { ", a retry by its client" } else { "" };
+                let again = if taken.retry { ", a client's repeat" } else { "" };
                 let wait = taken.timeout.value();
                 self.push(
                     at,
@@ -107,12 +107,12 @@
                 self.push(
                     at,
                     None,
-                    format!("{end} after {took:.1} ms, {parts_in} of {parts} parts completed{cause}"),
+                    format!("{end} after {took:.1} ms, {parts_in} of {parts} parts in{cause}"),
                 );
             }
             Record::Wire(wire) if wire.query == query => {
                 let what = match wire.progress {
-                    Progress::Begun => "its last byte was not written: it never ran".to_string(),
+                    Progress::Begun => "not written to its last byte: it never ran".to_string(),
                     Progress::Written(None) => {
                         "its last byte is written: it may run from here on".to_string()
                     }
@@ -154,11 +154,7 @@
                     format!("attempt {attempt} {} at {name} after {latency:.1} ms{load}{from}", how.code());
                 self.push(at, Some(*shard), what);
             }
-            Event::Gone(_) => self.push(
-                at,
-                None,
-                "the module is notified that its client left or its deadline passed".into(),
-            ),
+            Event::Gone(_) => self.push(at, None, "the module hears that it is over".into()),
             _ => {}
         }
     }
@@ -175,7 +171,7 @@
                 let attempts = sent.entry(*shard).or_default();
                 let (no, name) = (attempts.len(), block.text(*run_store).to_string());
                 let what = format!(
-                    "attempt {no} ({}) goes to {name} ({}), timeout {:.0} ms",
+                    "attempt {no} ({}) goes to {name} ({}), waited for {:.0} ms",
                     why.description(),
                     choice.description(),
                     timeout.value()
@@ -184,14 +180,22 @@
                 self.push(at, Some(*shard), what);
             }
             Action::Cancel { shard, attempt, why, .. } => {
-                self.push(at, Some(*shard), format!("attempt {attempt} is cancelled {}", why.description()));
+                self.push(
+                    at,
+                    Some(*shard),
+                    format!("attempt {attempt} is called back {}", why.description()),
+                );
             }
             Action::Answer { whole, .. } => {
-                self.push(at, None, format!("decided: answer, {}", if *whole { "whole" } else { "partial" }));
+                self.push(
+                    at,
+                    None,
+                    format!("decided: answer, {}", if *whole { "whole" } else { "from what is in" }),
+                );
             }
             Action::Refuse { retry_after, cause, .. } => {
                 let wait = retry_after.value();
-                let what = format!("decided: refuse, retry after {wait:.0} ms: {}", cause.description());
+                let what = format!("decided: refuse, come again after {wait:.0} ms: {}", cause.description());
                 self.push(at, None, what);
             }
             Action::Fail { cause, .. } => {
