--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -174,8 +174,8 @@
         (queries, std::mem::take(&mut self.client_ids))
     }
 
-    /// Serializes the block as one of `source`. The caller keeps one [`compressor`] for all blocks, as creating it
-    /// costs more than compressing a block.
+    /// Serializes the block for the process with index `source` in the file's list of sources. The caller keeps one
+    /// [`compressor`] for all blocks, as creating it costs more than compressing a block.
     ///
     /// # Errors
     /// If the payload exceeds [`MAX_PAYLOAD_BYTES`] or there is not enough memory.
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -89,7 +89,7 @@
     Counts(Counts),
     /// Records that could not be stored.
     Loss(Loss),
-    /// The recording was closed regularly.
+    /// The recording was closed normally.
     End,
 }
 
@@ -199,7 +199,7 @@
     MaxOpen,
     /// The client's deadline passed while the query was still held.
     Overdue,
-    /// The completed parts were too few for the answer that the module decided on.
+    /// The answer would have covered less than the class's minimum share, or less than the client accepts.
     TooLittle,
 }
 
@@ -348,7 +348,7 @@
 pub struct Load {
     /// The number of queued parts.
     pub queue: Option<Num>,
-    /// The number of parts being processed.
+    /// The number of parts in flight, whether queued or running.
     pub in_flight: Option<Num>,
     /// The fraction of its cores that is busy.
     pub utilization: Option<Num>,
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -108,7 +108,7 @@
     pub from: f64,
     /// The time of the last entry, in Unix milliseconds.
     pub to: f64,
-    /// Whether the recording was closed regularly.
+    /// Whether the recording was closed normally.
     pub ended: bool,
     /// The number of records that the process reported as lost.
     pub lost: u64,
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -30,9 +30,9 @@
     fn send(&self, call: Call);
     /// Abandons an attempt. Without `await_proof` its end is already recorded, and the transport reports
     /// nothing more of it. With `await_proof` the transport reports its end by one [`Driver::call_ended`] as
-    /// soon as it is proved to be over: its run store has read the cancellation, has answered it, has closed
-    /// its connection, or can never have received the whole request. That may never happen; the core then
-    /// abandons the attempt once more, without `await_proof`.
+    /// soon as it is proved to be over: the run store has read the cancellation, has answered the attempt,
+    /// has closed the connection, or can never have received the whole request. That may never happen; the core
+    /// then abandons the attempt once more, without `await_proof`.
     fn abandon(&self, run_store: &ReplicaId, no: CallNo, await_proof: bool);
     /// Starts a probe. It ends by one [`Driver::probe_ended`] or by its timeout.
     fn probe(&self, run_store: &ReplicaId, no: CallNo);
@@ -149,8 +149,8 @@
         self.core.borrow_mut().note_invalid_request(now, class);
     }
 
-    /// Records in the trace that the first byte of an attempt was written at `begun` or, if `written`, that
-    /// the last byte has just been written.
+    /// Records in the trace how writing an attempt ended, which began at `begun`: its last byte has just been
+    /// written or, without `written`, its connection ends before that.
     pub fn progress(&self, call: &Call, begun: Millis, written: bool) {
         if self.trace_control.get().is_some() {
             let now = self.now();
@@ -217,15 +217,15 @@
         self.waiting.borrow().len()
     }
 
-    /// Drains a run store manually, or restores it. Returns `false` if it was never listed. Once this
-    /// returns, no call is started at a drained run store.
+    /// Drains a run store manually (`out`), or restores it. Returns `false` if it is unknown: neither listed
+    /// nor among those that were delisted last. Once this returns, no call is started at a drained run store.
     pub fn set_manual_drain(self: &Rc<Self>, now: Millis, id: &ReplicaId, out: bool) -> bool {
         let known = self.core.borrow_mut().set_manual_drain(now, id, out);
         self.run_commands();
         known
     }
 
-    /// Applies a manual drain or restore that another process of this aggregator accepted at `at`.
+    /// Applies a manual drain (`out`) or restore that another process of this aggregator accepted at `at`.
     pub fn apply_manual_drain(self: &Rc<Self>, at: Millis, id: &ReplicaId, out: bool) {
         self.core.borrow_mut().apply_manual_drain(at, id, out);
         self.run_commands();
@@ -283,7 +283,7 @@
         self.core.borrow().longest_deadline()
     }
 
-    /// Sets the time left until the process exits. No open or later query is waited for any longer.
+    /// Sets the time left until the process exits. The deadlines of all open and later queries end by then.
     pub fn exit_within(self: &Rc<Self>, time_left: Duration) {
         let at = Instant::now() + time_left;
         self.core.borrow_mut().set_exit_time(self.now() + millis(time_left));
@@ -306,7 +306,7 @@
         Some(Duration::from_secs_f64((wait / 1000.0).clamp(0.0, MAX_WAIT_S)))
     }
 
-    /// Moves the deadline of a query forward to `at`, if that is earlier.
+    /// Shortens the deadline of a query to `at`, if that is earlier.
     fn cap_deadline(self: &Rc<Self>, no: QueryNo, at: Instant) {
         let left = at.saturating_duration_since(Instant::now());
         self.core.borrow_mut().cap_deadline(no, self.now() + millis(left));
@@ -410,7 +410,8 @@
         self.core.borrow_mut().note_clock(now, wall_clock() - now);
     }
 
-    /// Returns whether events wait for the next step.
+    /// Returns whether a step is needed now: events wait for it, or the watch is broken and has to be
+    /// scheduled again.
     pub fn has_pending_events(&self) -> bool {
         self.core.borrow().has_pending_events()
     }
@@ -507,7 +508,7 @@
 }
 
 impl Pending {
-    /// Waits for the final answer. The deadline moves forward to each instant that `sooner` delivers.
+    /// Waits for the final answer. Shortens the deadline to each instant that `sooner` delivers.
     pub async fn answer_before(&self, sooner: Receiver<Instant>) -> FinalAnswer {
         let end_sooner = async {
             while let Ok(at) = sooner.recv().await {
--- a/src/core/manual_drain.rs
+++ b/src/core/manual_drain.rs
@@ -91,8 +91,8 @@
 }
 
 impl Core {
-    /// Drains a run store manually, or restores it. Returns `false` if it was never listed. Repeating the
-    /// call has no effect.
+    /// Drains a run store manually (`out`), or restores it. Returns `false` if it is unknown: neither listed
+    /// nor among those that were delisted last. Repeating the call has no effect.
     pub fn set_manual_drain(&mut self, now: Millis, id: &ReplicaId, out: bool) -> bool {
         let known = self.ledger.run_stores.contains_key(id) || self.manual_drains.delisted.contains(id);
         if known {
@@ -101,8 +101,8 @@
         known
     }
 
-    /// Applies a manual drain or restore that another process of this aggregator accepted at `at`; that
-    /// process had the run store in its list.
+    /// Applies a manual drain (`out`) or restore that another process of this aggregator accepted at `at`;
+    /// that process had the run store in its list.
     pub fn apply_manual_drain(&mut self, at: Millis, id: &ReplicaId, out: bool) {
         let changed = match out {
             true => self.manual_drains.drained.insert(id.clone()),
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -160,16 +160,17 @@
     pub shard: u32,
     /// When the core stops waiting for the attempt.
     pub until: Millis,
-    /// The end of the window in which a repeat may be sent, if this attempt is a repeat. The attempt may wait
-    /// for a connection after the decision to send it, and its last byte has to be written by this time.
+    /// The end of the window in which the part may be repeated. It is infinite if no earlier attempt may have
+    /// run, or if the class may always be repeated. The attempt may wait for a connection after the decision
+    /// to send it, and its last byte has to be written by this time.
     pub allowed_until: Millis,
     /// The payload of the part.
     pub payload: Rc<[u8]>,
 }
 
 impl Call {
-    /// Returns whether it is too late to start the attempt, as it has timed out or its class may no longer be
-    /// repeated.
+    /// Returns whether it is too late to start the attempt, as it has timed out or the window for repeating
+    /// its part is over.
     pub fn is_late(&self, now: Millis) -> bool {
         now > self.until.min(self.allowed_until)
     }
@@ -193,10 +194,10 @@
     }
 }
 
-/// A line of a directory: a run store as the router sees it, and its address.
+/// A line of a directory: a run store and its address.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedRunStore {
-    /// The run store as the router sees it.
+    /// The run store as the directory lists it, without manual drains.
     pub replica: crate::api::Replica,
     /// The address it listens on; `None` on a line that only reports the run store as gone.
     pub address: Option<std::net::SocketAddr>,
@@ -402,7 +403,7 @@
         Some(stated.unwrap_or(class_deadline).min(class_deadline))
     }
 
-    /// Moves the deadline of a query forward to `at`, if that is earlier.
+    /// Shortens the deadline of a query to `at`, if that is earlier.
     pub fn cap_deadline(&mut self, no: QueryNo, at: Millis) {
         self.ledger.cap_deadline(no, at);
     }
@@ -429,7 +430,8 @@
         self.probe_timeout
     }
 
-    /// Returns whether a step is needed now.
+    /// Returns whether a step is needed now: events wait for it, or the watch is broken and has to be
+    /// scheduled again.
     pub fn has_pending_events(&self) -> bool {
         !self.pending_events.is_empty() || self.active_watch().is_broken()
     }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -176,7 +176,7 @@
                 self.commands.push_back(Command::Locate { run_store: id.clone(), address, started });
             }
         } else {
-            // The drain rule also counts calls that are queued or connecting.
+            // Calls that are queued or connecting must not start at a drained or removed run store either.
             self.commands.push_back(Command::Retire(id.clone()));
         }
         if state == ReplicaState::Gone {
--- a/src/directory/dns_sd.rs
+++ b/src/directory/dns_sd.rs
@@ -25,7 +25,7 @@
 use crate::net::Stream;
 use crate::transport::duration_from_millis;
 
-/// The time-out of one try of a query.
+/// The timeout of one try of a query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often a query is sent before it fails, as datagrams can be lost.
 const MAX_TRIES: usize = 3;
@@ -149,7 +149,7 @@
         Ok(address.and_then(|ip| listed_run_store(&name[0], SocketAddr::new(ip, port), &texts)))
     }
 
-    /// Sends a query over UDP, repeats it after a time-out, and switches to TCP if the response is truncated.
+    /// Sends a query over UDP, repeats it after a timeout, and switches to TCP if the response is truncated.
     async fn query(&self, name: &[String], record_type: RecordType) -> io::Result<Vec<Record>> {
         let id = fastrand::u16(..);
         let query = dns::encode_query(id, name, record_type).ok_or(io::ErrorKind::InvalidInput)?;
--- a/src/directory/watch.rs
+++ b/src/directory/watch.rs
@@ -21,7 +21,7 @@
 use crate::http::write;
 use crate::log::{self, Reason};
 
-/// The time-out for connecting.
+/// The timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// A watch on the discovery service. The core starts it, and starts it again after each failure.
@@ -136,8 +136,8 @@
 /// A response and the connection on which it arrived.
 type ResponseAndClient = (Client, Message);
 
-/// Asks for the changes since version `index` and waits until there are any. The time spent on connecting is subtracted
-/// from the wait, so that the call ends no later than one on an open connection.
+/// Asks for the changes since the version `index` and waits until there are any. The time spent on connecting is
+/// subtracted from the wait, so that the call ends no later than one on an open connection.
 async fn changes(address: SocketAddr, open: Option<Client>, index: u64) -> io::Result<ResponseAndClient> {
     let started = Instant::now();
     let open = connect_unless_open(address, open).await?;
@@ -145,8 +145,9 @@
     get(address, open, &format!("/v1/servers?after={index}&wait_ms={wait}")).await
 }
 
-/// Asks for the whole list. If the call is not answered within [`CALL`], it may hang, or the service may be slow: the
-/// call is made once more on another connection while the first continues, and the first answer of the two is used.
+/// Asks for the whole list. If the call is not answered within [`CALL_TIMEOUT`], it may hang, or the service may be
+/// slow: the call is made once more on another connection while the first continues, and the first answer of the two is
+/// used.
 async fn whole_list(address: SocketAddr, open: Option<Client>) -> io::Result<ResponseAndClient> {
     let call =
         |open| async move { get(address, connect_unless_open(address, open).await?, "/v1/servers").await };
@@ -180,7 +181,7 @@
     Duration::from_secs_f64(span / 1000.0)
 }
 
-/// Returns whether a call failed because its connection was lost, rather than by a bad answer or a time-out.
+/// Returns whether a call failed because its connection was lost, rather than by a bad answer or a timeout.
 fn is_connection_lost(error: &io::Error) -> bool {
     use io::ErrorKind::{BrokenPipe, ConnectionAborted, ConnectionReset, UnexpectedEof};
     matches!(error.kind(), BrokenPipe | ConnectionAborted | ConnectionReset | UnexpectedEof)
--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -39,7 +39,7 @@
 }
 
 impl OpenSearch {
-    /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
+    /// Creates a front that passes queries to `driver` and reports the state of `client_gate` in its health check.
     pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>) -> Self {
         OpenSearch { driver, client_gate, last_query_no: Cell::new(0) }
     }
--- a/src/front/opensearch/search.rs
+++ b/src/front/opensearch/search.rs
@@ -54,7 +54,7 @@
     pub index: String,
     /// The shards to query; `None` for all.
     pub shards: Option<Vec<u32>>,
-    /// The time-out that the client requests.
+    /// The timeout that the client requests.
     pub timeout: Option<Millis>,
     /// Whether a partial answer is acceptable.
     pub allow_partial: bool,
@@ -137,7 +137,7 @@
         let body: Body = serde_json::from_slice(bytes).map_err(|error| parsing_error(error.to_string()))?;
         if let Some(key) = body.others.keys().find(|key| !FORWARDED_KEYS.contains(&key.as_str())) {
             return Err(parsing_error(format!(
-                "key [{key}] is not supported, as shards are queried one by one"
+                "key [{key}] is not supported, as shards are queried independently of each other"
             )));
         }
         let paged =
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -76,7 +76,7 @@
 }
 
 impl Platform {
-    /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
+    /// Creates a front that passes queries to `driver` and reports the state of `client_gate` in its health check.
     pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>) -> Self {
         Platform { driver, client_gate, open_ids: Rc::default() }
     }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -30,7 +30,7 @@
 
 /// The version of the handover protocol. Processes of different versions do not hand over.
 const PROTOCOL_VERSION: u32 = 1;
-/// The time-out for sending or receiving one message or the sockets between two processes on one machine.
+/// The timeout for sending or receiving one message or the sockets between two processes on one machine.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The state that the new process receives, apart from the sockets.
--- a/src/handover/new.rs
+++ b/src/handover/new.rs
@@ -14,7 +14,7 @@
 use crate::http::client::within;
 use crate::log;
 
-/// The time-out for connecting to the running process, and for its handover. Calls to the new process wait meanwhile.
+/// The timeout for connecting to the running process, and for its handover. Calls to the new process wait meanwhile.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The state and sockets that a running process has handed over, and the connection to it.
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// Returns an error if a process runs and does not hand over. It continues to serve, and the new process must not start
-/// beside it.
+/// while it does.
 pub async fn take_over(path: &Path, name: &str) -> Result<Option<Takeover>, String> {
     let failed = |error: io::Error| format!("the running process does not hand over: {error}");
     let stream = match within(HANDOVER_TIMEOUT, Async::<UnixStream>::connect(path)).await {
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -54,7 +54,7 @@
             let (Ok(why) | Err(why)) = &result;
             log::ended("handover", None, why.kind().into(), why);
             if result.is_err() {
-                log::line("handover: failed, this process serves on");
+                log::line("handover: failed, this process was not replaced");
             }
         }
         // The process that took over has ended.
@@ -62,8 +62,8 @@
     }
 }
 
-/// Listens on a Unix socket. A file that exists at its path is stale: this process has asked any running process there
-/// to hand over before.
+/// Listens on a Unix socket. A file that exists at its path is stale, as this process has already asked any running
+/// process there to hand over.
 fn listen(path: &Path) -> io::Result<Async<UnixListener>> {
     match std::fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
--- a/src/http/connection.rs
+++ b/src/http/connection.rs
@@ -191,7 +191,8 @@
         self.inbox.push(bytes, arrived_at, |request| handler.client_timeout(request));
     }
 
-    /// Responds to malformed input and closes the connection, as framing is lost.
+    /// Responds to a request that is malformed, so that framing is lost, or that arrives too slowly, and closes the
+    /// connection.
     async fn reject_malformed(&mut self, error: MessageError) -> io::Result<Reason> {
         let response = self.server.handler.error_response(error);
         self.write(&response.bytes(false, true)).await?;
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -276,14 +276,15 @@
         }
     }
 
-    /// Closes one idle connection to make room. Returns whether there was one. A connection without any request is
-    /// closed only if it was idle for [`FIRST_BYTE_TIMEOUT`], if there are many of these, or, where no other
-    /// connection is idle, if it was idle for `min_idle`.
+    /// Closes one idle connection to make room. Returns whether there was one to close. A connection is silent if it
+    /// is idle and has made no request yet. The first case that applies decides:
     ///
-    /// Hundreds of silent connections must not evict those of clients that make requests, so a connection that has
-    /// long been silent is closed first, or any silent one once they occupy more than half of the limit. But a new
-    /// connection is silent until its first request has arrived: if the others are kept open by clients with earlier
-    /// requests, the longest idle of those is closed instead.
+    /// 1. The longest idle silent connection is closed if it has been idle for [`FIRST_BYTE_TIMEOUT`], or if silent
+    ///    connections occupy more than half of the limit. Hundreds of them must not evict clients that make requests.
+    /// 2. The longest idle silent connection is closed if it has been idle for `min_idle` and there are no idle
+    ///    connections with earlier requests.
+    /// 3. The longest idle connection with earlier requests is closed, if there is one. A silent connection is spared
+    ///    here, as every new connection is silent until its first request has arrived.
     fn close_longest_idle(&self, min_idle: Duration) -> bool {
         let mut idle = self.idle.borrow_mut();
         let silent =
@@ -299,8 +300,8 @@
         close.is_some_and(|(_, close)| close.try_send(Reason::Full).is_ok())
     }
 
-    /// Closes the connection that has been idle longest after a request, if too many of these are open. Clients that
-    /// make one request and stay connected would otherwise take the capacity that others need.
+    /// Closes the connection that has been idle longest after a request, if too many connections are idle after a
+    /// request. Clients that make one request and stay connected would otherwise take the capacity that others need.
     fn close_excess_kept(&self) {
         let mut idle = self.idle.borrow_mut();
         if idle.range(FIRST_WITH_REQUESTS..).count() > self.max_connections.get() / KEPT_IDLE_DIVISOR {
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -19,7 +19,7 @@
 use crate::http::write::Response;
 use crate::log;
 
-/// The time-out for one call, including its connection.
+/// The timeout for one call, including its connection.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// The maximum number of concurrent calls. Their descriptors come from the reserve for everything but clients and run
 /// stores.
@@ -33,8 +33,8 @@
 }
 
 impl OperatorApi {
-    /// Creates a handler that acts on `driver` and `door`, and forwards manual drains over `peer` to the other process
-    /// during a handover.
+    /// Creates a handler that acts on `driver` and `client_gate`, and forwards manual drains over `peer` to the other
+    /// process during a handover.
     pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>, peer: Rc<PeerSender>) -> Self {
         OperatorApi { driver, client_gate, peer }
     }
@@ -150,7 +150,7 @@
         Response::text(bad.status(), &bad.to_string())
     }
 
-    /// Returns no time-out, as all calls are answered immediately.
+    /// Returns no timeout, as all calls are answered immediately.
     fn client_timeout(&self, _: &parse::Message) -> Option<Duration> {
         None
     }
--- a/src/transport/frames/codec.rs
+++ b/src/transport/frames/codec.rs
@@ -22,7 +22,7 @@
         /// The value.
         value: Rc<[u8]>,
     },
-    /// `3`: the answer to a probe. Whether it reports success or not, the run store has read everything written
+    /// `3`: the answer to a proof probe. Whether it reports success or not, the run store has read everything written
     /// before that probe.
     ProbeAnswer,
     /// `4`: the answer to a load probe.
@@ -77,12 +77,12 @@
     encode_frame(b'2', part.as_bytes())
 }
 
-/// Encodes a probe.
+/// Encodes a proof probe, whose answer proves that everything written before it was read.
 pub fn encode_probe() -> Vec<u8> {
     encode_frame(b'3', &[])
 }
 
-/// Encodes a load probe.
+/// Encodes a load probe, whose answer carries a load report.
 pub fn encode_load_probe() -> Vec<u8> {
     encode_frame(b'4', &[])
 }
--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -30,8 +30,8 @@
     Queued,
     Writing,
     Written(Instant),
-    /// Given up, and awaited until the run store provably knows. The cancel frame is queued or written, but no probe
-    /// after it is being written yet.
+    /// Given up, and awaited until the run store has provably read the cancel frame. That frame is queued or written;
+    /// writing of the probe that follows it has not begun.
     Cancelling,
     /// Like `Cancelling`, but the probe after the cancel frame is being written or was written.
     ProofRequested,
@@ -73,7 +73,7 @@
 pub enum EndEvent {
     /// An attempt.
     Call(CallNo, CallEnd),
-    /// A probe: whether it succeeded, and the load report.
+    /// A load probe: whether it succeeded, and the load report.
     Probe(CallNo, bool, Option<LoadReport>),
 }
 
@@ -88,7 +88,7 @@
     max_parts_per_frame: usize,
     queue: VecDeque<QueueItem>,
     calls: BTreeMap<CallNo, TrackedCall>,
-    /// Written probes, oldest first, with the time of writing; `None` for one that was given up.
+    /// Written load probes, oldest first, with the time of writing; `None` for a probe that was given up.
     load_probes: VecDeque<(Option<CallNo>, Instant)>,
     /// Written probes that prove calls to be over, oldest first, each with its calls and the time of writing.
     proof_probes: VecDeque<(Vec<CallNo>, Instant)>,
@@ -358,8 +358,9 @@
                     };
                     let Some(no) = self.calls.values().find(outstanding).map(|tracked| tracked.call.no)
                     else {
-                        // A late answer to a part that was given up, or a second answer, is ignored. An answer to a
-                        // part that was never sent here must replace one that was, which will never arrive.
+                        // A late answer to a part that was given up, or a second answer, is ignored. If the part was
+                        // never sent here, the run store has mixed up ids, and the answer to some other part will
+                        // never arrive: the connection is closed.
                         if let Some(past) = self.past_parts.iter_mut().find(|past| past.0 == part) {
                             past.1 = true;
                             continue;
@@ -477,7 +478,7 @@
         }
     }
 
-    /// Stops waiting for a probe. Returns whether it was on this connection.
+    /// Stops waiting for a load probe. Returns whether it was on this connection.
     pub fn give_up_probe(&mut self, no: CallNo) -> bool {
         let queued = self.queue.len();
         self.queue.retain(|item| *item != QueueItem::LoadProbe(no));
@@ -501,7 +502,7 @@
         numbers.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
     }
 
-    /// Stops writing, and ends every probe and every call that was not written completely.
+    /// Stops writing, and ends every load probe and every call that was not written completely.
     pub fn stop_writing(&mut self) -> Vec<EndEvent> {
         let mut ended = Vec::new();
         for item in self.queue.drain(..).chain(std::mem::take(&mut self.writing)) {
--- a/tests/sockets/upgrade.rs
+++ b/tests/sockets/upgrade.rs
@@ -138,7 +138,7 @@
         assert!(old.ask("run-lookup", &[0], 8000).whole(), "{why}");
     }
     // The first of them asked before it failed; the second did not come to that.
-    old.logged("handover: failed, this process serves on");
+    old.logged("handover: failed, this process was not replaced");
     // Whoever says nothing, half a word, nonsense, or leaves, gets nothing and harms nothing.
     for words in [
         "",
@@ -151,14 +151,14 @@
         let mut stream = UnixStream::connect(old.meeting()).unwrap();
         stream.write_all(words.as_bytes()).unwrap();
         drop(stream);
-        old.logged("handover: failed, this process serves on");
+        old.logged("handover: failed, this process was not replaced");
     }
     let mut slow = UnixStream::connect(old.meeting()).unwrap();
     slow.write_all(b"{\"hello\":{\"version\":1,\"name\":\"n0\"}}\n").unwrap();
     let mut state = vec![0; 100];
     slow.read_exact(&mut state).unwrap();
     // It got all and never serves.
-    old.logged("handover: failed, this process serves on");
+    old.logged("handover: failed, this process was not replaced");
     std::fs::write(old.config(), sound).unwrap();
     let new = old.succeed();
     assert!(new.ask("run-lookup", &[0], 8000).whole());
