--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -89,7 +89,7 @@
     poll_fn(|context| {
         let polled = running.as_mut().poll(context);
         // What was told is in force once the step after it is done.
-        let version = Directory::version(&watch).filter(|_| !driver.has_pending_events());
+        let version = Directory::version(&watch).filter(|_| !driver.needs_step());
         if let Some(version) = version.filter(|version| known.get().is_none_or(|known| known < *version)) {
             let mut standing = lock(&standing);
             let from = known.replace(Some(version)).map_or(FIRST_INDEX, |known| known + 1);
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -73,7 +73,7 @@
     /// Wakes the loop in [`Driver::run`].
     step_signal: (Sender<()>, Receiver<()>),
     /// Accepted queries that wait for their final answer.
-    waiting: RefCell<HashMap<QueryNo, PendingAnswer>>,
+    answer_senders: RefCell<HashMap<QueryNo, AnswerSender>>,
     /// The timeouts of attempts and probes.
     timers: RefCell<HashMap<CallNo, Task<()>>>,
     transport: OnceCell<Rc<dyn RunStores>>,
@@ -86,10 +86,10 @@
 const MAX_WAIT_S: f64 = 1e9;
 
 /// The channel for a query's final answer, and the timer of its deadline.
-type PendingAnswer = (Sender<FinalAnswer>, Task<()>);
+type AnswerSender = (Sender<FinalAnswer>, Task<()>);
 
 /// An accepted query. If it is dropped before its final answer, its client counts as gone.
-pub struct Pending {
+pub struct PendingQuery {
     driver: Rc<Driver>,
     no: QueryNo,
     answer: Receiver<FinalAnswer>,
@@ -109,7 +109,7 @@
             executor,
             origin: (now, Instant::now()),
             step_signal: async_channel::bounded(1),
-            waiting: RefCell::default(),
+            answer_senders: RefCell::default(),
             timers: RefCell::default(),
             transport: OnceCell::new(),
             directory: OnceCell::new(),
@@ -214,7 +214,7 @@
 
     /// Returns the number of queries that wait for their final answer.
     pub fn open_queries(&self) -> usize {
-        self.waiting.borrow().len()
+        self.answer_senders.borrow().len()
     }
 
     /// Drains a run store manually (`out`), or restores it. Returns `false` if it is unknown: neither listed
@@ -311,7 +311,7 @@
         let left = at.saturating_duration_since(Instant::now());
         self.core.borrow_mut().cap_deadline(no, self.now() + millis(left));
         let timer = self.wake_at(at);
-        if let Some((_, last)) = self.waiting.borrow_mut().get_mut(&no) {
+        if let Some((_, last)) = self.answer_senders.borrow_mut().get_mut(&no) {
             *last = timer;
         }
     }
@@ -339,7 +339,7 @@
     ///
     /// # Errors
     /// Returns why the query was rejected.
-    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<Pending, InvalidQuery> {
+    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<PendingQuery, InvalidQuery> {
         let now = self.now();
         let wait =
             self.core.borrow().client_wait(&request.class, request.timeout).unwrap_or(0.0) - request.queued;
@@ -347,9 +347,9 @@
         let (sender, answer) = async_channel::bounded(1);
         // The timer of the query's deadline: the step after it ends the query if it is still open.
         let timer = self.wake_at(self.instant(now + wait));
-        self.waiting.borrow_mut().insert(no, (sender, timer));
+        self.answer_senders.borrow_mut().insert(no, (sender, timer));
         self.run_commands();
-        Ok(Pending { driver: self.clone(), no, answer })
+        Ok(PendingQuery { driver: self.clone(), no, answer })
     }
 
     /// Records the end of an attempt. Only the first end counts.
@@ -412,8 +412,8 @@
 
     /// Returns whether a step is needed now: events wait for it, or the watch is broken and has to be
     /// scheduled again.
-    pub fn has_pending_events(&self) -> bool {
-        self.core.borrow().has_pending_events()
+    pub fn needs_step(&self) -> bool {
+        self.core.borrow().needs_step()
     }
 
     /// Requests a step.
@@ -430,7 +430,7 @@
             let Some(command) = command else { break };
             self.run_command(command);
         }
-        if self.has_pending_events() {
+        if self.needs_step() {
             self.wake();
         }
     }
@@ -476,7 +476,7 @@
                 }
             }
             Command::Answer { query, answer } => {
-                if let Some((sender, _timer)) = self.waiting.borrow_mut().remove(&query) {
+                if let Some((sender, _timer)) = self.answer_senders.borrow_mut().remove(&query) {
                     let _ = sender.try_send(answer);
                 }
             }
@@ -500,14 +500,14 @@
     origin.0 + millis(origin.1.elapsed())
 }
 
-impl Pending {
+impl PendingQuery {
     /// Waits for the final answer.
     pub async fn answer(&self) -> FinalAnswer {
         self.answer.recv().await.unwrap_or(FinalAnswer::Failed { retry_after: 0.0, cause: Cause::Overdue })
     }
 }
 
-impl Pending {
+impl PendingQuery {
     /// Waits for the final answer. Shortens the deadline to each instant that `sooner` delivers.
     pub async fn answer_before(&self, sooner: Receiver<Instant>) -> FinalAnswer {
         let end_sooner = async {
@@ -520,10 +520,10 @@
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingQuery {
     /// Reports a client that left before its answer to the core, which cancels the attempts of its query.
     fn drop(&mut self) {
-        let was_open = self.driver.waiting.borrow_mut().remove(&self.no);
+        let was_open = self.driver.answer_senders.borrow_mut().remove(&self.no);
         if was_open.is_some() {
             self.driver.core.borrow_mut().client_gone(self.driver.now(), self.no);
             self.driver.wake();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -432,7 +432,7 @@
 
     /// Returns whether a step is needed now: events wait for it, or the watch is broken and has to be
     /// scheduled again.
-    pub fn has_pending_events(&self) -> bool {
+    pub fn needs_step(&self) -> bool {
         !self.pending_events.is_empty() || self.active_watch().is_broken()
     }
 
--- a/src/directory/watch.rs
+++ b/src/directory/watch.rs
@@ -29,7 +29,7 @@
     driver: Rc<Driver>,
     address: ReloadTarget<SocketAddr>,
     /// The version of the list received last; `None` if there is none.
-    index: Cell<Option<u64>>,
+    version: Cell<Option<u64>>,
     /// Whether the task of the watch runs.
     running: Cell<bool>,
     /// Whether the last call was a long poll that timed out without an answer.
@@ -43,7 +43,7 @@
         Rc::new(Watch {
             driver,
             address,
-            index: Cell::new(known),
+            version: Cell::new(known),
             running: Cell::new(false),
             unanswered: Cell::new(false),
         })
@@ -77,7 +77,7 @@
 
     /// Logs the end of a connection to discovery.
     fn log_end(&self, address: SocketAddr, reason: Reason, why: &str) {
-        log::ended("discovery", Some(address), reason, format_args!("index={:?} {why}", self.index.get()));
+        log::ended("discovery", Some(address), reason, format_args!("index={:?} {why}", self.version.get()));
     }
 
     /// Follows changes of the list until a call fails, and returns the error.
@@ -95,7 +95,7 @@
             }
             match answer {
                 Ok(list) => {
-                    self.index.set(Some(list.index));
+                    self.version.set(Some(list.index));
                     self.driver.apply_directory_update(list.into_update());
                 }
                 Err(error) => return error,
@@ -109,10 +109,10 @@
         let open = client.take();
         // The long poll both returns changes that were missed and begins the watch. A separate call for missed changes
         // would double the load on discovery when all aggregators start at the same time.
-        let answer = match self.index.get() {
+        let answer = match self.version.get() {
             None => whole_list(address, open).await,
-            Some(index) => {
-                let changes = within(ms(WATCH_WAIT + WATCH_GRACE), changes(address, open, index)).await;
+            Some(version) => {
+                let changes = within(ms(WATCH_WAIT + WATCH_GRACE), changes(address, open, version)).await;
                 let timed_out = changes.as_ref().is_err_and(|error| error.kind() == io::ErrorKind::TimedOut);
                 self.unanswered.set(timed_out);
                 changes
@@ -136,13 +136,13 @@
 /// A response and the connection on which it arrived.
 type ResponseAndClient = (Client, Message);
 
-/// Asks for the changes since the version `index` and waits until there are any. The time spent on connecting is
+/// Asks for the changes since `version` and waits until there are any. The time spent on connecting is
 /// subtracted from the wait, so that the call ends no later than one on an open connection.
-async fn changes(address: SocketAddr, open: Option<Client>, index: u64) -> io::Result<ResponseAndClient> {
+async fn changes(address: SocketAddr, open: Option<Client>, version: u64) -> io::Result<ResponseAndClient> {
     let started = Instant::now();
     let open = connect_unless_open(address, open).await?;
     let wait = ms(WATCH_WAIT).saturating_sub(started.elapsed()).as_millis();
-    get(address, open, &format!("/v1/servers?after={index}&wait_ms={wait}")).await
+    get(address, open, &format!("/v1/servers?after={version}&wait_ms={wait}")).await
 }
 
 /// Asks for the whole list. If the call is not answered within [`CALL_TIMEOUT`], it may hang, or the service may be
@@ -195,7 +195,7 @@
     }
 
     fn version(&self) -> Option<u64> {
-        self.index.get()
+        self.version.get()
     }
 }
 
@@ -203,7 +203,7 @@
     fn reload(&self, config: &Config) {
         if config.discovery.is_some_and(|address| self.address.set(address)) {
             // Each discovery service numbers its own versions, so the first call asks for the whole list.
-            self.index.set(None);
+            self.version.set(None);
             self.watch();
         }
     }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -8,7 +8,7 @@
 use async_channel::Receiver;
 use serde::{Deserialize, Serialize};
 
-use crate::core::drive::{millis, Driver, Pending};
+use crate::core::drive::{millis, Driver, PendingQuery};
 use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
 use crate::http::client_gate::ClientGate;
 use crate::http::inbox::ReceivedRequest;
@@ -82,7 +82,11 @@
     }
 
     /// Reads a query, reserves its id and passes it to the core.
-    fn start_query(&self, request: &ReceivedRequest, path: &str) -> Result<(ReservedId, Pending), Response> {
+    fn start_query(
+        &self,
+        request: &ReceivedRequest,
+        path: &str,
+    ) -> Result<(ReservedId, PendingQuery), Response> {
         let class = class_of(path);
         let query = read_query(request, class, self.driver.is_keyed(class))
             .map_err(|why| self.reject(class, 400, &why))?;
--- a/src/transport/frames/codec.rs
+++ b/src/transport/frames/codec.rs
@@ -24,7 +24,7 @@
     },
     /// `3`: the answer to a proof probe. Whether it reports success or not, the run store has read everything written
     /// before that probe.
-    ProbeAnswer,
+    ProofProbeAnswer,
     /// `4`: the answer to a load probe.
     LoadProbeAnswer {
         /// Whether it succeeded.
@@ -78,7 +78,7 @@
 }
 
 /// Encodes a proof probe, whose answer proves that everything written before it was read.
-pub fn encode_probe() -> Vec<u8> {
+pub fn encode_proof_probe() -> Vec<u8> {
     encode_frame(b'3', &[])
 }
 
@@ -114,7 +114,7 @@
 fn decode_frame(frame_type: u8, payload: &[u8]) -> Result<Frame, String> {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     match frame_type {
-        b'3' => Ok(Frame::ProbeAnswer),
+        b'3' => Ok(Frame::ProofProbeAnswer),
         b'4' => {
             let ok = !payload.starts_with(b"E");
             Ok(Frame::LoadProbeAnswer { ok, load: if ok { parse_load_report(&text(payload)) } else { None } })
--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -74,7 +74,7 @@
     /// An attempt.
     Call(CallNo, CallEnd),
     /// A load probe: whether it succeeded, and the load report.
-    Probe(CallNo, bool, Option<LoadReport>),
+    LoadProbe(CallNo, bool, Option<LoadReport>),
 }
 
 /// What was read from a connection: what ended, in order, and the error if a frame was malformed. Frames before the
@@ -242,7 +242,7 @@
     }
 
     /// Queues a load probe.
-    pub fn push_probe(&mut self, no: CallNo) {
+    pub fn push_load_probe(&mut self, no: CallNo) {
         self.queue.push_back(QueueItem::LoadProbe(no));
     }
 
@@ -285,7 +285,7 @@
         match &self.writing[0] {
             QueueItem::Cancel(part) => Some(codec::encode_cancel(part)),
             QueueItem::LoadProbe(_) => Some(codec::encode_load_probe()),
-            QueueItem::ProofProbe(_) => Some(codec::encode_probe()),
+            QueueItem::ProofProbe(_) => Some(codec::encode_proof_probe()),
             QueueItem::Call(_) => {
                 for item in &self.writing {
                     if let QueueItem::Call(no) = item {
@@ -383,7 +383,7 @@
                     };
                     ended.push(EndEvent::Call(no, CallEnd { outcome, value, load }));
                 }
-                Frame::ProbeAnswer => {
+                Frame::ProofProbeAnswer => {
                     for no in self.proof_probes.pop_front().map(|(calls, _)| calls).unwrap_or_default() {
                         if let Some(tracked) = self.calls.get(&no) {
                             let part = tracked.call.part.clone();
@@ -394,7 +394,7 @@
                 }
                 Frame::LoadProbeAnswer { ok, load } => {
                     if let Some((Some(no), _)) = self.load_probes.pop_front() {
-                        ended.push(EndEvent::Probe(no, ok, load));
+                        ended.push(EndEvent::LoadProbe(no, ok, load));
                     }
                 }
                 Frame::Rejected(why) => return Err(format!("the run store rejected a frame: {why}")),
@@ -479,7 +479,7 @@
     }
 
     /// Stops waiting for a load probe. Returns whether it was on this connection.
-    pub fn give_up_probe(&mut self, no: CallNo) -> bool {
+    pub fn give_up_load_probe(&mut self, no: CallNo) -> bool {
         let queued = self.queue.len();
         self.queue.retain(|item| *item != QueueItem::LoadProbe(no));
         let last_input = self.last_input;
@@ -507,11 +507,11 @@
         let mut ended = Vec::new();
         for item in self.queue.drain(..).chain(std::mem::take(&mut self.writing)) {
             if let QueueItem::LoadProbe(no) = item {
-                ended.push(EndEvent::Probe(no, false, None));
+                ended.push(EndEvent::LoadProbe(no, false, None));
             }
         }
         for (no, _) in self.load_probes.drain(..) {
-            ended.extend(no.map(|no| EndEvent::Probe(no, false, None)));
+            ended.extend(no.map(|no| EndEvent::LoadProbe(no, false, None)));
         }
         let unsent =
             self.calls.iter().filter(|(_, tracked)| !tracked.stage.is_fully_written()).map(|(no, _)| *no);
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -407,7 +407,7 @@
         for ended in ended {
             match ended {
                 EndEvent::Call(no, end) => self.driver.call_ended(no, end),
-                EndEvent::Probe(no, ok, load) => self.driver.probe_ended(no, ok, load),
+                EndEvent::LoadProbe(no, ok, load) => self.driver.probe_ended(no, ok, load),
             }
         }
     }
@@ -445,7 +445,7 @@
     fn probe(&self, run_store: &ReplicaId, no: CallNo) {
         match self.connection(run_store) {
             Ok(connection) => {
-                connection.state.borrow_mut().push_probe(no);
+                connection.state.borrow_mut().push_load_probe(no);
                 connection.wake();
             }
             Err(error) => {
@@ -460,7 +460,7 @@
 
     fn probe_timed_out(&self, run_store: &ReplicaId, no: CallNo) {
         self.for_each_connection(run_store, |connection| {
-            if connection.state.borrow_mut().give_up_probe(no) {
+            if connection.state.borrow_mut().give_up_load_probe(no) {
                 connection.wake();
             }
         });
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -197,13 +197,13 @@
     let watches =
         |core: &mut Core| commands(core).iter().filter(|command| **command == Command::Watch).count();
     core.apply_directory_update(DirectoryUpdate::Silent);
-    assert!(core.has_pending_events(), "it says when");
+    assert!(core.needs_step(), "it says when");
     let mut begun = 0;
     for now in (10..=510).step_by(5) {
         core.step(f64::from(now));
         begun += watches(&mut core);
     }
-    assert_eq!((begun, core.has_pending_events()), (1, false));
+    assert_eq!((begun, core.needs_step()), (1, false));
     core.apply_directory_update(DirectoryUpdate::Failed);
     core.step(520.0);
     assert_eq!(watches(&mut core), 0);
