--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -30,9 +30,9 @@
     fn send(&self, call: Call);
     /// Abandons an attempt. Without `await_proof` its end is already recorded, and the transport reports
     /// nothing more of it. With `await_proof` the transport reports its end by one [`Driver::call_ended`] as
-    /// soon as it is proved to be over: its run store has read the cancellation, has answered it, has closed
-    /// its connection, or can never have received the whole request. That may never happen; the core then
-    /// abandons the attempt once more, without `await_proof`.
+    /// soon as it is proved to be over: the run store has read the cancellation, has answered the attempt,
+    /// has closed the connection, or can never have received the whole request. That may never happen; the core
+    /// then abandons the attempt once more, without `await_proof`.
     fn abandon(&self, run_store: &ReplicaId, no: CallNo, await_proof: bool);
     /// Starts a probe. It ends by one [`Driver::probe_ended`] or by its timeout.
     fn probe(&self, run_store: &ReplicaId, no: CallNo);
@@ -73,7 +73,7 @@
     /// Wakes the loop in [`Driver::run`].
     step_signal: (Sender<()>, Receiver<()>),
     /// Accepted queries that wait for their final answer.
-    waiting: RefCell<HashMap<QueryNo, PendingAnswer>>,
+    answer_senders: RefCell<HashMap<QueryNo, AnswerSender>>,
     /// The timeouts of attempts and probes.
     timers: RefCell<HashMap<CallNo, Task<()>>>,
     transport: OnceCell<Rc<dyn RunStores>>,
@@ -86,10 +86,10 @@
 const MAX_WAIT_S: f64 = 1e9;
 
 /// The channel for a query's final answer, and the timer of its deadline.
-type PendingAnswer = (Sender<FinalAnswer>, Task<()>);
+type AnswerSender = (Sender<FinalAnswer>, Task<()>);
 
 /// An accepted query. If it is dropped before its final answer, its client counts as gone.
-pub struct Pending {
+pub struct PendingQuery {
     driver: Rc<Driver>,
     no: QueryNo,
     answer: Receiver<FinalAnswer>,
@@ -109,7 +109,7 @@
             executor,
             origin: (now, Instant::now()),
             step_signal: async_channel::bounded(1),
-            waiting: RefCell::default(),
+            answer_senders: RefCell::default(),
             timers: RefCell::default(),
             transport: OnceCell::new(),
             directory: OnceCell::new(),
@@ -149,8 +149,8 @@
         self.core.borrow_mut().note_invalid_request(now, class);
     }
 
-    /// Records in the trace that the first byte of an attempt was written at `begun` or, if `written`, that
-    /// the last byte has just been written.
+    /// Records in the trace how writing an attempt ended, which began at `begun`: its last byte has just been
+    /// written or, without `written`, its connection ends before that.
     pub fn progress(&self, call: &Call, begun: Millis, written: bool) {
         if self.trace_control.get().is_some() {
             let now = self.now();
@@ -214,18 +214,18 @@
 
     /// Returns the number of queries that wait for their final answer.
     pub fn open_queries(&self) -> usize {
-        self.waiting.borrow().len()
+        self.answer_senders.borrow().len()
     }
 
-    /// Drains a run store manually, or restores it. Returns `false` if it was never listed. Once this
-    /// returns, no call is started at a drained run store.
+    /// Drains a run store manually (`out`), or restores it. Returns `false` if it is unknown: neither listed
+    /// nor among those that were delisted last. Once this returns, no call is started at a drained run store.
     pub fn set_manual_drain(self: &Rc<Self>, now: Millis, id: &ReplicaId, out: bool) -> bool {
         let known = self.core.borrow_mut().set_manual_drain(now, id, out);
         self.run_commands();
         known
     }
 
-    /// Applies a manual drain or restore that another process of this aggregator accepted at `at`.
+    /// Applies a manual drain (`out`) or restore that another process of this aggregator accepted at `at`.
     pub fn apply_manual_drain(self: &Rc<Self>, at: Millis, id: &ReplicaId, out: bool) {
         self.core.borrow_mut().apply_manual_drain(at, id, out);
         self.run_commands();
@@ -283,7 +283,7 @@
         self.core.borrow().longest_deadline()
     }
 
-    /// Sets the time left until the process exits. No open or later query is waited for any longer.
+    /// Sets the time left until the process exits. The deadlines of all open and later queries end by then.
     pub fn exit_within(self: &Rc<Self>, time_left: Duration) {
         let at = Instant::now() + time_left;
         self.core.borrow_mut().set_exit_time(self.now() + millis(time_left));
@@ -306,12 +306,12 @@
         Some(Duration::from_secs_f64((wait / 1000.0).clamp(0.0, MAX_WAIT_S)))
     }
 
-    /// Moves the deadline of a query forward to `at`, if that is earlier.
+    /// Shortens the deadline of a query to `at`, if that is earlier.
     fn cap_deadline(self: &Rc<Self>, no: QueryNo, at: Instant) {
         let left = at.saturating_duration_since(Instant::now());
         self.core.borrow_mut().cap_deadline(no, self.now() + millis(left));
         let timer = self.wake_at(at);
-        if let Some((_, last)) = self.waiting.borrow_mut().get_mut(&no) {
+        if let Some((_, last)) = self.answer_senders.borrow_mut().get_mut(&no) {
             *last = timer;
         }
     }
@@ -339,7 +339,7 @@
     ///
     /// # Errors
     /// Returns why the query was rejected.
-    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<Pending, InvalidQuery> {
+    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<PendingQuery, InvalidQuery> {
         let now = self.now();
         let wait =
             self.core.borrow().client_wait(&request.class, request.timeout).unwrap_or(0.0) - request.queued;
@@ -347,9 +347,9 @@
         let (sender, answer) = async_channel::bounded(1);
         // The timer of the query's deadline: the step after it ends the query if it is still open.
         let timer = self.wake_at(self.instant(now + wait));
-        self.waiting.borrow_mut().insert(no, (sender, timer));
+        self.answer_senders.borrow_mut().insert(no, (sender, timer));
         self.run_commands();
-        Ok(Pending { driver: self.clone(), no, answer })
+        Ok(PendingQuery { driver: self.clone(), no, answer })
     }
 
     /// Records the end of an attempt. Only the first end counts.
@@ -410,9 +410,10 @@
         self.core.borrow_mut().note_clock(now, wall_clock() - now);
     }
 
-    /// Returns whether events wait for the next step.
-    pub fn has_pending_events(&self) -> bool {
-        self.core.borrow().has_pending_events()
+    /// Returns whether a step is needed now: events wait for it, or the watch is broken and has to be
+    /// scheduled again.
+    pub fn needs_step(&self) -> bool {
+        self.core.borrow().needs_step()
     }
 
     /// Requests a step.
@@ -429,7 +430,7 @@
             let Some(command) = command else { break };
             self.run_command(command);
         }
-        if self.has_pending_events() {
+        if self.needs_step() {
             self.wake();
         }
     }
@@ -475,7 +476,7 @@
                 }
             }
             Command::Answer { query, answer } => {
-                if let Some((sender, _timer)) = self.waiting.borrow_mut().remove(&query) {
+                if let Some((sender, _timer)) = self.answer_senders.borrow_mut().remove(&query) {
                     let _ = sender.try_send(answer);
                 }
             }
@@ -499,15 +500,15 @@
     origin.0 + millis(origin.1.elapsed())
 }
 
-impl Pending {
+impl PendingQuery {
     /// Waits for the final answer.
     pub async fn answer(&self) -> FinalAnswer {
         self.answer.recv().await.unwrap_or(FinalAnswer::Failed { retry_after: 0.0, cause: Cause::Overdue })
     }
 }
 
-impl Pending {
-    /// Waits for the final answer. The deadline moves forward to each instant that `sooner` delivers.
+impl PendingQuery {
+    /// Waits for the final answer. Shortens the deadline to each instant that `sooner` delivers.
     pub async fn answer_before(&self, sooner: Receiver<Instant>) -> FinalAnswer {
         let end_sooner = async {
             while let Ok(at) = sooner.recv().await {
@@ -519,10 +520,10 @@
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingQuery {
     /// Reports a client that left before its answer to the core, which cancels the attempts of its query.
     fn drop(&mut self) {
-        let was_open = self.driver.waiting.borrow_mut().remove(&self.no);
+        let was_open = self.driver.answer_senders.borrow_mut().remove(&self.no);
         if was_open.is_some() {
             self.driver.core.borrow_mut().client_gone(self.driver.now(), self.no);
             self.driver.wake();
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -8,7 +8,7 @@
 use async_channel::Receiver;
 use serde::{Deserialize, Serialize};
 
-use crate::core::drive::{millis, Driver, Pending};
+use crate::core::drive::{millis, Driver, PendingQuery};
 use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
 use crate::http::client_gate::ClientGate;
 use crate::http::inbox::ReceivedRequest;
@@ -76,13 +76,17 @@
 }
 
 impl Platform {
-    /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
+    /// Creates a front that passes queries to `driver` and reports the state of `client_gate` in its health check.
     pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>) -> Self {
         Platform { driver, client_gate, open_ids: Rc::default() }
     }
 
     /// Reads a query, reserves its id and passes it to the core.
-    fn start_query(&self, request: &ReceivedRequest, path: &str) -> Result<(ReservedId, Pending), Response> {
+    fn start_query(
+        &self,
+        request: &ReceivedRequest,
+        path: &str,
+    ) -> Result<(ReservedId, PendingQuery), Response> {
         let class = class_of(path);
         let query = read_query(request, class, self.driver.is_keyed(class))
             .map_err(|why| self.reject(class, 400, &why))?;
--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -30,8 +30,8 @@
     Queued,
     Writing,
     Written(Instant),
-    /// Given up, and awaited until the run store provably knows. The cancel frame is queued or written, but no probe
-    /// after it is being written yet.
+    /// Given up, and awaited until the run store has provably read the cancel frame. That frame is queued or written;
+    /// writing of the probe that follows it has not begun.
     Cancelling,
     /// Like `Cancelling`, but the probe after the cancel frame is being written or was written.
     ProofRequested,
@@ -73,8 +73,8 @@
 pub enum EndEvent {
     /// An attempt.
     Call(CallNo, CallEnd),
-    /// A probe: whether it succeeded, and the load report.
-    Probe(CallNo, bool, Option<LoadReport>),
+    /// A load probe: whether it succeeded, and the load report.
+    LoadProbe(CallNo, bool, Option<LoadReport>),
 }
 
 /// What was read from a connection: what ended, in order, and the error if a frame was malformed. Frames before the
@@ -88,7 +88,7 @@
     max_parts_per_frame: usize,
     queue: VecDeque<QueueItem>,
     calls: BTreeMap<CallNo, TrackedCall>,
-    /// Written probes, oldest first, with the time of writing; `None` for one that was given up.
+    /// Written load probes, oldest first, with the time of writing; `None` for a probe that was given up.
     load_probes: VecDeque<(Option<CallNo>, Instant)>,
     /// Written probes that prove calls to be over, oldest first, each with its calls and the time of writing.
     proof_probes: VecDeque<(Vec<CallNo>, Instant)>,
@@ -242,7 +242,7 @@
     }
 
     /// Queues a load probe.
-    pub fn push_probe(&mut self, no: CallNo) {
+    pub fn push_load_probe(&mut self, no: CallNo) {
         self.queue.push_back(QueueItem::LoadProbe(no));
     }
 
@@ -285,7 +285,7 @@
         match &self.writing[0] {
             QueueItem::Cancel(part) => Some(codec::encode_cancel(part)),
             QueueItem::LoadProbe(_) => Some(codec::encode_load_probe()),
-            QueueItem::ProofProbe(_) => Some(codec::encode_probe()),
+            QueueItem::ProofProbe(_) => Some(codec::encode_proof_probe()),
             QueueItem::Call(_) => {
                 for item in &self.writing {
                     if let QueueItem::Call(no) = item {
@@ -358,8 +358,9 @@
                     };
                     let Some(no) = self.calls.values().find(outstanding).map(|tracked| tracked.call.no)
                     else {
-                        // A late answer to a part that was given up, or a second answer, is ignored. An answer to a
-                        // part that was never sent here must replace one that was, which will never arrive.
+                        // A late answer to a part that was given up, or a second answer, is ignored. If the part was
+                        // never sent here, the run store has mixed up ids, and the answer to some other part will
+                        // never arrive: the connection is closed.
                         if let Some(past) = self.past_parts.iter_mut().find(|past| past.0 == part) {
                             past.1 = true;
                             continue;
@@ -382,7 +383,7 @@
                     };
                     ended.push(EndEvent::Call(no, CallEnd { outcome, value, load }));
                 }
-                Frame::ProbeAnswer => {
+                Frame::ProofProbeAnswer => {
                     for no in self.proof_probes.pop_front().map(|(calls, _)| calls).unwrap_or_default() {
                         if let Some(tracked) = self.calls.get(&no) {
                             let part = tracked.call.part.clone();
@@ -393,7 +394,7 @@
                 }
                 Frame::LoadProbeAnswer { ok, load } => {
                     if let Some((Some(no), _)) = self.load_probes.pop_front() {
-                        ended.push(EndEvent::Probe(no, ok, load));
+                        ended.push(EndEvent::LoadProbe(no, ok, load));
                     }
                 }
                 Frame::Rejected(why) => return Err(format!("the run store rejected a frame: {why}")),
@@ -477,8 +478,8 @@
         }
     }
 
-    /// Stops waiting for a probe. Returns whether it was on this connection.
-    pub fn give_up_probe(&mut self, no: CallNo) -> bool {
+    /// Stops waiting for a load probe. Returns whether it was on this connection.
+    pub fn give_up_load_probe(&mut self, no: CallNo) -> bool {
         let queued = self.queue.len();
         self.queue.retain(|item| *item != QueueItem::LoadProbe(no));
         let last_input = self.last_input;
@@ -501,16 +502,16 @@
         numbers.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
     }
 
-    /// Stops writing, and ends every probe and every call that was not written completely.
+    /// Stops writing, and ends every load probe and every call that was not written completely.
     pub fn stop_writing(&mut self) -> Vec<EndEvent> {
         let mut ended = Vec::new();
         for item in self.queue.drain(..).chain(std::mem::take(&mut self.writing)) {
             if let QueueItem::LoadProbe(no) = item {
-                ended.push(EndEvent::Probe(no, false, None));
+                ended.push(EndEvent::LoadProbe(no, false, None));
             }
         }
         for (no, _) in self.load_probes.drain(..) {
-            ended.extend(no.map(|no| EndEvent::Probe(no, false, None)));
+            ended.extend(no.map(|no| EndEvent::LoadProbe(no, false, None)));
         }
         let unsent =
             self.calls.iter().filter(|(_, tracked)| !tracked.stage.is_fully_written()).map(|(no, _)| *no);
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -199,13 +199,13 @@
     let watches =
         |core: &mut Core| commands(core).iter().filter(|command| **command == Command::Watch).count();
     core.apply_directory_update(DirectoryUpdate::Silent);
-    assert!(core.has_pending_events(), "the core asks to be stepped");
+    assert!(core.needs_step(), "the core asks to be stepped");
     let mut reopened = 0;
     for now in (10..=510).step_by(5) {
         core.step(f64::from(now));
         reopened += watches(&mut core);
     }
-    assert_eq!((reopened, core.has_pending_events()), (1, false));
+    assert_eq!((reopened, core.needs_step()), (1, false));
     core.apply_directory_update(DirectoryUpdate::Failed);
     core.step(520.0);
     assert_eq!(watches(&mut core), 0);
--- a/tests/sockets/upgrade.rs
+++ b/tests/sockets/upgrade.rs
@@ -145,7 +145,7 @@
         assert!(old.ask("run-lookup", &[0], 8000).is_whole(), "{why}");
     }
     // Only the first process connected to the old one before it failed.
-    old.wait_for_log("handover: failed, this process serves on");
+    old.wait_for_log("handover: failed, this process was not replaced");
     // A peer that sends nothing, an incomplete or invalid message, or leaves, gets nothing and does no harm.
     for words in [
         "",
@@ -158,14 +158,14 @@
         let mut stream = UnixStream::connect(old.handover_socket()).unwrap();
         stream.write_all(words.as_bytes()).unwrap();
         drop(stream);
-        old.wait_for_log("handover: failed, this process serves on");
+        old.wait_for_log("handover: failed, this process was not replaced");
     }
     let mut slow = UnixStream::connect(old.handover_socket()).unwrap();
     slow.write_all(b"{\"hello\":{\"version\":1,\"name\":\"n0\"}}\n").unwrap();
     let mut state = vec![0; 100];
     slow.read_exact(&mut state).unwrap();
     // This peer receives the state and never reports that it serves.
-    old.wait_for_log("handover: failed, this process serves on");
+    old.wait_for_log("handover: failed, this process was not replaced");
     std::fs::write(old.config_path(), sound).unwrap();
     let new = old.start_successor();
     assert!(new.ask("run-lookup", &[0], 8000).is_whole());
