--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1140,8 +1140,8 @@
     /// Handles those parts of a query that were sent to a replica which has been silent since the send for so
     /// long that it is suspected to hang. The replica is parked and, if the part may be sent again and there
     /// is time and retry budget, the attempt is cancelled. If the path probably dropped the connection, the
-    /// replica is not parked: the attempt is cancelled if the part may be sent again, and the idle connections
-    /// to the replica are closed.
+    /// replica is not parked: the attempt is cancelled if the part may be sent again, and the idle
+    /// connections to the replica are closed.
     fn retry_silent(&mut self, number: u64) {
         let Some(query) = self.queries.get(&number) else { return };
         let class = query.class;
