--- a/benches/list.rs
+++ b/benches/list.rs
@@ -1,13 +1,14 @@
-//! The cost of taking in a whole list: from the bytes of discovery's answer to what the core tells the router, by the
-//! number of lines, in time and in memory at the most.
+//! Measures the time and peak memory of applying a whole list, by its number of lines: from the bytes of discovery's
+//! answer to the core's event for the router.
 //!
-//! `cargo bench --bench list`; the column "max alloc" has the most that was held at once, beside the answer's bytes.
+//! Run `cargo bench --bench list`. The column "max alloc" shows the peak of allocated memory; it does not include the
+//! bytes of the answer.
 
 use divan::{AllocProfiler, Bencher};
-use ironpaddle::core::{Core, News};
+use ironpaddle::core::{Core, DirectoryUpdate};
 use ironpaddle::directory::list::List;
-use ironpaddle::http::parse::{Kind, Message, Parser};
-use ironpaddle::settings::Info;
+use ironpaddle::http::parse::{Message, MessageKind, Parser};
+use ironpaddle::settings::SiteSettings;
 use serde_json::json;
 
 #[global_allocator]
@@ -19,7 +20,7 @@
     divan::main();
 }
 
-/// An answer of discovery with a whole list, as it comes over a connection.
+/// Returns the HTTP response of discovery with a whole list.
 fn answer(lines: usize) -> Vec<u8> {
     let line = |no: usize| {
         format!(
@@ -38,75 +39,78 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// Reads an answer as the client does, piece by piece.
+/// Parses a response in chunks, as the client reads it.
 fn read(answer: &[u8]) -> Message {
-    let mut parser = Parser::new(Kind::Response(answer.len()));
+    let mut parser = Parser::new(MessageKind::Response(answer.len()));
     for bytes in answer.chunks(8192) {
         parser.push(bytes);
-        if let Some(message) = parser.next_message().expect("an answer of HTTP") {
+        if let Some(message) = parser.next_message().expect("a valid HTTP response") {
             return message;
         }
     }
-    panic!("the answer is whole")
+    panic!("the response is incomplete")
 }
 
-fn news(message: Message) -> News {
+fn directory_update(message: Message) -> DirectoryUpdate {
     let list: List = serde_json::from_slice(&message.body).expect("a list");
-    list.news()
+    list.into_update()
 }
 
 fn core() -> Core {
     let class = json!({"name": "search", "aim_ms": 1000.0, "deadline_ms": 4000.0, "repeat": "read_like"});
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3},
         "domain": {"cells": 19_000, "width": 1, "shards": 9},
         "request_classes": [class],
         "tick_ms": 5.0,
     }))
     .expect("settings");
-    Core::new(&info, 7).expect("sound settings")
+    Core::new(&site, 7).expect("valid settings")
 }
 
-/// Bytes to lines: all that the watch does by itself.
+/// From bytes to lines: the work of the directory watch alone.
 #[divan::bench(args = LINES)]
 fn read_and_parse(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
     println!("{lines} lines: {} bytes, {:.1} a line", answer.len(), answer.len() as f64 / lines as f64);
-    bencher.bench_local(|| news(read(&answer)));
+    bencher.bench_local(|| directory_update(read(&answer)));
 }
 
-/// Lines to the router's event and the transport's orders, at a start.
+/// From lines to the router's event and the transport's commands, for the first list after a start.
 #[divan::bench(args = LINES, max_time = 20)]
 fn take_a_first_list(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
-    bencher.with_inputs(|| (core(), news(read(&answer)))).bench_local_values(|(mut core, news)| {
-        core.take_news(news);
-        core
-    });
+    bencher.with_inputs(|| (core(), directory_update(read(&answer)))).bench_local_values(
+        |(mut core, update)| {
+            core.apply_directory_update(update);
+            core
+        },
+    );
 }
 
-/// The same where all lines were known, as after a watch that broke.
+/// The same with a list whose lines are all known, as after a broken watch.
 #[divan::bench(args = LINES, max_time = 20)]
 fn take_the_same_list_again(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
     let known = || {
         let mut core = core();
-        core.take_news(news(read(&answer)));
-        while core.next_order().is_some() {}
-        (core, news(read(&answer)))
+        core.apply_directory_update(directory_update(read(&answer)));
+        while core.next_command().is_some() {}
+        (core, directory_update(read(&answer)))
     };
-    bencher.with_inputs(known).bench_local_values(|(mut core, news)| {
-        core.take_news(news);
+    bencher.with_inputs(known).bench_local_values(|(mut core, update)| {
+        core.apply_directory_update(update);
         core
     });
 }
 
-/// Bytes to events and orders, at a start: what the serving thread is held for, and its memory.
+/// From bytes to events and commands, for the first list after a start: how long the serving thread is blocked, and
+/// the memory that it needs.
 #[divan::bench(args = LINES, max_time = 20)]
 fn bytes_to_events(bencher: Bencher, lines: usize) {
     let answer = answer(lines);
     bencher.with_inputs(core).bench_local_values(|mut core| {
-        core.take_news(news(read(&answer)));
+        core.apply_directory_update(directory_update(read(&answer)));
         core
     });
 }
--- a/benches/load/mod.rs
+++ b/benches/load/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet under load for the benchmarks, which turns over as it would: each part is completed after the same time, and
-//! the clock goes on by so much that what is in flight stays the same (Little's law).
+//! Simulates a fleet under a steady load for the benchmarks. Each part completes after the same time, and the clock
+//! advances between queries so that the number of parts in flight stays the same (Little's law).
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -7,27 +7,33 @@
 use ironpaddle::api::*;
 use ironpaddle::Router;
 
-/// How long each part takes.
+/// The latency of each part, in milliseconds.
 const LATENCY: Millis = 200.0;
-/// Queries that come in one step while the load is built, at most.
-const CLUMP: usize = 50;
+/// The maximum number of queries that arrive in one step while the load is built.
+const MAX_BATCH: usize = 50;
+/// The router's tick, in milliseconds.
 pub const TICK: Millis = 5.0;
 
-/// A fleet and what is out on it.
+/// A fleet and the parts in flight on it.
 pub struct Load {
     router: Router,
+    /// The current time, in milliseconds.
     pub now: Millis,
+    /// The number of the last query; `benches/scale.rs` also counts changed lines with it.
     pub next: u64,
-    pub stores: u32,
+    /// The number of run stores.
+    pub run_stores: u32,
     cells: u32,
-    flights: usize,
-    out: VecDeque<(PartId, ReplicaId, Millis)>,
+    /// The number of parts that are kept in flight.
+    target_in_flight: usize,
+    /// The parts in flight, oldest first: the part, its run store, and when it was sent.
+    in_flight: VecDeque<(PartId, ReplicaId, Millis)>,
 }
 
 impl Load {
-    /// So many run stores, each shard held by three of them or by all, with so many parts in flight; `None` if that took
-    /// longer than it may.
-    pub fn new(stores: u32, flights: usize, all: bool, within: Duration) -> Option<Self> {
+    /// Builds a fleet of `run_stores` run stores with `target_in_flight` parts in flight. Each shard is held by all run
+    /// stores if `all` is true, and otherwise by three. Returns `None` if building takes longer than `within`.
+    pub fn new(run_stores: u32, target_in_flight: usize, all: bool, within: Duration) -> Option<Self> {
         let class = |repeat| Class {
             aim: 2000.0,
             repeat,
@@ -35,70 +41,85 @@
             late_worth: 0.1,
             least_share: 1.0,
             whole_from: 1.0,
-            partial_earns: 0.9,
-            second_step: 0,
+            partial_worth: 0.9,
+            second_step_parts: 0,
         };
-        let (cells, width) = if all { (1, 1) } else { (stores, 3.min(stores)) };
+        let (cells, width) = if all { (1, 1) } else { (run_stores, 3.min(run_stores)) };
         let settings = Settings {
-            classes: vec![class(Repeat::Safe), class(Repeat::Unsafe)],
+            classes: vec![class(RepeatPolicy::Safe), class(RepeatPolicy::Unsafe)],
             over_share_worth: 0.05,
             routers: 3,
             cells,
-            width,
-            call_parts: 1,
+            cells_per_shard: width,
+            max_parts_per_call: 1,
             max_attempts: 3,
             may_cancel: true,
-            parallel_tries: true,
+            parallel_attempts: true,
             probes: true,
             max_retry_after: 2000.0,
-            cold: Some(ColdRule { from: 0.4, warm_within: 10_000.0, multiple: 2.0, window: 1000.0 }),
+            cold: Some(ColdStartRule {
+                initial_share: 0.4,
+                warm_within: 10_000.0,
+                overload_multiple: 2.0,
+                overload_window: 1000.0,
+            }),
             tick: TICK,
             ..Settings::default()
         };
-        let begun = Instant::now();
-        let router = Router::new(settings, 7).expect("sound");
-        let mut load = Load { router, now: 0.0, next: 0, stores, cells, flights, out: VecDeque::new() };
+        let started = Instant::now();
+        let router = Router::new(settings, 7).expect("valid settings");
+        let mut load = Load {
+            router,
+            now: 0.0,
+            next: 0,
+            run_stores,
+            cells,
+            target_in_flight,
+            in_flight: VecDeque::new(),
+        };
         load.list(load.lines());
-        // It turns over once in full, so that reports, rates and paces are known, and what was refused meanwhile, as the
-        // first parts tell of paces under no load, is made up for.
-        let clump = (flights / 20).clamp(1, CLUMP);
-        let mut turns = 0;
-        while turns < flights || load.out.len() < flights {
-            if begun.elapsed() >= within {
+        // Every part in flight is replaced once, so that the router knows load reports, rates and paces. Some queries
+        // are refused meanwhile, as the first parts show the pace without load; more are sent in their place.
+        let batch = (target_in_flight / 20).clamp(1, MAX_BATCH);
+        let mut turnovers = 0;
+        while turnovers < target_in_flight || load.in_flight.len() < target_in_flight {
+            if started.elapsed() >= within {
                 return None;
             }
-            let lacks = clump.min(flights - load.out.len().min(flights));
-            let mut events: Vec<Event> = (0..lacks).flat_map(|_| load.query()).collect();
-            if turns > 0 || load.out.len() >= flights {
-                (0..clump).for_each(|_| events.extend(load.turn()));
-                turns += clump;
+            let missing = batch.min(target_in_flight - load.in_flight.len().min(target_in_flight));
+            let mut events: Vec<Event> = (0..missing).flat_map(|_| load.query()).collect();
+            if turnovers > 0 || load.in_flight.len() >= target_in_flight {
+                (0..batch).for_each(|_| events.extend(load.turnover()));
+                turnovers += batch;
             }
             load.play(events);
         }
         Some(load)
     }
 
-    /// The whole list.
+    /// Returns the whole list.
     pub fn lines(&self) -> Vec<Replica> {
-        (0..self.stores).map(|no| self.line(no, ReplicaState::Active)).collect()
+        (0..self.run_stores).map(|no| self.line(no, ReplicaState::Active)).collect()
     }
 
+    /// Returns one line of the list.
     pub fn line(&self, no: u32, state: ReplicaState) -> Replica {
         let id = format!("s-{no}").as_str().into();
         Replica { id, cell: no % self.cells, weight: 1.0, state, ..Replica::default() }
     }
 
-    /// Takes in a whole list.
+    /// Applies a whole list.
     pub fn list(&mut self, lines: Vec<Replica>) {
-        self.play(vec![Event::List(ListNews::Full(lines))]);
+        self.play(vec![Event::List(ListUpdate::Full(lines))]);
     }
 
+    /// Returns the events of a new query of one part.
     fn query(&mut self) -> [Event; 2] {
         self.next += 1;
-        self.now += LATENCY / self.flights as f64;
+        self.now += LATENCY / self.target_in_flight as f64;
         let (number, class) = (self.next, ClassIndex((self.next % 2) as usize));
         let id = PartId::from(format!("q{number}.0").as_str());
-        let shard = Shard((number.wrapping_mul(0x9e37_79b9) % u64::from(self.stores * 2)) as u32);
+        let shard = Shard((number.wrapping_mul(0x9e37_79b9) % u64::from(self.run_stores * 2)) as u32);
         [
             Event::Query(NewQuery {
                 id: format!("q{number}").as_str().into(),
@@ -115,10 +136,10 @@
         ]
     }
 
-    /// A query of one part comes, and the part that is out longest is completed.
-    pub fn turn(&mut self) -> Vec<Event> {
+    /// Returns the events of one turnover: a query of one part arrives, and the part longest in flight completes.
+    pub fn turnover(&mut self) -> Vec<Event> {
         let mut events = self.query().to_vec();
-        if let Some((part, replica, sent)) = self.out.pop_front() {
+        if let Some((part, replica, sent)) = self.in_flight.pop_front() {
             events.push(Event::AttemptEnded(AttemptEnded {
                 part,
                 attempt: Attempt(0),
@@ -135,10 +156,11 @@
         events
     }
 
+    /// Steps the router with some events and notes the parts that it sends.
     pub fn play(&mut self, events: Vec<Event>) {
         for action in self.router.step(self.now, events) {
             if let Action::Send { part, replica, .. } = action {
-                self.out.push_back((part, replica, self.now));
+                self.in_flight.push_back((part, replica, self.now));
             }
         }
     }
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -16,9 +16,9 @@
 use async_io::Timer;
 use ironpaddle::api::{Millis, ReplicaId, ReplicaState};
 use ironpaddle::core::drive::{Directory, Driver, RunStores};
-use ironpaddle::core::{Call, CallNo, Core, News};
+use ironpaddle::core::{Call, CallNo, Core, DirectoryUpdate};
 use ironpaddle::directory::watch::Watch;
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
@@ -66,20 +66,20 @@
 
 impl RunStores for NoStores {
     fn send(&self, _: Call) {}
-    fn give_up(&self, _: &ReplicaId, _: CallNo, _: bool) {}
+    fn abandon(&self, _: &ReplicaId, _: CallNo, _: bool) {}
     fn probe(&self, _: &ReplicaId, _: CallNo) {}
     fn probe_timed_out(&self, _: &ReplicaId, _: CallNo) {}
     fn close_idle(&self, _: &ReplicaId) {}
     fn retire(&self, _: &ReplicaId) {}
     fn locate(&self, _: &ReplicaId, _: SocketAddr, _: Option<Millis>) {}
-    fn places(&self) -> usize {
+    fn tracked_run_stores(&self) -> usize {
         0
     }
-    fn open(&self) -> usize {
+    fn connections(&self) -> usize {
         0
     }
-    fn room(&self, _: usize) {}
-    fn retune(&self, _: &Info) {}
+    fn set_max_connections(&self, _: usize) {}
+    fn apply_settings(&self, _: &SiteSettings) {}
 }
 
 /// An aggregator, driven until its process ends.
@@ -89,7 +89,7 @@
     poll_fn(|context| {
         let polled = running.as_mut().poll(context);
         // What was told is in force once the step after it is done.
-        let version = Directory::version(&watch).filter(|_| !driver.has_news());
+        let version = Directory::version(&watch).filter(|_| !driver.has_pending_events());
         if let Some(version) = version.filter(|version| known.get().is_none_or(|known| known < *version)) {
             let mut standing = lock(&standing);
             let from = known.replace(Some(version)).map_or(FIRST_INDEX, |known| known + 1);
@@ -104,7 +104,7 @@
 /// The list that an aggregator holds, in a number.
 fn list(driver: &Driver) -> u64 {
     let lines = driver.directory();
-    let line = |line: &ironpaddle::core::Listed| {
+    let line = |line: &ironpaddle::core::ListedRunStore| {
         let drains = line.replica.state != ReplicaState::Active;
         (line.replica.id.0.to_string(), line.replica.cell, drains, line.replica.started)
     };
@@ -114,7 +114,7 @@
 
 /// Starts them. Each is started when few of the last ones wait for their list.
 pub fn start(setup: &Setup) -> io::Result<(Vec<SocketAddr>, Attend)> {
-    let info: Info = serde_json::from_value(setup.settings.clone())?;
+    let site: SiteSettings = serde_json::from_value(setup.settings.clone())?;
     if setup.discovery.is_empty() {
         return Err(io::ErrorKind::InvalidInput.into());
     }
@@ -124,18 +124,18 @@
         let standing = Shared::default();
         let (asking, asked) = async_channel::bounded::<()>(1);
         let (answers, answer) = std::sync::mpsc::channel();
-        let (info, held) = (info.clone(), standing.clone());
+        let (site, held) = (site.clone(), standing.clone());
         let (seed, hollow, discovery) = (setup.seed, setup.hollow, setup.discovery.clone());
         thread::spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
             let mut drivers = Vec::new();
             let all = async {
                 for no in (thread..hollow).step_by(THREADS) {
-                    let Ok(core) = Core::new(&info, seed + no as u64) else { return };
+                    let Ok(core) = Core::new(&site, seed + no as u64) else { return };
                     let driver = Driver::new(core, executor.clone());
                     let watch = Watch::new(driver.clone(), discovery[no % discovery.len()], None);
                     driver.connect(Rc::new(NoStores), Rc::new(watch.clone()));
-                    driver.take_news(News::Cached(Vec::new()));
+                    driver.apply_directory_update(DirectoryUpdate::Cached(Vec::new()));
                     executor.spawn(drive(driver.clone(), watch, clock, held.clone())).detach();
                     drivers.push(driver);
                     while lock(&held).listed + STARTING < drivers.len() {
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -1,4 +1,4 @@
-//! Traces made of traces: merged over versions and aggregators, cut, and with names replaced.
+//! The trace tools: merging over versions and aggregators, cutting, anonymising, summaries and query histories.
 
 mod common;
 
@@ -10,16 +10,16 @@
 
 use common::{source, trace, BEGIN};
 use ironpaddle_trace::block::Batch;
-use ironpaddle_trace::edit::{anonymise, cut, merge, Pick, Pseudonyms};
+use ironpaddle_trace::edit::{anonymise, cut, merge, Pseudonyms, Selection};
 use ironpaddle_trace::file::{Header, Reader, Writer};
 use ironpaddle_trace::record::{How, Kind, Record};
-use ironpaddle_trace::set::{Met, Set};
+use ironpaddle_trace::set::{Item, Set};
 use ironpaddle_trace::story;
-use ironpaddle_trace::summary::{summarise, Only};
+use ironpaddle_trace::summary::{summarise, Filter};
 
 const ALL: (f64, f64) = (f64::NEG_INFINITY, f64::INFINITY);
 
-/// A folder for segments.
+/// A temporary directory of segments, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -45,7 +45,7 @@
     }
 }
 
-/// All bytes of a trace with nothing compressed: its header and the names and records of its blocks.
+/// Returns the uncompressed content of a trace: its header, and the names and entries of its blocks.
 fn plain(bytes: &[u8]) -> Vec<u8> {
     let mut reader = Reader::open(Cursor::new(bytes)).unwrap();
     let mut plain = format!("{:?}", reader.header().unwrap()).into_bytes();
@@ -57,8 +57,8 @@
     plain
 }
 
-/// A trace of one query whose records are in blocks of two segments.
-fn straddling() -> [Vec<u8>; 2] {
+/// Returns two segments that share the records of one query.
+fn spanning_segments() -> [Vec<u8>; 2] {
     let mut batches = [Batch::default(), Batch::default()];
     common::checkpoint(&mut batches[0], BEGIN);
     common::query(&mut batches, BEGIN + 5.0, 1, "over-two", "vaal", How::Whole);
@@ -69,13 +69,13 @@
         writer.add(0, batch).unwrap();
         writer.finish().unwrap().into_inner()
     };
-    // The second segment begins with a checkpoint of its own, as each does.
+    // The second segment has a checkpoint of its own, as every segment does.
     common::checkpoint(&mut last, BEGIN + 40.0);
     [segment(0, first), segment(1, last)]
 }
 
 #[test]
-fn aggregators_and_versions_merge_in_order_of_time_and_stay_apart() {
+fn a_merge_is_ordered_by_time_and_keeps_sources_apart() {
     let second = trace("n1", true);
     let folder = Folder::new(&[include_bytes!("golden/v1.iptrace").to_vec(), second]);
     let merged = merge(&mut folder.set(), Cursor::new(Vec::new())).unwrap().into_inner();
@@ -83,10 +83,10 @@
     let mut set = folder.set();
     let names: Vec<_> = set.sources.iter().map(|source| source.aggregator.as_str()).collect();
     assert_eq!(names, ["n0", "n1"]);
-    // Both clocks tell the same times: each source keeps its order, and times never go back.
+    // Both sources have equal timestamps: each keeps its order, and times never decrease.
     let (mut times, mut causes) = (Vec::new(), Vec::new());
-    set.each(ALL, |met| {
-        let Met::Entry(source, _, entry) = met else { panic!("a gap") };
+    set.each(ALL, |item| {
+        let Item::Entry(source, _, entry) = item else { panic!("a gap") };
         times.push(entry.at);
         if let Record::Verdict(verdict) = &entry.record {
             causes.push((source, verdict.query, verdict.cause.map(|cause| cause.code())));
@@ -94,47 +94,48 @@
     });
     assert!(times.windows(2).all(|pair| pair[0] <= pair[1]) && times.len() == 22, "{times:?}");
     causes.sort_unstable();
-    // What the first version did not know is unknown, beside what the second one does.
+    // Causes that version 1 did not record are unknown; the other source keeps its causes.
     assert_eq!(causes, [(0, 1, None), (0, 2, Some("unknown")), (1, 1, None), (1, 2, Some("beyond_share"))]);
-    // Queries of the same number and name are two.
+    // Queries with the same number and client id in different sources are distinct.
     assert_eq!(set.find("9b1f03aa").unwrap(), [(0, 1), (1, 1)]);
-    let told = story::tell(&mut set, 1, 2).unwrap();
-    assert_eq!((told.aggregator.as_str(), told.end.as_deref()), ("n1", Some("refused")));
-    assert!(told.moments.iter().any(|moment| moment.what.contains("beyond its share")), "{told:?}");
-    let summary = summarise(&mut set, ALL, &Only::default());
+    let history = story::collect(&mut set, 1, 2).unwrap();
+    assert_eq!((history.aggregator.as_str(), history.end.as_deref()), ("n1", Some("refused")));
+    assert!(history.moments.iter().any(|moment| moment.what.contains("beyond its share")), "{history:?}");
+    let summary = summarise(&mut set, ALL, &Filter::default());
     let class = &summary.classes["run-lookup"];
     assert_eq!((class.taken, class.answered, class.refused), (4, 2, 2));
     assert_eq!(summary.causes["run-lookup"].values().sum::<u64>(), 2);
 }
 
 #[test]
-fn a_query_over_two_segments_is_one_story() {
-    let folder = Folder::new(&straddling());
+fn a_query_that_spans_two_segments_has_one_history() {
+    let folder = Folder::new(&spanning_segments());
     let mut set = folder.set();
     assert_eq!(set.sources.len(), 1);
     let found = set.find("over-two").unwrap();
     assert_eq!(found, [(0, 1)]);
-    let story = story::tell(&mut set, 0, 1).unwrap();
+    let story = story::collect(&mut set, 0, 1).unwrap();
     let words: Vec<_> = story.moments.iter().map(|moment| moment.what.as_str()).collect();
     assert!(
         words[0].starts_with("taken") && words.last().unwrap().starts_with("answered whole"),
         "{words:?}"
     );
     assert_eq!(story.moments.last().unwrap().since_ms, 33.0);
-    assert_eq!(set.find("q1").unwrap(), [(0, 1)], "by its number too");
+    assert_eq!(set.find("q1").unwrap(), [(0, 1)], "found by number too");
     assert_eq!(set.find("q9").unwrap(), []);
 }
 
 #[test]
-fn a_cut_begins_with_its_checkpoint_and_ends_on_time() {
+fn a_cut_begins_with_a_checkpoint_and_ends_with_its_time_span() {
     let folder = Folder::new(&[trace("n0", true)]);
     let span = (BEGIN + 200.0, BEGIN + 260.0);
-    let bytes = cut(&mut folder.set(), span, &Pick::default(), Cursor::new(Vec::new())).unwrap().into_inner();
+    let bytes =
+        cut(&mut folder.set(), span, &Selection::default(), Cursor::new(Vec::new())).unwrap().into_inner();
     let folder = Folder::new(&[bytes]);
     let mut times = Vec::new();
     let mut first = None;
-    folder.set().each(ALL, |met| {
-        if let Met::Entry(_, _, entry) = met {
+    folder.set().each(ALL, |item| {
+        if let Item::Entry(_, _, entry) = item {
             first.get_or_insert(matches!(entry.record, Record::Checkpoint(_)));
             times.push(entry.at);
         }
@@ -144,17 +145,20 @@
 }
 
 #[test]
-fn a_cut_of_picked_queries_holds_only_these() {
+fn a_cut_of_selected_queries_holds_only_these() {
     let folder = Folder::new(&[trace("n0", true)]);
-    let of = |pick: &Pick| {
-        let bytes = cut(&mut folder.set(), ALL, pick, Cursor::new(Vec::new())).unwrap().into_inner();
+    let of = |selection: &Selection| {
+        let bytes = cut(&mut folder.set(), ALL, selection, Cursor::new(Vec::new())).unwrap().into_inner();
         let folder = Folder::new(&[bytes]);
         let mut queries = BTreeSet::new();
         if let Ok(mut set) = Set::open(std::slice::from_ref(&folder.0)) {
-            set.each(ALL, |met| {
-                if let Met::Entry(_, _, entry) = met {
-                    assert!(!matches!(entry.record, Record::Checkpoint(_)), "it cannot be replayed");
-                    entry.record.queries(&mut |query| {
+            set.each(ALL, |item| {
+                if let Item::Entry(_, _, entry) = item {
+                    assert!(
+                        !matches!(entry.record, Record::Checkpoint(_)),
+                        "a cut of selected queries has no checkpoint"
+                    );
+                    entry.record.visit_queries(&mut |query| {
                         queries.insert(query);
                     });
                 }
@@ -162,11 +166,15 @@
         }
         queries.into_iter().collect::<Vec<_>>()
     };
-    let group = |name: &str| Only { group: Some(name.into()), class: None };
-    assert_eq!(of(&Pick { only: group("vaal"), ..Pick::default() }), [2], "vaal is not vaal-muon");
-    assert_eq!(of(&Pick { query: Some("9b1f03aa".into()), ..Pick::default() }), [1]);
-    assert_eq!(of(&Pick { run_store: Some("s-1".into()), ..Pick::default() }), [1, 2]);
-    assert_eq!(of(&Pick { run_store: Some("s-2".into()), ..Pick::default() }), [0; 0]);
+    let group = |name: &str| Filter { group: Some(name.into()), class: None };
+    assert_eq!(
+        of(&Selection { filter: group("vaal"), ..Selection::default() }),
+        [2],
+        "vaal must not match vaal-muon"
+    );
+    assert_eq!(of(&Selection { query: Some("9b1f03aa".into()), ..Selection::default() }), [1]);
+    assert_eq!(of(&Selection { run_store: Some("s-1".into()), ..Selection::default() }), [1, 2]);
+    assert_eq!(of(&Selection { run_store: Some("s-2".into()), ..Selection::default() }), [0; 0]);
 }
 
 #[test]
@@ -180,8 +188,8 @@
     for name in ["vaal", "9b1f"] {
         assert!(!text.contains(name), "{name} is left: {text}");
     }
-    assert!(text.contains("s-1") && text.contains("run-lookup"), "other names stay");
-    // One name that is part of another has another pseudonym, also in settings and free text.
+    assert!(text.contains("s-1") && text.contains("run-lookup"), "names of other kinds are unchanged");
+    // A name that is a prefix of another gets a different pseudonym, also in settings and free text.
     let pseudonyms = Pseudonyms::new(b"secret");
     for (kind, name) in [
         (Kind::Group, "vaal"),
@@ -197,13 +205,13 @@
         pseudonyms.of(Kind::Query, "9b1f03aa"),
         pseudonyms.of(Kind::Group, "vaal-muon")
     )));
-    // The same key gives the same names over files, another key others; the counts stay.
+    // The same key gives the same pseudonyms in every run, another key different ones; the counts do not change.
     assert_eq!(plain(&hide(b"secret")), plain(&bytes));
     assert_ne!(plain(&hide(b"other")), plain(&bytes));
     let hidden = Folder::new(&[bytes]);
     let (before, after) = (
-        summarise(&mut folder.set(), ALL, &Only::default()),
-        summarise(&mut hidden.set(), ALL, &Only::default()),
+        summarise(&mut folder.set(), ALL, &Filter::default()),
+        summarise(&mut hidden.set(), ALL, &Filter::default()),
     );
     assert_eq!(before.classes["run-lookup"].ended(), after.classes["run-lookup"].ended());
     assert_eq!(before.groups.len(), after.groups.len());
@@ -211,11 +219,11 @@
 }
 
 #[test]
-fn what_is_no_trace_is_named_beside_what_is() {
+fn files_that_are_not_traces_are_reported() {
     let folder = Folder::new(&[trace("n0", false), b"no trace at all, but long enough for a head".to_vec()]);
     let mut set = folder.set();
     assert_eq!((set.segments.len(), set.troubles.len()), (1, 2), "{:?}", set.troubles);
-    let summary = summarise(&mut set, ALL, &Only::default());
+    let summary = summarise(&mut set, ALL, &Filter::default());
     assert_eq!((summary.classes["run-lookup"].ended(), summary.processes[0].ended), (2, false));
     assert!(Set::open(&[folder.0.join("1.iptrace")]).is_err());
     assert!(Set::open(&[Path::new("/nowhere/at/all").into()]).is_err());
--- a/src/asking.rs
+++ b/src/asking.rs
@@ -1,139 +1,158 @@
-//! When to ask the discovery service for the list. Every router of a fleet asks the same service, which works
-//! through calls in turn: what each does after a failure, all do at once.
+//! Decides when to ask the discovery service for the list of replicas.
+//!
+//! All routers of a fleet ask the same service, which handles calls one after another, and they tend to
+//! fail at the same moment. Backoff therefore grows with the number of routers and is jittered.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
 
-/// Routers up to which one waits after a failure as if it were alone. Of more, each waits longer in proportion,
-/// so that all together ask no more often than so many.
-const FEW: f64 = 4.0;
-/// Half the first wait after a failure, of the aim, and how often it doubles with failures in a row.
-const WAIT_OF_AIM: f64 = 0.25;
-const DOUBLINGS: u32 = 5;
-/// Aims after which a call has failed.
-const PATIENCE: f64 = 8.0;
-
-/// A change of the list counts as told so long after the service had it and could be reached, whether or not it has
-/// come: whatever becomes of calls and watches, the next list is here by then.
-pub const TOLD_WITHIN: Millis = 6000.0;
-/// How long a call may take that does not wait for news, from its connecting on. The service works through calls in
-/// turn, and fails itself what has waited for so long. One for the whole list is then made once more, on another
-/// connection, while the first goes on for as long again: a service may be slow.
-pub const CALL: Millis = 2000.0;
-/// The longest pause after a call that failed: one may have begun just before the service could be reached again, and
-/// one more has to be over in time after it.
-pub const LONGEST_PAUSE: Millis = TOLD_WITHIN - 2.0 * CALL;
-/// How much later than the end of its wait the answer of a watch may come before the watch counts as silent: what the
-/// service has to do at once for all.
-pub const SILENT_AFTER: Millis = 750.0;
-/// The time over which routers scatter the calls by which they open silent watches anew.
-const REOPENED_OVER: Millis = 250.0;
-/// How long a watch asks the service to wait for news. A change that a silent watch missed is here in time by the
-/// call that opens it anew.
-pub const WAIT: Millis = TOLD_WITHIN - SILENT_AFTER - REOPENED_OVER - CALL;
-/// How soon a watch on pushed lists is begun again after it broke: a watch goes on as long as its next call comes
-/// within 200 ms of the last answer, and half of that is left for the call's own way.
-const AGAIN: Millis = 100.0;
-
-/// The asking of one router. It is asked for whenever it is not on.
+/// Up to this many routers, each backs off as if it were alone. With more, the backoff grows in proportion,
+/// so that all routers together ask no more often than this many would.
+const UNSCALED_ROUTERS: f64 = 4.0;
+/// The backoff after `n` failures in a row is this share of the shortest aim times 2^n, before jitter.
+const BACKOFF_OF_AIM: f64 = 0.25;
+/// Upper bound of `n` in the backoff.
+const MAX_DOUBLINGS: u32 = 5;
+/// A call without an answer is made again after this many of the shortest aims.
+const REPEAT_AIMS: f64 = 8.0;
+
+/// Longest time until a change of the list reaches a router, from when the discovery service has the change
+/// and can be reached. After that the change counts as received even if it has not come, so calls, watches
+/// and backoff are bounded such that the next list arrives within this time.
+pub const MAX_LIST_DELAY: Millis = 6000.0;
+/// Timeout of a call that does not wait for changes, from the start of its connect. The service handles
+/// calls one after another and itself fails those that waited this long. A call for the whole list is then
+/// repeated once on another connection while the first goes on for as long again, as the service may only
+/// be slow.
+pub const CALL_TIMEOUT: Millis = 2000.0;
+/// Longest backoff after a failed call. The failed call may have started just before the service came back,
+/// and one more has to complete in time after the backoff.
+pub const MAX_BACKOFF: Millis = MAX_LIST_DELAY - 2.0 * CALL_TIMEOUT;
+/// How long after the end of its wait a watch may still be answered before it counts as silent: time for
+/// the service to answer the watches of all routers at once.
+pub const WATCH_GRACE: Millis = 750.0;
+/// Routers spread the calls that reopen silent watches over this time.
+const REOPEN_JITTER: Millis = 250.0;
+/// How long a watch asks the service to wait for a change. If a watch goes silent, the call that reopens it
+/// still delivers a missed change in time.
+pub const WATCH_WAIT: Millis = MAX_LIST_DELAY - WATCH_GRACE - REOPEN_JITTER - CALL_TIMEOUT;
+/// Delay before a broken watch on the agent is reopened. The agent keeps a watch alive if the next call
+/// comes within 200 ms of the last answer; the other half of that is left for the call itself.
+const REOPEN_DELAY: Millis = 100.0;
+
+/// Requests of one router for the list. A request is due whenever changes do not arrive by themselves.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
-pub struct Asking {
-    /// Whether news come by themselves.
-    on: bool,
-    /// When to ask next.
-    at: Millis,
+pub struct ListRequests {
+    /// Whether changes arrive without a request.
+    #[serde(rename = "on")]
+    subscribed: bool,
+    /// When the next request is due.
+    #[serde(rename = "at")]
+    next_request_at: Millis,
     failures: u32,
 }
 
-impl Asking {
-    /// News came from the service, or (`false`) an old list from elsewhere.
-    pub fn told(&mut self, by_service: bool) {
-        self.on = by_service;
+impl ListRequests {
+    /// Records that a list arrived, from the discovery service or (`false`) an old one from elsewhere.
+    pub fn record_list(&mut self, from_service: bool) {
+        self.subscribed = from_service;
         self.failures = 0;
     }
 
-    /// A call failed, of one of so many routers that are to ask within some time. Waits grow with the shortest aim of
-    /// queries and from failure to failure, up to the longest that still tells in time, and are scattered by chance (0
-    /// to 1).
-    pub fn failed(&mut self, now: Millis, aim: Millis, (within, routers): (Millis, u32), chance: f64) {
-        self.on = false;
-        self.failures = (self.failures + 1).min(DOUBLINGS);
-        let crowd = (f64::from(routers) / FEW).max(1.0);
-        let wait = aim * WAIT_OF_AIM * crowd * f64::from(1u32 << self.failures) * (0.5 + chance);
-        self.at = now + wait.min(within.min(LONGEST_PAUSE) * (0.5 + 0.5 * chance));
+    /// Records a failed call and schedules the next. The backoff grows with the shortest aim, the failures
+    /// in a row and the number of routers. It is at most [`MAX_BACKOFF`] and the interval in which the
+    /// list has to be refreshed, and is jittered by a random number from 0 to 1.
+    pub fn record_failure(
+        &mut self,
+        now: Millis,
+        aim: Millis,
+        (refresh_within, routers): (Millis, u32),
+        random: f64,
+    ) {
+        self.subscribed = false;
+        self.failures = (self.failures + 1).min(MAX_DOUBLINGS);
+        let routers_factor = (f64::from(routers) / UNSCALED_ROUTERS).max(1.0);
+        let wait = aim * BACKOFF_OF_AIM * routers_factor * f64::from(1u32 << self.failures) * (0.5 + random);
+        self.next_request_at = now + wait.min(refresh_within.min(MAX_BACKOFF) * (0.5 + 0.5 * random));
     }
 
-    /// Whether to ask now. After some aims a call of which nothing is heard is made again.
-    pub fn is_due(&mut self, now: Millis, aim: Millis) -> bool {
-        let due = !self.on && now >= self.at;
+    /// Returns whether to send a request now, and if so schedules a repeat for the case that no answer
+    /// comes.
+    pub fn start_if_due(&mut self, now: Millis, aim: Millis) -> bool {
+        let due = !self.subscribed && now >= self.next_request_at;
         if due {
-            self.at = now + aim * PATIENCE;
+            self.next_request_at = now + aim * REPEAT_AIMS;
         }
         due
     }
 }
 
-/// A watch that is to be begun again soon after it broke, at no wish of the router. Lists that are pushed come to an
-/// agent of one's own, which is watched at all times: what it holds counts as told, and asking costs nobody else
-/// anything. A watch on the service of all routers is opened anew by this only if it fell silent: a call that failed
-/// says that the service has too much to do, but silence says nothing, and all that it hides soon counts as told.
+/// When to reopen a watch on the list that broke, independent of the requests that the router makes.
+///
+/// Lists that are pushed come from the process's own agent, which is watched at all times: what the agent
+/// holds counts as received, and asking it loads nothing else. A watch on the discovery service, which all
+/// routers share, is reopened here only if it went silent. A failed call shows that the service is
+/// overloaded, so it is left to the backoff of [`ListRequests`]. Silence shows nothing, and a change that
+/// it hides soon counts as received.
 #[derive(Debug, Clone)]
-pub struct Watching(State);
+pub struct WatchSchedule(State);
 
 #[derive(Debug, Clone, Copy)]
 enum State {
-    /// It is to begin again after so long.
+    /// Broken: to be reopened after this delay, which starts at the next step.
     Broken(Millis),
-    /// It is to begin.
+    /// To be opened at this time.
     Due(Millis),
-    On,
+    Open,
 }
 
-impl Watching {
-    /// A watch on an agent, to begin at once.
-    pub fn an_agent() -> Self {
-        Watching(State::Due(0.0))
+impl WatchSchedule {
+    /// Creates a schedule for a watch on the agent, to be opened at once.
+    pub fn for_agent() -> Self {
+        WatchSchedule(State::Due(0.0))
     }
 
-    /// A watch on the service, which the router begins.
-    pub fn the_service() -> Self {
-        Watching(State::On)
+    /// Creates a schedule for a watch on the discovery service, which the router opens.
+    pub fn for_service() -> Self {
+        WatchSchedule(State::Open)
     }
 
-    /// The watch on the agent has broken.
-    pub fn broken(&mut self) {
-        self.0 = State::Broken(AGAIN);
+    /// Marks the watch on the agent as broken.
+    pub fn mark_broken(&mut self) {
+        self.0 = State::Broken(REOPEN_DELAY);
     }
 
-    /// The watch on the service has fallen silent, maybe those of all routers at once: all open it anew before what it
-    /// missed counts as told, scattered by chance (0 to 1), as the service works through calls in turn.
-    pub fn silent(&mut self, chance: f64) {
-        self.0 = State::Broken(REOPENED_OVER * chance);
+    /// Marks the watch on the discovery service as silent. The watches of all routers may have gone silent
+    /// at once, so the reopening is spread by a random number from 0 to 1. It still comes before a missed
+    /// change counts as received.
+    pub fn mark_silent(&mut self, random: f64) {
+        self.0 = State::Broken(REOPEN_JITTER * random);
     }
 
-    /// Whether it has broken, and when to begin it is still to be said.
+    /// Returns whether the watch has broken and its reopening is not scheduled yet.
     pub fn is_broken(&self) -> bool {
         matches!(self.0, State::Broken(_))
     }
 
-    /// When to begin the watch, if it is not on.
-    pub fn due(&self) -> Option<Millis> {
+    /// Returns when to open the watch, if that is scheduled.
+    pub fn due_at(&self) -> Option<Millis> {
         match self.0 {
             State::Due(at) => Some(at),
-            State::Broken(_) | State::On => None,
+            State::Broken(_) | State::Open => None,
         }
     }
 
-    /// Whether to begin it now. It is on from then until it is told to have broken.
-    pub fn begins(&mut self, now: Millis) -> bool {
+    /// Returns whether to open the watch now. It then counts as open until it is marked as broken or
+    /// silent.
+    pub fn open_if_due(&mut self, now: Millis) -> bool {
         if let State::Broken(after) = self.0 {
             self.0 = State::Due(now + after);
         }
-        let begins = self.due().is_some_and(|at| now >= at);
-        if begins {
-            self.0 = State::On;
+        let open_now = self.due_at().is_some_and(|at| now >= at);
+        if open_now {
+            self.0 = State::Open;
         }
-        begins
+        open_now
     }
 }
--- a/src/bin/ironpaddle-simhost/main.rs
+++ b/src/bin/ironpaddle-simhost/main.rs
@@ -1,5 +1,5 @@
-//! The bench's adapter: batches of events on standard input, a reply of
-//! commands for each on standard output. It translates and decides nothing.
+//! Hosts the decision module for a simulator. Reads batches of events on standard input, one per line, and writes a
+//! reply with commands for each on standard output. It only translates between the simulator's protocol and the module.
 
 mod wire;
 
@@ -13,44 +13,51 @@
 use ironpaddle::Router;
 use wire::{Batch, Command, Member, Reply, WireEvent};
 
-/// One instance of the module with the names of its settings.
+/// An instance of the decision module, with the indexes of the class and tenant names in its settings.
 struct Instance {
     router: Router,
     names: Names,
-    /// Events of the batch in hand.
-    inbox: Vec<Event>,
-    touched: bool,
+    /// The events of the current batch.
+    events: Vec<Event>,
+    /// True if the current batch has an event for this instance, so that it has to take a step.
+    has_event: bool,
 }
 
+/// The hosted instances and the lists that the simulator has registered.
 #[derive(Default)]
 struct Host {
+    /// The instances by their number (`co-ordinator` in the protocol).
     instances: BTreeMap<u64, Instance>,
+    /// The registered lists by their number; a later registration replaces an earlier one.
     sheets: BTreeMap<u32, Vec<Member>>,
 }
 
 impl Host {
+    /// Returns an instance and marks it for a step in this batch.
     fn instance(&mut self, number: u64) -> Result<&mut Instance, String> {
         let instance = self
             .instances
             .get_mut(&number)
-            .ok_or_else(|| format!("co-ordinator {number} has had no HELLO"))?;
-        instance.touched = true;
+            .ok_or_else(|| format!("no HELLO was received for co-ordinator {number}"))?;
+        instance.has_event = true;
         Ok(instance)
     }
 
+    /// Queues an event for an instance.
     fn push(&mut self, number: u64, event: Event) -> Result<(), String> {
-        self.instance(number)?.inbox.push(event);
+        self.instance(number)?.events.push(event);
         Ok(())
     }
 
-    fn take(&mut self, now: f64, event: WireEvent) -> Result<(), String> {
+    /// Applies one event of the protocol.
+    fn apply(&mut self, now: f64, event: WireEvent) -> Result<(), String> {
         match event {
-            WireEvent::Hello { instance, entropy, info } => {
-                let router = Router::new(info.settings(), entropy)
+            WireEvent::Hello { instance, entropy, site } => {
+                let router = Router::new(site.router_settings(), entropy)
                     .map_err(|error| format!("HELLO of co-ordinator {instance}: {error}"))?;
-                let names = info.names();
-                let fresh = Instance { router, names, inbox: Vec::new(), touched: true };
-                self.instances.insert(instance, fresh);
+                let names = site.names();
+                let new_instance = Instance { router, names, events: Vec::new(), has_event: true };
+                self.instances.insert(instance, new_instance);
                 Ok(())
             }
             WireEvent::Register { sheet, members_list } => {
@@ -59,14 +66,14 @@
             }
             WireEvent::Registry { instance, sheet, kind } => {
                 let lines = sheet.and_then(|number| self.sheets.get(&number));
-                let news = wire::list_news(kind, lines)
+                let update = wire::list_update(kind, lines)
                     .ok_or_else(|| format!("REGISTRY: sheet {sheet:?} is not defined"))?;
-                self.push(instance, Event::List(news))
+                self.push(instance, Event::List(update))
             }
             WireEvent::Accept(accept) => {
                 let instance = self.instance(accept.instance)?;
                 let event = accept.event(&instance.names, now).map_err(|e| format!("ACCEPT: {e}"))?;
-                instance.inbox.push(event);
+                instance.events.push(event);
                 Ok(())
             }
             WireEvent::ClosedAttempt {
@@ -111,16 +118,17 @@
         }
     }
 
-    fn batch(&mut self, batch: Batch) -> Result<Reply, String> {
+    /// Applies a batch and steps each instance that it addresses. A panic of the module becomes an `INTERNAL_ERROR`.
+    fn apply_batch(&mut self, batch: Batch) -> Result<Reply, String> {
         for event in batch.events {
-            self.take(batch.now_ms, event)?;
+            self.apply(batch.now_ms, event)?;
         }
         let mut cmds = Vec::new();
         for (&number, instance) in &mut self.instances {
-            if !std::mem::take(&mut instance.touched) {
+            if !std::mem::take(&mut instance.has_event) {
                 continue;
             }
-            let events = std::mem::take(&mut instance.inbox);
+            let events = std::mem::take(&mut instance.events);
             let router = &mut instance.router;
             match catch_unwind(AssertUnwindSafe(|| router.step(batch.now_ms, events))) {
                 Ok(actions) => {
@@ -141,6 +149,7 @@
     }
 }
 
+/// Answers each line of standard input until it ends or a batch is not valid.
 fn run() -> Result<(), String> {
     let mut host = Host::default();
     let mut out = io::stdout().lock();
@@ -151,7 +160,7 @@
             continue;
         }
         let batch = serde_json::from_str(&line).map_err(|error| at(error.to_string()))?;
-        let reply = host.batch(batch).map_err(at)?;
+        let reply = host.apply_batch(batch).map_err(at)?;
         let text = serde_json::to_string(&reply).map_err(|error| at(error.to_string()))?;
         writeln!(out, "{text}").and_then(|()| out.flush()).map_err(|e| at(e.to_string()))?;
     }
--- a/src/core/book.rs
+++ b/src/core/book.rs
@@ -1,141 +1,152 @@
-//! Stage 6, book: a query gets its one final answer, under the guards that the rules need, and is closed.
+//! Stage 6, book: gives a query its final answer, enforces the rules on answers, and removes the query.
 
 use super::ledger::{Ledger, Query};
-use super::{Core, Order, QueryNo, Verdict};
-use crate::api::{Cause, Event, Millis, QueryId, Repeat};
+use super::{Command, Core, FinalAnswer, QueryNo};
+use crate::api::{Cause, Event, Millis, QueryId, RepeatPolicy};
 use crate::hash::draw;
 use ironpaddle_trace::record::How;
 
-/// Sums of weights may fall short by this much.
-const SHARE_SLACK: f64 = 0.0001;
-/// Aims in which half of what this core turned away by itself is forgotten.
-const FORGET_AIMS: f64 = 4.0;
+/// Tolerance for rounding when a sum of weights is compared with a limit.
+const SHARE_TOLERANCE: f64 = 0.0001;
+/// Half-life of the refusals that the retry advice is based on, as a multiple of the class's aim.
+const ADVICE_HALF_LIFE_AIMS: f64 = 4.0;
 
-/// The log tells of each cause once in so many milliseconds; the figures count all.
-const SAY_CAUSE: Millis = 10_000.0;
+/// Minimum interval in milliseconds between two log lines for the same cause; the counters count every query.
+const CAUSE_LOG_INTERVAL: Millis = 10_000.0;
 
 impl Core {
-    pub(super) fn answer(&mut self, now: Millis, id: &QueryId, whole: bool) {
-        let Some(no) = self.ledger.numbers.get(id).copied() else { return };
+    /// Answers a query from the received parts, or fails it if they are not enough.
+    pub(super) fn answer_query(&mut self, now: Millis, id: &QueryId, whole: bool) {
+        let Some(no) = self.ledger.query_numbers.get(id).copied() else { return };
         let Some(query) = self.ledger.queries.get(&no) else { return };
-        let class = &self.classes.at(query.class).class;
-        let (pieces, share) = self.ledger.pieces(query);
-        // Guards the rule on honest answers, whatever was asked for: never under the least share, never
-        // marked whole unless it is.
-        let whole = whole && share + SHARE_SLACK >= class.whole_from;
-        let enough = !pieces.is_empty() && share + SHARE_SLACK >= class.least_share;
+        let class = &self.classes.get(query.class).class;
+        let (answers, share) = self.ledger.answers(query);
+        // Enforces the rule on honest answers, independently of the router's request: an answer never has
+        // less than the least share, and is marked whole only if it is.
+        let whole = whole && share + SHARE_TOLERANCE >= class.whole_from;
+        let enough = !answers.is_empty() && share + SHARE_TOLERANCE >= class.least_share;
         let parts = query.parts.len();
-        if enough && (whole || query.partial) {
-            self.close(now, no, Verdict::Served { whole, pieces, parts });
+        if enough && (whole || query.accepts_partial) {
+            self.close_query(now, no, FinalAnswer::Served { whole, answers, parts });
         } else {
             let class = query.class;
-            let verdict = self.failed(now, class, Cause::TooLittle);
-            self.close(now, no, verdict);
+            let final_answer = self.failure(now, class, Cause::TooLittle);
+            self.close_query(now, no, final_answer);
         }
     }
 
-    /// How long a client should stay away whose query this core ends by itself.
-    pub(super) fn advice(&mut self, now: Millis, class: usize) -> Millis {
-        let aim = self.classes.at(class).class.aim;
-        let half = aim * FORGET_AIMS;
-        self.advice.note(true, now, half);
-        self.advice.wait(aim, self.settings.max_retry_after, (now, half), draw(&mut self.chance))
+    /// Returns the retry advice for a query that this core itself ends.
+    pub(super) fn retry_advice(&mut self, now: Millis, class: usize) -> Millis {
+        let aim = self.classes.get(class).class.aim;
+        let half_life = aim * ADVICE_HALF_LIFE_AIMS;
+        self.advice.record(true, now, half_life);
+        self.advice.retry_after(
+            aim,
+            self.settings.max_retry_after,
+            (now, half_life),
+            draw(&mut self.random_state),
+        )
     }
 
-    /// A query went on to the router.
-    pub(super) fn taken_up(&mut self, now: Millis, class: usize) {
-        let half = self.classes.at(class).class.aim * FORGET_AIMS;
-        self.advice.note(false, now, half);
+    /// Records that a query was admitted, for the retry advice.
+    pub(super) fn note_admitted(&mut self, now: Millis, class: usize) {
+        let half_life = self.classes.get(class).class.aim * ADVICE_HALF_LIFE_AIMS;
+        self.advice.record(false, now, half_life);
     }
 
-    /// A failure; only clients of what is safe to repeat are asked back.
-    fn failed(&mut self, now: Millis, class: usize, cause: Cause) -> Verdict {
-        let safe = self.classes.at(class).class.repeat == Repeat::Safe;
-        Verdict::Failed { retry_after: if safe { self.advice(now, class) } else { 0.0 }, cause }
+    /// Returns a failure. Retry advice is given only for classes that are safe to repeat.
+    fn failure(&mut self, now: Millis, class: usize, cause: Cause) -> FinalAnswer {
+        let is_safe = self.classes.get(class).class.repeat == RepeatPolicy::Safe;
+        FinalAnswer::Failed { retry_after: if is_safe { self.retry_advice(now, class) } else { 0.0 }, cause }
     }
 
-    pub(super) fn end(&mut self, now: Millis, id: &QueryId, verdict: Verdict) {
-        if let Some(no) = self.ledger.numbers.get(id).copied() {
-            self.close(now, no, verdict);
+    /// Ends a query by the id that the router knows it by.
+    pub(super) fn end_query(&mut self, now: Millis, id: &QueryId, final_answer: FinalAnswer) {
+        if let Some(no) = self.ledger.query_numbers.get(id).copied() {
+            self.close_query(now, no, final_answer);
         }
     }
 
-    fn close(&mut self, now: Millis, no: QueryNo, verdict: Verdict) {
+    /// Gives a query its final answer, counts and records it, and removes the query.
+    fn close_query(&mut self, now: Millis, no: QueryNo, final_answer: FinalAnswer) {
         let Some(query) = self.ledger.queries.get(&no) else { return };
         let class = query.class;
-        let unsafe_class = self.classes.at(class).class.repeat == Repeat::Unsafe;
-        // A refusal says that trying again is harmless: never where an unsafe part may have run.
-        let verdict = match verdict {
-            Verdict::Refused { cause, .. } if unsafe_class && self.ledger.may_have_run(query) => {
-                self.failed(now, class, cause)
+        let is_unsafe = self.classes.get(class).class.repeat == RepeatPolicy::Unsafe;
+        // A refusal means that a retry is safe, which it is not if a part of an unsafe class may have run.
+        let final_answer = match final_answer {
+            FinalAnswer::Refused { cause, .. } if is_unsafe && self.ledger.may_have_run(query) => {
+                self.failure(now, class, cause)
             }
-            verdict => verdict,
+            final_answer => final_answer,
         };
-        self.counters.answered(&self.classes.at(class).name, &verdict);
-        self.tape_verdict(now, no, super::taped::how(&verdict), verdict.cause());
-        if let Some(cause) = verdict.cause() {
-            self.say_cause(now, class, cause);
+        self.counters.count_answer(&self.classes.get(class).name, &final_answer);
+        self.trace_query_end(now, no, super::trace_events::how_ended(&final_answer), final_answer.cause());
+        if let Some(cause) = final_answer.cause() {
+            self.log_cause(now, class, cause);
         }
-        self.forget(now, no);
-        self.orders.push_back(Order::Final { query: no, verdict });
+        self.remove_query(now, no);
+        self.commands.push_back(Command::Answer { query: no, answer: final_answer });
     }
 
-    /// Tells people of a cause, once in a while for each.
-    pub(super) fn say_cause(&mut self, now: Millis, class: usize, cause: Cause) {
-        let said = self.said.get(cause.code()).copied();
-        if said.is_none_or(|at| now - at >= SAY_CAUSE) {
-            self.said.insert(cause.code(), now);
-            let class = &self.classes.at(class).name;
+    /// Logs the cause of a query without an answer, at most once per [`CAUSE_LOG_INTERVAL`] for each cause.
+    pub(super) fn log_cause(&mut self, now: Millis, class: usize, cause: Cause) {
+        let last_logged = self.cause_logged_at.get(cause.code()).copied();
+        if last_logged.is_none_or(|at| now - at >= CAUSE_LOG_INTERVAL) {
+            self.cause_logged_at.insert(cause.code(), now);
+            let class = &self.classes.get(class).name;
             let text = format!("not answered: class={class} cause={} ({cause})", cause.code());
-            self.orders.push_back(Order::Log(text));
+            self.commands.push_back(Command::Log(text));
         }
     }
 
-    fn forget(&mut self, now: Millis, no: QueryNo) -> Option<Query> {
+    /// Removes a query and its parts from the ledger.
+    fn remove_query(&mut self, now: Millis, no: QueryNo) -> Option<Query> {
         let query = self.ledger.queries.remove(&no)?;
         self.ledger.deadlines.remove(no, query.deadline);
-        self.ledger.numbers.remove(&Ledger::query_id(no));
+        self.ledger.query_numbers.remove(&Ledger::query_id(no));
         for id in &query.parts {
             let Some(part) = self.ledger.parts.remove(id) else { continue };
             self.ledger.open_parts -= usize::from(part.value.is_none());
-            if part.out > 0 {
-                self.release(now, id, part.attempts);
+            if part.outstanding > 0 {
+                self.end_abandoned_attempts(now, id, part.attempts);
             }
         }
         Some(query)
     }
 
-    /// The client has left: the router is told, and nothing is owed any more.
+    /// Removes a query whose client has left, and informs the router.
     pub fn client_gone(&mut self, now: Millis, no: QueryNo) {
-        self.tape_verdict(now, no, How::Left, None);
-        if self.forget(now, no).is_some() {
+        self.trace_query_end(now, no, How::Left, None);
+        if self.remove_query(now, no).is_some() {
             self.counters.clients_gone += 1;
-            self.inbox.push(Event::ClientGone(Ledger::query_id(no)));
+            self.pending_events.push(Event::ClientGone(Ledger::query_id(no)));
         }
     }
 
-    /// Guards the rule on lost queries: what the router still holds when the client's time is up, or the process's, is
-    /// answered from what is in, or else fails. Whoever could wait longer is asked back where that is harmless.
-    pub(super) fn end_overdue(&mut self, now: Millis) {
+    /// Enforces the rule on lost queries: a query that is still open when its client's or the process's time
+    /// is up gets a partial answer from the received parts if that is allowed, and fails otherwise. If only
+    /// the process's time is up and a retry is safe, it is refused with retry advice, as its client could
+    /// wait longer.
+    pub(super) fn end_overdue_queries(&mut self, now: Millis) {
         let overdue = self.ledger.deadlines.overdue(now);
-        // The router is late itself, and cannot say why any more.
-        let cause = if self.ledger.places.is_empty() { Cause::NoList } else { Cause::Overdue };
+        // The router itself is late and cannot give a cause any more.
+        let cause = if self.ledger.run_stores.is_empty() { Cause::NoList } else { Cause::Overdue };
         for no in overdue {
             let query = &self.ledger.queries[&no];
             let class = query.class;
-            let kind = &self.classes.at(class).class;
-            let (pieces, share) = self.ledger.pieces(query);
-            let enough = !pieces.is_empty() && share + SHARE_SLACK >= kind.least_share;
-            let safe = kind.repeat == Repeat::Safe || !self.ledger.may_have_run(query);
-            let verdict = if enough && query.partial {
-                Verdict::Served { whole: false, pieces, parts: query.parts.len() }
-            } else if now >= self.ends && safe {
-                Verdict::Refused { retry_after: self.advice(now, class), cause }
+            let class_settings = &self.classes.get(class).class;
+            let (answers, share) = self.ledger.answers(query);
+            let enough = !answers.is_empty() && share + SHARE_TOLERANCE >= class_settings.least_share;
+            let is_safe = class_settings.repeat == RepeatPolicy::Safe || !self.ledger.may_have_run(query);
+            let final_answer = if enough && query.accepts_partial {
+                FinalAnswer::Served { whole: false, answers, parts: query.parts.len() }
+            } else if now >= self.exit_time && is_safe {
+                FinalAnswer::Refused { retry_after: self.retry_advice(now, class), cause }
             } else {
-                Verdict::Failed { retry_after: 0.0, cause }
+                FinalAnswer::Failed { retry_after: 0.0, cause }
             };
-            self.close(now, no, verdict);
-            self.inbox.push(Event::ClientGone(Ledger::query_id(no)));
+            self.close_query(now, no, final_answer);
+            self.pending_events.push(Event::ClientGone(Ledger::query_id(no)));
         }
     }
 }
--- a/src/core/drive.rs
+++ b/src/core/drive.rs
@@ -1,5 +1,5 @@
-//! Drives a [`Core`] in real time: clock, step spacing, a timer for each wait, and the hand-over of
-//! orders to the outside world.
+//! Drives a [`Core`] in real time: provides its clock, spaces its steps, runs its timers, and passes its
+//! commands to transports, directories and fronts.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::HashMap;
@@ -13,300 +13,310 @@
 use ironpaddle_trace::num::Num;
 use ironpaddle_trace::record::Progress;
 
-use super::legacy::Legacy;
-use super::{Ask, Call, CallEnd, CallNo, Core, News, NotTaken, Order, QueryNo, Verdict};
+use super::takeover::TakeoverState;
+use super::{
+    Call, CallEnd, CallNo, Command, Core, DirectoryUpdate, FinalAnswer, InvalidQuery, QueryNo, QueryRequest,
+};
 use crate::api::{Cause, LoadReport, Millis, ReplicaId};
 use crate::counters::{Counters, Gauges};
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::trace::control::Control;
 
-/// A transport to run stores. What it is told takes effect at once; it reports ends to the [`Driver`].
+/// A transport to run stores. Its methods take effect at once; ends of calls and probes are reported to the
+/// [`Driver`].
 pub trait RunStores {
-    /// Starts an attempt. It ends by one [`Driver::call_ended`], unless it is given up.
+    /// Starts an attempt. The transport reports its end by one [`Driver::call_ended`], unless it is
+    /// abandoned.
     fn send(&self, call: Call);
-    /// Gives up an attempt. Either its end is booked and nothing more is reported of it, or it is to be proved that the
-    /// attempt is over: it then ends by one [`Driver::call_ended`] once its run store has read that it was given up, has
-    /// answered it, has ended its connection, or can never have had it whole. That may never be; the core then gives it
-    /// up once more, with its end booked.
-    fn give_up(&self, replica: &ReplicaId, no: CallNo, prove: bool);
-    /// Starts a probe. It ends by one [`Driver::probe_ended`] or by its time.
-    fn probe(&self, replica: &ReplicaId, no: CallNo);
-    /// The time of a probe is over.
-    fn probe_timed_out(&self, replica: &ReplicaId, no: CallNo);
-    /// Closes connections that carry nothing.
-    fn close_idle(&self, replica: &ReplicaId);
-    /// Starts nothing new at a run store, queued attempts included.
-    fn retire(&self, replica: &ReplicaId);
-    /// A run store listens here; an earlier process of its name is no more.
-    fn locate(&self, replica: &ReplicaId, address: std::net::SocketAddr, started: Option<Millis>);
-    /// The number of run stores of which anything is kept.
-    fn places(&self) -> usize;
-    /// The number of connections.
-    fn open(&self) -> usize;
-    /// There may be so many connections from now on.
-    fn room(&self, connections: usize);
-    /// Takes up other settings.
-    fn retune(&self, info: &Info);
+    /// Abandons an attempt. Without `await_proof` its end is already recorded, and the transport reports
+    /// nothing more of it. With `await_proof` the transport reports its end by one [`Driver::call_ended`] as
+    /// soon as it is proved to be over: its run store has read the cancellation, has answered it, has closed
+    /// its connection, or can never have received the whole request. That may never happen; the core then
+    /// abandons the attempt once more, without `await_proof`.
+    fn abandon(&self, run_store: &ReplicaId, no: CallNo, await_proof: bool);
+    /// Starts a probe. It ends by one [`Driver::probe_ended`] or by its timeout.
+    fn probe(&self, run_store: &ReplicaId, no: CallNo);
+    /// Informs the transport that a probe has timed out.
+    fn probe_timed_out(&self, run_store: &ReplicaId, no: CallNo);
+    /// Closes the idle connections to a run store.
+    fn close_idle(&self, run_store: &ReplicaId);
+    /// Stops sending to a run store, including queued attempts.
+    fn retire(&self, run_store: &ReplicaId);
+    /// Sets the address of a run store; an earlier process of the same name no longer exists.
+    fn locate(&self, run_store: &ReplicaId, address: std::net::SocketAddr, started: Option<Millis>);
+    /// Returns the number of run stores that the transport keeps any state of.
+    fn tracked_run_stores(&self) -> usize;
+    /// Returns the number of open connections.
+    fn connections(&self) -> usize;
+    /// Sets the maximum number of connections.
+    fn set_max_connections(&self, max: usize);
+    /// Applies new settings.
+    fn apply_settings(&self, site: &SiteSettings);
 }
 
 /// A directory of run stores.
 pub trait Directory {
-    /// Starts the watch unless it is on. News go to [`Driver::take_news`].
+    /// Starts the watch unless it is running. Updates are passed to [`Driver::apply_directory_update`].
     fn watch(&self);
-    /// The version of the list that was told last, if lists have versions here.
+    /// Returns the version of the latest list, if lists of this directory have versions.
     fn version(&self) -> Option<u64> {
         None
     }
 }
 
-/// A core with its clock and its neighbours.
+/// A core with its clock, timers, transport and directory.
 pub struct Driver {
     core: RefCell<Core>,
     executor: Rc<LocalExecutor<'static>>,
-    /// The clock's origin, as Unix time and as an instant: from there on it only runs forward.
+    /// The clock's origin, as Unix time and as an instant; from there on the clock is monotonic.
     origin: (Millis, Instant),
-    signal: (Sender<()>, Receiver<()>),
-    waiting: RefCell<HashMap<QueryNo, Waiting>>,
+    /// Wakes the loop in [`Driver::run`].
+    step_signal: (Sender<()>, Receiver<()>),
+    /// Accepted queries that wait for their final answer.
+    waiting: RefCell<HashMap<QueryNo, PendingAnswer>>,
+    /// The timeouts of attempts and probes.
     timers: RefCell<HashMap<CallNo, Task<()>>>,
-    stores: OnceCell<Rc<dyn RunStores>>,
+    transport: OnceCell<Rc<dyn RunStores>>,
     directory: OnceCell<Rc<dyn Directory>>,
-    recording: OnceCell<Control>,
+    /// Switches trace recording; unset if tracing is not configured.
+    trace_control: OnceCell<Control>,
 }
 
-/// No wait is longer than this, in seconds.
-const MOST_WAIT_S: f64 = 1e9;
+/// Longest wait in seconds; longer ones are capped.
+const MAX_WAIT_S: f64 = 1e9;
 
-/// Where a query's verdict goes, and the timer of its deadline.
-type Waiting = (Sender<Verdict>, Task<()>);
+/// The channel for a query's final answer, and the timer of its deadline.
+type PendingAnswer = (Sender<FinalAnswer>, Task<()>);
 
-/// A query that was taken. Dropped before its verdict, it counts as left by its client.
+/// An accepted query. If it is dropped before its final answer, its client counts as gone.
 pub struct Pending {
     driver: Rc<Driver>,
     no: QueryNo,
-    verdict: Receiver<Verdict>,
+    answer: Receiver<FinalAnswer>,
 }
 
 impl Driver {
-    /// A driver for a core; [`Driver::connect`] completes it.
+    /// Returns a driver for a core; [`Driver::connect`] completes it.
     pub fn new(core: Core, executor: Rc<LocalExecutor<'static>>) -> Rc<Self> {
-        Driver::going_on_from(core, executor, wall_clock())
+        Driver::with_clock_at(core, executor, wall_clock())
     }
 
-    /// The same, with the clock of a process from which this one takes over, which shows a time just now. Times that
-    /// are handed over mean the same to both, however the wall clock was stepped.
-    pub fn going_on_from(core: Core, executor: Rc<LocalExecutor<'static>>, now: Millis) -> Rc<Self> {
+    /// Returns a driver whose clock continues that of the process that it takes over from, which shows `now`.
+    /// Times in the handover thus mean the same to both processes, even if the wall clock is stepped.
+    pub fn with_clock_at(core: Core, executor: Rc<LocalExecutor<'static>>, now: Millis) -> Rc<Self> {
         Rc::new(Driver {
             core: RefCell::new(core),
             executor,
             origin: (now, Instant::now()),
-            signal: async_channel::bounded(1),
+            step_signal: async_channel::bounded(1),
             waiting: RefCell::default(),
             timers: RefCell::default(),
-            stores: OnceCell::new(),
+            transport: OnceCell::new(),
             directory: OnceCell::new(),
-            recording: OnceCell::new(),
+            trace_control: OnceCell::new(),
         })
     }
 
-    /// Names the neighbours. Only the first call counts.
-    pub fn connect(&self, stores: Rc<dyn RunStores>, directory: Rc<dyn Directory>) {
-        let _ = self.stores.set(stores);
+    /// Sets the transport and the directory. Only the first call has an effect.
+    pub fn connect(&self, transport: Rc<dyn RunStores>, directory: Rc<dyn Directory>) {
+        let _ = self.transport.set(transport);
         let _ = self.directory.set(directory);
     }
 
-    /// The executor that everything runs on.
+    /// Returns the executor that all tasks run on.
     pub fn executor(&self) -> &Rc<LocalExecutor<'static>> {
         &self.executor
     }
 
-    /// The time now, in milliseconds since the Unix epoch; it only runs forward.
+    /// Returns the current time in milliseconds since the Unix epoch; it is monotonic.
     pub fn now(&self) -> Millis {
-        since(self.origin)
+        time_since(self.origin)
     }
 
-    /// A point of the clock as an instant, for timers.
+    /// Converts a time of this clock to an instant, for timers.
     pub fn instant(&self, at: Millis) -> Instant {
-        self.origin.1 + Duration::from_secs_f64(((at - self.origin.0) / 1000.0).clamp(0.0, MOST_WAIT_S))
+        self.origin.1 + Duration::from_secs_f64(((at - self.origin.0) / 1000.0).clamp(0.0, MAX_WAIT_S))
     }
 
-    /// Changes what is counted.
+    /// Updates the counters.
     pub fn count(&self, change: impl FnOnce(&mut Counters)) {
         change(&mut self.core.borrow_mut().counters);
     }
 
-    /// A request of a class was answered with an error before it became a query.
-    pub fn not_taken(&self, class: &str) {
+    /// Records a request that was answered with an error before it became a query.
+    pub fn note_invalid_request(&self, class: &str) {
         let now = self.now();
-        self.core.borrow_mut().not_taken(now, class);
+        self.core.borrow_mut().note_invalid_request(now, class);
     }
 
-    /// The bytes of an attempt: the first was written at some time, and the last just now, if it was.
+    /// Records in the trace that the first byte of an attempt was written at `begun` or, if `written`, that
+    /// the last byte has just been written.
     pub fn progress(&self, call: &Call, begun: Millis, written: bool) {
-        if self.recording.get().is_some() {
+        if self.trace_control.get().is_some() {
             let now = self.now();
             let progress =
                 if written { Progress::Written(Some(Num::of(now - begun))) } else { Progress::Begun };
-            self.core.borrow_mut().progress(now, call, progress);
+            self.core.borrow_mut().trace_progress(now, call, progress);
         }
     }
 
-    /// Puts in the switch of the recording. Only the first call counts.
-    pub fn set_recording(&self, control: Control) {
-        let _ = self.recording.set(control);
+    /// Sets the control of trace recording. Only the first call has an effect.
+    pub fn set_trace_control(&self, control: Control) {
+        let _ = self.trace_control.set(control);
     }
 
-    /// The switch of the recording, if there is one.
-    pub fn recording(&self) -> Option<&Control> {
-        self.recording.get()
+    /// Returns the control of trace recording, if tracing is configured.
+    pub fn trace_control(&self) -> Option<&Control> {
+        self.trace_control.get()
     }
 
-    /// Switches the recording on or off, if there is one.
+    /// Switches trace recording on or off, if tracing is configured.
     ///
     /// # Errors
-    /// If it cannot be switched on.
-    pub fn record(&self, on: bool) -> Result<(), String> {
-        let Some(control) = self.recording.get() else { return Ok(()) };
+    /// Returns a message if recording cannot be started.
+    pub fn switch_recording(&self, on: bool) -> Result<(), String> {
+        let Some(control) = self.trace_control.get() else { return Ok(()) };
         let (origin, now) = (self.origin, self.now());
         let mut core = self.core.borrow_mut();
         if on {
-            return control.start(&mut core, move || since(origin));
+            return control.start(&mut core, move || time_since(origin));
         }
         control.stop(&mut core, now);
         Ok(())
     }
 
-    /// Has the recording begin another segment.
+    /// Begins a new segment of the trace.
     pub fn rotate(&self) {
-        if let Some(control) = self.recording.get() {
+        if let Some(control) = self.trace_control.get() {
             control.rotate(&mut self.core.borrow_mut());
         }
     }
 
-    /// An operator has called.
+    /// Records an operator's call in the trace.
     pub fn note_call(&self, call: &str) {
         let now = self.now();
-        if let Some(tape) = self.core.borrow_mut().tape() {
-            tape.call(now, call);
+        if let Some(trace_writer) = self.core.borrow_mut().trace_writer() {
+            trace_writer.call(now, call);
         }
     }
 
-    /// The counts so far.
+    /// Returns the counters.
     pub fn counters(&self) -> Counters {
         let core = self.core.borrow();
-        let places = self.stores.get().map_or(0, |stores| stores.places());
-        Counters { run_stores: core.run_stores(), places, ..core.counters.clone() }
+        let transport_run_stores = self.transport.get().map_or(0, |transport| transport.tracked_run_stores());
+        Counters { run_stores: core.run_stores(), transport_run_stores, ..core.counters.clone() }
     }
 
-    /// What is so just now.
+    /// Returns the gauges.
     pub fn gauges(&self) -> Gauges {
         self.core.borrow().gauges()
     }
 
-    /// The number of queries that are owed an answer.
+    /// Returns the number of queries that wait for their final answer.
     pub fn open_queries(&self) -> usize {
         self.waiting.borrow().len()
     }
 
-    /// Takes a run store out by hand, or brings it back; `false` if no such was ever listed. From the return on
-    /// nothing more is begun there.
-    pub fn by_hand(self: &Rc<Self>, now: Millis, id: &ReplicaId, out: bool) -> bool {
-        let known = self.core.borrow_mut().by_hand(now, id, out);
-        self.carry_out();
+    /// Drains a run store manually, or restores it. Returns `false` if it was never listed. Once this
+    /// returns, no call is started at a drained run store.
+    pub fn set_manual_drain(self: &Rc<Self>, now: Millis, id: &ReplicaId, out: bool) -> bool {
+        let known = self.core.borrow_mut().set_manual_drain(now, id, out);
+        self.run_commands();
         known
     }
 
-    /// The same, as another process of this aggregator was told at some time.
-    pub fn told_by_hand(self: &Rc<Self>, at: Millis, id: &ReplicaId, out: bool) {
-        self.core.borrow_mut().told_by_hand(at, id, out);
-        self.carry_out();
+    /// Applies a manual drain or restore that another process of this aggregator accepted at `at`.
+    pub fn apply_manual_drain(self: &Rc<Self>, at: Millis, id: &ReplicaId, out: bool) {
+        self.core.borrow_mut().apply_manual_drain(at, id, out);
+        self.run_commands();
     }
 
-    /// What a process that takes over is to know.
-    pub fn legacy(&self) -> Legacy {
-        self.core.borrow().legacy()
+    /// Returns the state for the process that takes over.
+    pub fn takeover_state(&self) -> TakeoverState {
+        self.core.borrow().takeover_state()
     }
 
-    /// Queries and parts that are held.
-    pub fn held(&self) -> usize {
-        self.core.borrow().held()
+    /// Returns the number of open queries plus their parts without an answer.
+    pub fn open_work(&self) -> usize {
+        self.core.borrow().open_work()
     }
 
-    /// Connections to run stores.
+    /// Returns the number of connections to run stores.
     pub fn connections(&self) -> usize {
-        self.stores.get().map_or(0, |stores| stores.open())
+        self.transport.get().map_or(0, |transport| transport.connections())
     }
 
-    /// Leaves room for what another process of this aggregator holds: queries and parts, and by that only so
-    /// many connections to run stores here.
-    pub fn leave_room(&self, held: usize, connections: usize) {
-        self.core.borrow_mut().leave_room(held);
-        if let Some(stores) = self.stores.get() {
-            stores.room(connections);
+    /// Sets the number of queries and parts that another process of this aggregator holds, and the number of
+    /// run-store connections that remain for this process.
+    pub fn share_limits(&self, held: usize, connections: usize) {
+        self.core.borrow_mut().set_held_elsewhere(held);
+        if let Some(transport) = self.transport.get() {
+            transport.set_max_connections(connections);
         }
     }
 
-    /// The number of run stores that are listed.
+    /// Returns the number of listed run stores.
     pub fn run_stores(&self) -> usize {
         self.core.borrow().run_stores()
     }
 
-    /// The version of the list, where its directory has one.
+    /// Returns the version of the list, if the directory has versions.
     pub fn version(&self) -> Option<u64> {
         self.directory.get()?.version()
     }
 
-    /// Takes up other settings, here and in the transport.
+    /// Applies new settings to the core and the transport.
     ///
     /// # Errors
-    /// Says which setting contradicts itself; then nothing is changed.
-    pub fn retune(&self, info: &Info) -> Result<(), String> {
-        self.core.borrow_mut().retune(info)?;
-        if let Some(stores) = self.stores.get() {
-            stores.retune(info);
+    /// Returns a message that names the inconsistent setting; nothing is changed then.
+    pub fn apply_settings(&self, site: &SiteSettings) -> Result<(), String> {
+        self.core.borrow_mut().apply_settings(site)?;
+        if let Some(transport) = self.transport.get() {
+            transport.apply_settings(site);
         }
         self.wake();
         Ok(())
     }
 
-    /// The longest time that any query may take.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Millis {
         self.core.borrow().longest_deadline()
     }
 
-    /// The process ends after so long: no query, held or still to come, is waited for any longer.
-    pub fn end_by(self: &Rc<Self>, left: Duration) {
-        let at = Instant::now() + left;
-        self.core.borrow_mut().end_by(self.now() + millis(left));
+    /// Sets the time left until the process exits. No open or later query is waited for any longer.
+    pub fn exit_within(self: &Rc<Self>, time_left: Duration) {
+        let at = Instant::now() + time_left;
+        self.core.borrow_mut().set_exit_time(self.now() + millis(time_left));
         self.wake_at(at).detach();
     }
 
-    /// How long it has been there.
+    /// Returns the time since this driver was created.
     pub fn age(&self) -> Millis {
         self.now() - self.origin.0
     }
 
-    /// Whether queries of a class carry a key.
+    /// Returns whether queries of a class need an idempotency key.
     pub fn is_keyed(&self, class: &str) -> bool {
         self.core.borrow().is_keyed(class)
     }
 
-    /// How long the client of a query waits, if there is such a class.
-    pub fn wait_of(&self, class: &str, stated: Option<Millis>) -> Option<Duration> {
-        let wait = self.core.borrow().wait_of(class, stated)?;
-        Some(Duration::from_secs_f64((wait / 1000.0).clamp(0.0, MOST_WAIT_S)))
+    /// Returns how long the client of a query waits, or `None` if there is no such class.
+    pub fn client_wait(&self, class: &str, stated: Option<Millis>) -> Option<Duration> {
+        let wait = self.core.borrow().client_wait(class, stated)?;
+        Some(Duration::from_secs_f64((wait / 1000.0).clamp(0.0, MAX_WAIT_S)))
     }
 
-    /// A query is to end by some time, if that is sooner than its own.
-    fn end_query_by(self: &Rc<Self>, no: QueryNo, at: Instant) {
+    /// Moves the deadline of a query forward to `at`, if that is earlier.
+    fn cap_deadline(self: &Rc<Self>, no: QueryNo, at: Instant) {
         let left = at.saturating_duration_since(Instant::now());
-        self.core.borrow_mut().end_query_by(no, self.now() + millis(left));
+        self.core.borrow_mut().cap_deadline(no, self.now() + millis(left));
         let timer = self.wake_at(at);
         if let Some((_, last)) = self.waiting.borrow_mut().get_mut(&no) {
             *last = timer;
         }
     }
 
-    /// A step at some time, unless the task is dropped before.
+    /// Wakes the driver for a step at `at`, unless the task is dropped before.
     fn wake_at(self: &Rc<Self>, at: Instant) -> Task<()> {
         let driver = self.clone();
         self.executor.spawn(async move {
@@ -315,33 +325,34 @@
         })
     }
 
-    /// How many shards there are, if that is known.
+    /// Returns the number of shards, if known.
     pub fn shards(&self) -> Option<u32> {
         self.core.borrow().shards()
     }
 
-    /// The list of run stores as last told.
-    pub fn directory(&self) -> Vec<super::Listed> {
+    /// Returns the latest list of run stores.
+    pub fn directory(&self) -> Vec<super::ListedRunStore> {
         self.core.borrow().directory()
     }
 
-    /// Takes a query.
+    /// Submits a query.
     ///
     /// # Errors
-    /// Says why it was not taken.
-    pub fn ask(self: &Rc<Self>, ask: Ask) -> Result<Pending, NotTaken> {
+    /// Returns why the query was rejected.
+    pub fn submit(self: &Rc<Self>, request: QueryRequest) -> Result<Pending, InvalidQuery> {
         let now = self.now();
-        let wait = self.core.borrow().wait_of(&ask.class, ask.timeout).unwrap_or(0.0) - ask.waited;
-        let no = self.core.borrow_mut().take_in(now, ask)?;
-        let (sender, verdict) = async_channel::bounded(1);
-        // The query's own timer: the step after it fails whatever is still held.
+        let wait =
+            self.core.borrow().client_wait(&request.class, request.timeout).unwrap_or(0.0) - request.queued;
+        let no = self.core.borrow_mut().take_in(now, request)?;
+        let (sender, answer) = async_channel::bounded(1);
+        // The timer of the query's deadline: the step after it ends the query if it is still open.
         let timer = self.wake_at(self.instant(now + wait));
         self.waiting.borrow_mut().insert(no, (sender, timer));
-        self.carry_out();
-        Ok(Pending { driver: self.clone(), no, verdict })
+        self.run_commands();
+        Ok(Pending { driver: self.clone(), no, answer })
     }
 
-    /// An attempt has ended. Only the first end counts.
+    /// Records the end of an attempt. Only the first end counts.
     pub fn call_ended(&self, no: CallNo, end: CallEnd) {
         self.timers.borrow_mut().remove(&no);
         let now = self.now();
@@ -349,36 +360,36 @@
         self.wake();
     }
 
-    /// A probe has ended. Only the first end counts.
+    /// Records the end of a probe. Only the first end counts.
     pub fn probe_ended(&self, no: CallNo, ok: bool, load: Option<LoadReport>) {
         self.timers.borrow_mut().remove(&no);
         self.core.borrow_mut().probe_ended(no, ok, load);
         self.wake();
     }
 
-    /// News of the list of run stores.
-    pub fn take_news(self: &Rc<Self>, news: News) {
+    /// Applies an update of the list of run stores.
+    pub fn apply_directory_update(self: &Rc<Self>, update: DirectoryUpdate) {
         self.note_clock();
-        self.core.borrow_mut().take_news(news);
-        self.carry_out();
+        self.core.borrow_mut().apply_directory_update(update);
+        self.run_commands();
     }
 
-    /// Steps the core whenever something happened or is due, at most once a tick.
+    /// Steps the core whenever an event or a timer requires it, at most once per tick.
     pub async fn run(self: Rc<Self>) {
         let mut last: Option<Instant> = None;
         loop {
             let wake = self.core.borrow().wake_at().map(|at| self.instant(at));
-            let due = async {
+            let timer = async {
                 match wake {
                     Some(at) => Timer::at(at).await,
                     None => future::pending().await,
                 };
             };
-            future::or(due, async {
-                let _ = self.signal.1.recv().await;
+            future::or(timer, async {
+                let _ = self.step_signal.1.recv().await;
             })
             .await;
-            // Events are batched a tick, as on the bench.
+            // Events are batched per tick, as in the simulator.
             let tick = Duration::from_secs_f64(self.core.borrow().tick() / 1000.0);
             if let Some(last) = last.filter(|last| last.elapsed() < tick) {
                 Timer::at(last + tick).await;
@@ -387,8 +398,8 @@
             self.note_clock();
             let now = self.now();
             self.core.borrow_mut().step(now);
-            self.carry_out();
-            if let Some(control) = self.recording.get() {
+            self.run_commands();
+            if let Some(control) = self.trace_control.get() {
                 control.pump(&mut self.core.borrow_mut(), now);
             }
         }
@@ -399,117 +410,120 @@
         self.core.borrow_mut().note_clock(now, wall_clock() - now);
     }
 
-    /// Whether something that was told waits for the next step.
-    pub fn has_news(&self) -> bool {
-        self.core.borrow().has_news()
+    /// Returns whether events wait for the next step.
+    pub fn has_pending_events(&self) -> bool {
+        self.core.borrow().has_pending_events()
     }
 
+    /// Requests a step.
     fn wake(&self) {
-        let _ = self.signal.0.try_send(());
+        let _ = self.step_signal.0.try_send(());
     }
 
-    fn carry_out(self: &Rc<Self>) {
+    /// Runs all pending commands of the core.
+    fn run_commands(self: &Rc<Self>) {
         loop {
-            // The borrow ends before the order is carried out, as that may report back at once.
-            let order = self.core.borrow_mut().next_order();
-            let Some(order) = order else { break };
-            self.carry(order);
+            // The borrow has to end before the command runs, as the command may call back into the core at
+            // once.
+            let command = self.core.borrow_mut().next_command();
+            let Some(command) = command else { break };
+            self.run_command(command);
         }
-        if self.has_news() {
+        if self.has_pending_events() {
             self.wake();
         }
     }
 
-    fn carry(self: &Rc<Self>, order: Order) {
-        let Some(stores) = self.stores.get() else { return };
-        match order {
-            Order::Send(call) => {
+    fn run_command(self: &Rc<Self>, command: Command) {
+        let Some(transport) = self.transport.get() else { return };
+        match command {
+            Command::Send(call) => {
                 let (driver, no, until) = (self.clone(), call.no, self.instant(call.until));
                 let timer = self.executor.spawn(async move {
                     Timer::at(until).await;
                     let now = driver.now();
                     driver.core.borrow_mut().call_timed_out(now, no);
-                    driver.carry_out();
+                    driver.run_commands();
                 });
                 self.timers.borrow_mut().insert(no, timer);
-                stores.send(call);
+                transport.send(call);
             }
-            Order::GiveUp { replica, no, prove } => {
-                stores.give_up(&replica, no, prove);
+            Command::Abandon { run_store, no, await_proof } => {
+                transport.abandon(&run_store, no, await_proof);
                 let timer = self.timers.borrow_mut().remove(&no);
                 drop(timer);
             }
-            Order::Probe { replica, no } => {
-                let (driver, id) = (self.clone(), replica.clone());
+            Command::Probe { run_store, no } => {
+                let (driver, id) = (self.clone(), run_store.clone());
                 let limit = Duration::from_secs_f64(self.core.borrow().probe_timeout() / 1000.0);
                 let timer = self.executor.spawn(async move {
                     Timer::after(limit).await;
-                    if let Some(stores) = driver.stores.get() {
-                        stores.probe_timed_out(&id, no);
+                    if let Some(transport) = driver.transport.get() {
+                        transport.probe_timed_out(&id, no);
                     }
                     driver.probe_ended(no, false, None);
                 });
                 self.timers.borrow_mut().insert(no, timer);
-                stores.probe(&replica, no);
+                transport.probe(&run_store, no);
             }
-            Order::CloseIdle(replica) => stores.close_idle(&replica),
-            Order::Retire(replica) => stores.retire(&replica),
-            Order::Locate { replica, address, started } => stores.locate(&replica, address, started),
-            Order::Watch => {
+            Command::CloseIdle(run_store) => transport.close_idle(&run_store),
+            Command::Retire(run_store) => transport.retire(&run_store),
+            Command::Locate { run_store, address, started } => transport.locate(&run_store, address, started),
+            Command::Watch => {
                 if let Some(directory) = self.directory.get() {
                     directory.watch();
                 }
             }
-            Order::Final { query, verdict } => {
+            Command::Answer { query, answer } => {
                 if let Some((sender, _timer)) = self.waiting.borrow_mut().remove(&query) {
-                    let _ = sender.try_send(verdict);
+                    let _ = sender.try_send(answer);
                 }
             }
-            Order::Log(text) => crate::log::line(&text),
+            Command::Log(text) => crate::log::line(&text),
         }
     }
 }
 
-/// A span in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn millis(span: Duration) -> Millis {
     span.as_secs_f64() * 1000.0
 }
 
-/// The wall clock, in Unix milliseconds. It may be stepped at any time.
+/// Returns the wall-clock time in Unix milliseconds. The wall clock may be stepped at any time.
 fn wall_clock() -> Millis {
     millis(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
 }
 
-/// The time since an origin of the clock, in Unix milliseconds.
-fn since(origin: (Millis, Instant)) -> Millis {
+/// Returns the present time of a clock with this origin, in Unix milliseconds.
+fn time_since(origin: (Millis, Instant)) -> Millis {
     origin.0 + millis(origin.1.elapsed())
 }
 
 impl Pending {
     /// Waits for the final answer.
-    pub async fn verdict(&self) -> Verdict {
-        self.verdict.recv().await.unwrap_or(Verdict::Failed { retry_after: 0.0, cause: Cause::Overdue })
+    pub async fn answer(&self) -> FinalAnswer {
+        self.answer.recv().await.unwrap_or(FinalAnswer::Failed { retry_after: 0.0, cause: Cause::Overdue })
     }
 }
 
 impl Pending {
-    /// The same, by an earlier time if one is told meanwhile.
-    pub async fn verdict_before(&self, sooner: Receiver<Instant>) -> Verdict {
+    /// Waits for the final answer. The deadline moves forward to each instant that `sooner` delivers.
+    pub async fn answer_before(&self, sooner: Receiver<Instant>) -> FinalAnswer {
         let end_sooner = async {
             while let Ok(at) = sooner.recv().await {
-                self.driver.end_query_by(self.no, at);
+                self.driver.cap_deadline(self.no, at);
             }
             future::pending().await
         };
-        future::or(self.verdict(), end_sooner).await
+        future::or(self.answer(), end_sooner).await
     }
 }
 
 impl Drop for Pending {
-    /// A client that left before its answer: the core hears of it, and its parts are called back.
+    /// Reports a client that left before its answer to the core, which cancels the attempts of its query.
     fn drop(&mut self) {
-        let held = self.driver.waiting.borrow_mut().remove(&self.no);
-        if held.is_some() {
+        let was_open = self.driver.waiting.borrow_mut().remove(&self.no);
+        if was_open.is_some() {
             self.driver.core.borrow_mut().client_gone(self.driver.now(), self.no);
             self.driver.wake();
         }
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -1,175 +1,181 @@
-//! The ledger of queries, parts and attempts: plain records, kept in step by the stages.
+//! The ledger: records of open queries, parts, attempts, probes and run stores, which the stages keep
+//! consistent.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 use std::sync::Arc;
 
-use super::{CallNo, Piece, QueryNo};
+use super::{CallNo, PartAnswer, QueryNo};
 use crate::api::{Attempt, Millis, Outcome, PartId, QueryId, Replica, ReplicaId};
-use crate::exact::Time;
+use crate::exact::OrderedTime;
 
-/// A query that is owed a final answer.
+/// A query that has not had its final answer.
 #[derive(Debug)]
 pub struct Query {
     /// The client's id.
     pub client_id: String,
-    /// Its class, by its place.
+    /// The index of its class.
     pub class: usize,
-    /// Its group, if the settings name it.
+    /// The name of its tenant group, if the settings contain it.
     pub group: Option<Arc<str>>,
-    /// When it was taken.
-    pub taken: Millis,
-    /// When its time is over.
+    /// When it was accepted.
+    pub accepted: Millis,
+    /// When the client stops waiting.
     pub deadline: Millis,
-    /// Whether an answer that is not whole is welcome.
-    pub partial: bool,
-    /// Its key, in a keyed class.
+    /// Whether the client accepts a partial answer.
+    pub accepts_partial: bool,
+    /// Its idempotency key, in a keyed class.
     pub key: Option<Arc<str>>,
-    /// What each part carries.
-    pub text: Rc<[u8]>,
-    /// Its parts, by the router's ids.
+    /// The payload that each part carries.
+    pub payload: Rc<[u8]>,
+    /// The router's ids of its parts.
     pub parts: Vec<PartId>,
 }
 
-/// A part of such a query.
+/// A part of an open query.
 #[derive(Debug)]
 pub struct Part {
-    /// Its query.
+    /// The number of its query.
     pub query: QueryNo,
     /// Its shard.
     pub shard: u32,
     /// Its share of the answer.
     pub weight: f64,
-    /// Attempts made so far.
+    /// The number of attempts made so far.
     pub attempts: u32,
-    /// Attempts that are still out.
-    pub out: u32,
-    /// Whether an attempt of it may be out of which nothing more is heard: it was made while a part might be out twice.
-    pub unproved: bool,
-    /// When the first attempt was sent that has ended and may have run.
+    /// The number of outstanding attempts.
+    pub outstanding: u32,
+    /// Whether an attempt that the core no longer tracks may still be running at a run store, as it may have
+    /// been abandoned without proof of its end while parallel attempts were allowed.
+    pub maybe_outstanding: bool,
+    /// When the first of the attempts that have ended and may have run was sent.
     pub may_have_run: Option<Millis>,
-    /// Its answer, once it is in.
+    /// Its answer, once received.
     pub value: Option<Rc<[u8]>>,
 }
 
 /// An attempt that has not ended.
 #[derive(Debug, Clone)]
-pub struct Out {
-    /// The part, which may be over by now.
+pub struct OutstandingAttempt {
+    /// The part, which may no longer be held.
     pub part: PartId,
     /// Its number among the part's attempts.
     pub attempt: Attempt,
-    /// Where it went.
-    pub replica: ReplicaId,
+    /// The run store that it was sent to.
+    pub run_store: ReplicaId,
     /// When it was sent.
     pub sent: Millis,
-    /// How it is to end for the router, once it is given up and waits for the proof that it is over.
-    pub given_up: Option<Outcome>,
+    /// The outcome to report to the router once the attempt is proved to have ended; set when it is
+    /// abandoned.
+    pub abandoned: Option<Outcome>,
 }
 
-/// What is known of a run store's place.
+/// What the core knows of a listed run store.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Place {
-    /// Its line in the list as last told.
-    pub told: Replica,
-    /// The line as it holds here, under what operators say.
-    pub replica: Replica,
-    /// Where it listens, and since when its process runs.
-    pub at: Option<(std::net::SocketAddr, Option<Millis>)>,
+pub struct RunStoreEntry {
+    /// Its line in the latest list.
+    pub listed: Replica,
+    /// The same line after operators' manual drains are applied.
+    pub effective: Replica,
+    /// The address that it listens on and the start time of its process.
+    pub location: Option<(std::net::SocketAddr, Option<Millis>)>,
 }
 
 /// All records of a core.
 #[derive(Debug, Default)]
 pub struct Ledger {
     pub(super) queries: BTreeMap<QueryNo, Query>,
-    pub(super) numbers: HashMap<QueryId, QueryNo>,
+    /// The numbers of open queries by the ids that the router knows them by.
+    pub(super) query_numbers: HashMap<QueryId, QueryNo>,
     pub(super) parts: HashMap<PartId, Part>,
-    pub(super) out: HashMap<CallNo, Out>,
-    pub(super) calls: HashMap<(PartId, Attempt), CallNo>,
+    pub(super) outstanding: HashMap<CallNo, OutstandingAttempt>,
+    /// The numbers of outstanding attempts by part and attempt.
+    pub(super) call_numbers: HashMap<(PartId, Attempt), CallNo>,
     pub(super) probes: Probes,
-    pub(super) places: BTreeMap<ReplicaId, Place>,
-    /// The deadline of each query, so that a step looks only at those that are over.
+    pub(super) run_stores: BTreeMap<ReplicaId, RunStoreEntry>,
+    /// The deadlines of open queries in order, so that a step visits only the overdue ones.
     pub(super) deadlines: Deadlines,
-    /// Parts that are not in.
+    /// The number of parts without an answer.
     pub(super) open_parts: usize,
-    last: u64,
+    last_number: u64,
 }
 
-/// Probes that are out, and the run stores that they went to.
+/// Outstanding probes, and the run stores that they were sent to.
 #[derive(Debug, Default)]
 pub(super) struct Probes {
-    out: HashMap<CallNo, ReplicaId>,
-    probed: HashSet<ReplicaId>,
+    outstanding: HashMap<CallNo, ReplicaId>,
+    run_stores: HashSet<ReplicaId>,
 }
 
 impl Probes {
-    /// Whether one to a run store is out.
-    pub(super) fn is_out(&self, replica: &ReplicaId) -> bool {
-        self.probed.contains(replica)
+    /// Returns whether a probe of a run store is outstanding.
+    pub(super) fn is_outstanding(&self, run_store: &ReplicaId) -> bool {
+        self.run_stores.contains(run_store)
     }
 
-    /// One goes out to a run store to which none is out.
-    pub(super) fn insert(&mut self, no: CallNo, replica: ReplicaId) {
-        self.probed.insert(replica.clone());
-        self.out.insert(no, replica);
+    /// Adds a probe of a run store that has no outstanding one.
+    pub(super) fn insert(&mut self, no: CallNo, run_store: ReplicaId) {
+        self.run_stores.insert(run_store.clone());
+        self.outstanding.insert(no, run_store);
     }
 
-    /// One has ended: where it went, unless it had ended before.
+    /// Removes a probe and returns its run store; `None` if the probe had already ended.
     pub(super) fn remove(&mut self, no: &CallNo) -> Option<ReplicaId> {
-        let replica = self.out.remove(no)?;
-        self.probed.remove(&replica);
-        Some(replica)
+        let run_store = self.outstanding.remove(no)?;
+        self.run_stores.remove(&run_store);
+        Some(run_store)
     }
 }
 
 /// Queries in the order of their deadlines.
 #[derive(Debug, Default)]
-pub(super) struct Deadlines(BTreeSet<(Time, QueryNo)>);
+pub(super) struct Deadlines(BTreeSet<(OrderedTime, QueryNo)>);
 
 impl Deadlines {
     pub(super) fn insert(&mut self, no: QueryNo, deadline: Millis) {
-        self.0.insert((Time(deadline), no));
+        self.0.insert((OrderedTime(deadline), no));
     }
 
     pub(super) fn remove(&mut self, no: QueryNo, deadline: Millis) {
-        self.0.remove(&(Time(deadline), no));
+        self.0.remove(&(OrderedTime(deadline), no));
     }
 
-    /// The queries whose deadline has come, in the order in which they were taken.
+    /// Returns the queries whose deadline has passed, in the order in which they were accepted.
     pub(super) fn overdue(&self, now: Millis) -> Vec<QueryNo> {
-        let mut over: Vec<_> =
+        let mut overdue: Vec<_> =
             self.0.iter().take_while(|(deadline, _)| deadline.0 <= now).map(|(_, no)| *no).collect();
-        over.sort_unstable();
-        over
+        overdue.sort_unstable();
+        overdue
     }
 }
 
 impl Ledger {
-    /// The next number, of queries, calls and probes alike.
-    pub(super) fn number(&mut self) -> u64 {
-        self.last += 1;
-        self.last
+    /// Returns the next number; queries, calls and probes share one sequence.
+    pub(super) fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// Queries held, and parts of theirs that are not in.
-    pub fn open(&self) -> usize {
+    /// Returns the number of open queries plus their parts without an answer.
+    pub fn open_work(&self) -> usize {
         self.queries.len() + self.open_parts
     }
 
-    /// No query's deadline is later than this from now on.
-    pub(super) fn end_by(&mut self, at: Millis) {
+    /// Caps the deadlines of all open queries.
+    pub(super) fn cap_deadlines(&mut self, at: Millis) {
         self.queries.values_mut().for_each(|query| query.deadline = query.deadline.min(at));
-        let deadlines = self.queries.iter().map(|(no, query)| (Time(query.deadline), *no));
+        let deadlines = self.queries.iter().map(|(no, query)| (OrderedTime(query.deadline), *no));
         self.deadlines = Deadlines(deadlines.collect());
     }
 
-    /// Parts may be out twice no longer: those that have been sent may be out already, as far as can be proved.
-    pub(super) fn forbid_copies(&mut self) {
-        self.parts.values_mut().for_each(|part| part.unproved |= part.attempts > 0);
+    /// Stops parallel attempts. Parts that have been sent are marked, as earlier attempts of theirs may still
+    /// be running.
+    pub(super) fn forbid_parallel_attempts(&mut self) {
+        self.parts.values_mut().for_each(|part| part.maybe_outstanding |= part.attempts > 0);
     }
 
-    /// A query's deadline is no later than this from now on.
-    pub(super) fn end_query_by(&mut self, no: QueryNo, at: Millis) {
+    /// Caps the deadline of a query.
+    pub(super) fn cap_deadline(&mut self, no: QueryNo, at: Millis) {
         if let Some(query) = self.queries.get_mut(&no).filter(|query| at < query.deadline) {
             self.deadlines.remove(no, query.deadline);
             query.deadline = at;
@@ -177,26 +183,26 @@
         }
     }
 
-    /// The answers that are in, and their weight.
-    pub(super) fn pieces(&self, query: &Query) -> (Vec<Piece>, f64) {
+    /// Returns the answers received for a query, and the sum of their weights.
+    pub(super) fn answers(&self, query: &Query) -> (Vec<PartAnswer>, f64) {
         let mut weight = 0.0;
-        let mut pieces = Vec::with_capacity(query.parts.len());
+        let mut answers = Vec::with_capacity(query.parts.len());
         for part in query.parts.iter().filter_map(|id| self.parts.get(id)) {
             if let Some(value) = &part.value {
                 weight += part.weight;
-                pieces.push(Piece { shard: part.shard, value: value.clone() });
+                answers.push(PartAnswer { shard: part.shard, value: value.clone() });
             }
         }
-        (pieces, weight)
+        (answers, weight)
     }
 
-    /// Whether any part of a query may have run or is out.
+    /// Returns whether any part of a query may have run or has an outstanding attempt.
     pub(super) fn may_have_run(&self, query: &Query) -> bool {
-        let ran = |part: &Part| part.may_have_run.is_some() || part.out > 0 || part.value.is_some();
+        let ran = |part: &Part| part.may_have_run.is_some() || part.outstanding > 0 || part.value.is_some();
         query.parts.iter().filter_map(|id| self.parts.get(id)).any(ran)
     }
 
-    /// The router's id of a query.
+    /// Returns the router's id of a query.
     pub(super) fn query_id(no: QueryNo) -> QueryId {
         QueryId(Arc::from(format!("q{}", no.0)))
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,91 +1,90 @@
-//! The core: it drives the router and knows no wire.
+//! The core: drives the router, independently of any wire protocol.
 //!
-//! Fronts, run-store transports and directories meet it through the small types
-//! of this file. [`Core`] itself does no input or output and reads no clock: it
-//! is told what happened and when, and hands out [`Order`]s. [`drive::Driver`]
-//! gives it a clock, timers and the outside world.
+//! Fronts, run-store transports and directories use it through the small types of this file. [`Core`] itself
+//! does no input or output and reads no clock: it is given events and their times, and returns [`Command`]s.
+//! [`drive::Driver`] adds a clock, timers, transports and directories.
 //!
-//! A request passes the stages [`take_in`], [`admit`], [`route`], [`send`],
-//! [`relay`] and [`book`]; each is a unit that works on the ledger.
+//! A query passes the stages [`take_in`], [`admit`], [`route`], [`send`], [`relay`] and [`book`]. Each stage
+//! is a module that works on the [`ledger`].
 
 pub mod admit;
 pub mod book;
 pub mod classes;
 pub mod drive;
-pub mod hand;
 pub mod ledger;
-pub mod legacy;
+pub mod manual_drain;
 pub mod relay;
 pub mod route;
 pub mod send;
 pub mod take_in;
-pub mod taped;
+pub mod takeover;
+pub mod trace_events;
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
 
-use crate::advice::Advice;
-use crate::api::{Cause, Discovery, Event, Millis, Outcome, Repeat, ReplicaId, ReplicaState, Settings};
-use crate::asking::Watching;
+use crate::advice::RetryAdvice;
+use crate::api::{Cause, Discovery, Event, Millis, Outcome, RepeatPolicy, ReplicaId, ReplicaState, Settings};
+use crate::asking::WatchSchedule;
 use crate::counters::{Counters, Gauges};
 use crate::hash::mix;
-use crate::settings::Info;
-use crate::starts::Starts;
-use crate::trace::tape::{InForce, Tape};
+use crate::settings::SiteSettings;
+use crate::starts::StartTimes;
+use crate::trace::writer::{ActiveSettings, TraceWriter};
 use crate::Router;
 use classes::Classes;
-use hand::Hand;
-use ledger::{Ledger, Place};
+use ledger::{Ledger, RunStoreEntry};
+use manual_drain::ManualDrains;
 
-/// A query as a front took it from its client.
+/// A query as a front received it from its client.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
-    /// The client's id of the query; part ids on the wires are made from it.
+pub struct QueryRequest {
+    /// The client's id of the query. The ids of the parts on the wire are derived from it.
     pub id: String,
-    /// The name of its class.
+    /// The name of the query's class.
     pub class: String,
-    /// The name of its tenant, if it has one.
+    /// The name of the query's tenant, if it has one.
     pub tenant: Option<String>,
-    /// How long the client waits; `None` for the class's give-up time.
+    /// How long the client waits; `None` for the deadline of the class.
     pub timeout: Option<Millis>,
-    /// How much of that is over, as it waited for its turn.
-    pub waited: Millis,
-    /// Whether the client marked it as a repeat.
-    pub retried: bool,
-    /// Whether an answer that is not whole is welcome.
-    pub partial: bool,
-    /// The key by which run stores know its repeats, in a keyed class; see [`Core::is_keyed`].
+    /// How much of that time has passed while the query was queued in the front.
+    pub queued: Millis,
+    /// Whether the client marked the query as a retry.
+    pub is_retry: bool,
+    /// Whether the client accepts a partial answer.
+    pub accepts_partial: bool,
+    /// The idempotency key by which run stores recognize repeats, in a keyed class; see [`Core::is_keyed`].
     pub key: Option<Arc<str>>,
-    /// Its parts.
-    pub parts: Vec<AskPart>,
-    /// What each part has to carry to its run store.
-    pub text: Rc<[u8]>,
+    /// The parts of the query.
+    pub parts: Vec<PartRequest>,
+    /// The payload that each part carries to its run store.
+    pub payload: Rc<[u8]>,
 }
 
-/// A part of an [`Ask`].
+/// A part of a [`QueryRequest`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct AskPart {
-    /// Its shard.
+pub struct PartRequest {
+    /// The shard that the part reads or writes.
     pub shard: u32,
-    /// Its share of the answer.
+    /// The part's share of the answer; the shares of a query add up to 1.
     pub weight: f64,
-    /// A guess at its work.
-    pub hint: Option<Millis>,
-    /// What it is about, where parts carry keys.
+    /// An estimate of the part's work, if there is one.
+    pub work_hint: Option<Millis>,
+    /// The key that the part reads or writes, where parts carry keys.
     pub key: Option<Arc<str>>,
 }
 
-/// Why an [`Ask`] was not taken. Nothing is owed for it.
+/// Why a [`QueryRequest`] was not accepted. It gets no [`FinalAnswer`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum NotTaken {
-    /// Its class is not in the settings.
+pub enum InvalidQuery {
+    /// The class is not in the settings.
     UnknownClass,
-    /// It contradicts itself; the text says how.
+    /// The request is inconsistent; the text says how.
     Malformed(String),
 }
 
-/// The number of a query that was taken, unique over the life of a core.
+/// The number of an accepted query, unique over the life of a core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryNo(pub u64);
 
@@ -93,379 +92,389 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallNo(pub u64);
 
-/// The one final answer to a query.
+/// The final answer to a query. Each query gets exactly one, unless its client leaves first.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict {
-    /// Served from the parts that are in.
+pub enum FinalAnswer {
+    /// Served from the parts that have been answered.
     Served {
         /// Whether the answer is whole.
         whole: bool,
-        /// The parts that are in.
-        pieces: Vec<Piece>,
-        /// The number of parts that were asked for.
+        /// The answers of the parts.
+        answers: Vec<PartAnswer>,
+        /// The number of parts of the query.
         parts: usize,
     },
-    /// Refused: trying again is harmless.
+    /// Refused: a retry is safe.
     Refused {
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry; 0 for no advice.
         retry_after: Millis,
-        /// Why.
+        /// The cause.
         cause: Cause,
     },
-    /// Failed, with no word on its effects.
+    /// Failed: parts of the query may have run.
     Failed {
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry; 0 for no advice.
         retry_after: Millis,
-        /// Why.
+        /// The cause.
         cause: Cause,
     },
 }
 
-impl Verdict {
-    /// Why it is no answer, if it is none.
+impl FinalAnswer {
+    /// Returns why the query was refused or failed, or `None` if it was served.
     pub fn cause(&self) -> Option<Cause> {
         match self {
-            Verdict::Served { .. } => None,
-            Verdict::Refused { cause, .. } | Verdict::Failed { cause, .. } => Some(*cause),
+            FinalAnswer::Served { .. } => None,
+            FinalAnswer::Refused { cause, .. } | FinalAnswer::Failed { cause, .. } => Some(*cause),
         }
     }
 }
 
-/// A part's answer, as a run store gave it.
+/// The answer to a part, as a run store gave it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Piece {
-    /// The part's shard.
+pub struct PartAnswer {
+    /// The shard of the part.
     pub shard: u32,
-    /// The value, unchanged.
+    /// The value that the run store returned, unchanged.
     pub value: Rc<[u8]>,
 }
 
 /// An attempt of a part, for a transport to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Call {
-    /// Its number, under which it ends.
+    /// The number under which the transport reports the end of the attempt.
     pub no: CallNo,
     /// The run store.
-    pub replica: ReplicaId,
+    pub run_store: ReplicaId,
     /// The part's id on the wire: the query's id, a dot and the shard.
     pub part: String,
     /// The client's id of the query.
     pub query: String,
     /// The class's name.
     pub class: Arc<str>,
-    /// The number of its query, and its own among the part's attempts.
-    pub of: (QueryNo, u32),
-    /// The query's key, in a keyed class.
+    /// The number of the query, and the number of the attempt among those of its part.
+    pub query_attempt: (QueryNo, u32),
+    /// The query's idempotency key, in a keyed class.
     pub key: Option<Arc<str>>,
     /// The shard.
     pub shard: u32,
-    /// The time at which the core stops waiting.
+    /// When the core stops waiting for the attempt.
     pub until: Millis,
-    /// The end of the time in which its class may be repeated, if this is a repeat: it may wait for a connection after
-    /// it was decided on, and its last byte has to be out by then.
+    /// The end of the window in which a repeat may be sent, if this attempt is a repeat. The attempt may wait
+    /// for a connection after the decision to send it, and its last byte has to be written by this time.
     pub allowed_until: Millis,
-    /// What the part carries.
-    pub text: Rc<[u8]>,
+    /// The payload of the part.
+    pub payload: Rc<[u8]>,
 }
 
 impl Call {
-    /// Whether it may be begun no more, as its time is over or its class may not be repeated any longer.
+    /// Returns whether it is too late to start the attempt, as it has timed out or its class may no longer be
+    /// repeated.
     pub fn is_late(&self, now: Millis) -> bool {
         now > self.until.min(self.allowed_until)
     }
 }
 
-/// What a transport reports of a call's end.
+/// The end of a call as its transport reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallEnd {
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// The part's answer, where it was served.
+    /// The part's answer, if it was served.
     pub value: Option<Rc<[u8]>>,
-    /// The run store's load report, if one came along.
+    /// The run store's load report, if the response carried one.
     pub load: Option<crate::api::LoadReport>,
 }
 
 impl CallEnd {
-    /// An end that brought nothing along.
+    /// Returns an end that carries neither an answer nor a load report.
     pub fn bare(outcome: Outcome) -> Self {
         CallEnd { outcome, value: None, load: None }
     }
 }
 
-/// A line of a directory: the router's view of a run store, and where it listens.
+/// A line of a directory: a run store as the router sees it, and its address.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
-    /// The router's view.
+pub struct ListedRunStore {
+    /// The run store as the router sees it.
     pub replica: crate::api::Replica,
-    /// The address it listens on; `None` on a line that only says it is gone.
+    /// The address it listens on; `None` on a line that only reports the run store as gone.
     pub address: Option<std::net::SocketAddr>,
 }
 
-/// News from a directory.
+/// An update from a directory.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
-    /// The list as it was last known, maybe old.
-    Cached(Vec<Listed>),
+pub enum DirectoryUpdate {
+    /// The last known list, which may be out of date.
+    Cached(Vec<ListedRunStore>),
     /// The whole list.
-    Full(Vec<Listed>),
+    Full(Vec<ListedRunStore>),
     /// The lines that changed.
-    Changes(Vec<Listed>),
-    /// The directory could not be asked; the old list stands.
-    Broken,
-    /// A watch on the directory has fallen silent: it is broken, and what it missed is not known.
+    Changes(Vec<ListedRunStore>),
+    /// The directory could not be reached; the previous list stays in force.
+    Failed,
+    /// A watch on the directory has stopped responding. It counts as broken, and the updates that it missed
+    /// are unknown.
     Silent,
 }
 
-/// Something for the outside world to do.
+/// A command from the core to its transports, directory, fronts or log.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Order {
-    /// Carry out an attempt.
+pub enum Command {
+    /// Start an attempt.
     Send(Call),
-    /// Give up an attempt.
-    GiveUp {
+    /// Abandon an attempt.
+    Abandon {
         /// The run store.
-        replica: ReplicaId,
+        run_store: ReplicaId,
         /// The attempt.
         no: CallNo,
-        /// Whether it is waited for until it is proved to be over there. Else its end is already booked.
-        prove: bool,
+        /// Whether the core waits for proof that the attempt has ended at the run store. Otherwise its end is
+        /// already recorded.
+        await_proof: bool,
     },
     /// Probe a run store.
     Probe {
         /// The run store.
-        replica: ReplicaId,
-        /// The probe's number.
+        run_store: ReplicaId,
+        /// The number of the probe.
         no: CallNo,
     },
     /// Close idle connections to a run store.
     CloseIdle(ReplicaId),
-    /// Send nothing new to a run store, what is queued for it included.
+    /// Start nothing new at a run store, including calls that are queued for it.
     Retire(ReplicaId),
-    /// A run store listens at this address, as a process started at that time.
+    /// Use this address for a run store, whose process started at the given time.
     Locate {
         /// The run store.
-        replica: ReplicaId,
-        /// Where it listens.
+        run_store: ReplicaId,
+        /// The address that it listens on.
         address: std::net::SocketAddr,
-        /// When its process started.
+        /// When its process started, if known.
         started: Option<Millis>,
     },
     /// Watch the directory.
     Watch,
     /// Give a query its final answer.
-    Final {
+    Answer {
         /// The query.
         query: QueryNo,
         /// The answer.
-        verdict: Verdict,
+        answer: FinalAnswer,
     },
-    /// A line for the people on call.
+    /// Write a line to the log for operators.
     Log(String),
 }
 
-/// The state of one aggregator, without input or output.
+/// The state of one aggregator. It does no input or output.
 pub struct Core {
     router: Router,
     classes: Classes,
-    /// The places of tenants by their names.
+    /// The indexes of tenants by name.
     tenants: BTreeMap<Arc<str>, usize>,
     settings: Settings,
-    info: Info,
-    /// When the log last told of each cause.
-    said: BTreeMap<&'static str, Millis>,
-    /// The recording, if one is on.
-    tape: Option<Box<Tape>>,
+    site: SiteSettings,
+    /// When each cause was last logged, by its code.
+    cause_logged_at: BTreeMap<&'static str, Millis>,
+    /// The trace writer, while a trace is recorded.
+    trace_writer: Option<Box<TraceWriter>>,
     max_open: usize,
-    /// Queries and parts that another process of this aggregator holds.
+    /// Queries and parts that another process of this aggregator holds during a handover.
     held_elsewhere: usize,
-    /// How many shards there are, if that is known.
+    /// The number of shards, if known.
     shards: Option<u32>,
-    /// When the process is to end.
-    ends: Millis,
+    /// When the process will exit; no deadline is later.
+    exit_time: Millis,
     probe_timeout: Millis,
     ledger: Ledger,
-    hand: Hand,
-    /// When run stores started, and the time now by the clock that they are placed on, once it was told.
-    starts: Starts,
+    manual_drains: ManualDrains,
+    /// The start times of run stores, and the present time of the clock that they are expressed in, once it
+    /// is known.
+    start_times: StartTimes,
     clock: Option<Millis>,
-    /// When it was told for the first time.
-    began: Option<Millis>,
-    /// Whether the directory has told a list.
-    listed: bool,
-    /// The watch on the agent, where lists are pushed, and on the service, should that fall silent.
-    agent: Watching,
-    service: Watching,
-    chance: u64,
-    /// How much this core has refused by itself.
-    advice: Advice,
-    /// Events that wait for the next step.
-    inbox: Vec<Event>,
-    orders: VecDeque<Order>,
-    wake: Option<Millis>,
-    /// What was counted.
+    /// When [`Core::note_clock`] was first called.
+    clock_started: Option<Millis>,
+    /// Whether the directory has sent a list.
+    list_received: bool,
+    /// The watch on the agent, where lists are pushed, and the watch on the discovery service, in case it
+    /// stops responding.
+    agent_watch: WatchSchedule,
+    service_watch: WatchSchedule,
+    random_state: u64,
+    /// The rate at which this core itself refuses queries, from which it derives retry advice.
+    advice: RetryAdvice,
+    /// Events for the next step.
+    pending_events: Vec<Event>,
+    commands: VecDeque<Command>,
+    wake_time: Option<Millis>,
+    /// The counters.
     pub counters: Counters,
 }
 
 impl Core {
-    /// A core with nothing known but its settings.
+    /// Returns a core that knows only its settings.
     ///
     /// # Errors
-    /// Says which setting contradicts itself.
-    pub fn new(info: &Info, seed: u64) -> Result<Self, String> {
+    /// Returns a message that names the inconsistent setting.
+    pub fn new(site: &SiteSettings, seed: u64) -> Result<Self, String> {
         let mut core = Core {
-            router: Router::new(info.settings(), seed)?,
+            router: Router::new(site.router_settings(), seed)?,
             classes: Classes::default(),
             tenants: BTreeMap::new(),
             settings: Settings::default(),
-            info: info.clone(),
-            tape: None,
-            said: BTreeMap::new(),
+            site: site.clone(),
+            trace_writer: None,
+            cause_logged_at: BTreeMap::new(),
             max_open: 0,
             held_elsewhere: 0,
             shards: None,
-            ends: Millis::INFINITY,
+            exit_time: Millis::INFINITY,
             probe_timeout: 0.0,
             ledger: Ledger::default(),
-            hand: Hand::default(),
-            starts: Starts::default(),
+            manual_drains: ManualDrains::default(),
+            start_times: StartTimes::default(),
             clock: None,
-            began: None,
-            listed: false,
-            agent: Watching::an_agent(),
-            service: Watching::the_service(),
-            chance: mix(seed),
-            advice: Advice::default(),
-            inbox: Vec::new(),
-            orders: VecDeque::new(),
-            wake: None,
+            clock_started: None,
+            list_received: false,
+            agent_watch: WatchSchedule::for_agent(),
+            service_watch: WatchSchedule::for_service(),
+            random_state: mix(seed),
+            advice: RetryAdvice::default(),
+            pending_events: Vec::new(),
+            commands: VecDeque::new(),
+            wake_time: None,
             counters: Counters::default(),
         };
-        core.retune(info)?;
+        core.apply_settings(site)?;
         Ok(core)
     }
 
-    /// Takes up other settings. Queries under way keep their class; new ones of a class that is gone are not taken.
+    /// Applies new settings. Open queries keep their class; new queries of a removed class are rejected.
     ///
     /// # Errors
-    /// Says which setting contradicts itself; then nothing is changed.
-    pub fn retune(&mut self, info: &Info) -> Result<(), String> {
-        let mut settings = info.settings();
+    /// Returns a message that names the inconsistent setting; nothing is changed then.
+    pub fn apply_settings(&mut self, site: &SiteSettings) -> Result<(), String> {
+        let mut settings = site.router_settings();
         settings.check()?;
-        let queries = &self.ledger.queries;
-        self.classes.take(info, |place| queries.values().any(|query| query.class == place));
-        settings.classes = self.classes.for_router();
-        self.router.retune(settings.clone())?;
+        let open_queries = &self.ledger.queries;
+        self.classes.apply_settings(site, |index| open_queries.values().any(|query| query.class == index));
+        settings.classes = self.classes.router_classes();
+        self.router.apply_settings(settings.clone())?;
         for name in self.classes.names() {
             self.counters.classes.entry(name.clone()).or_default();
         }
-        if self.settings.parallel_tries && !settings.parallel_tries {
-            self.ledger.forbid_copies();
+        if self.settings.parallel_attempts && !settings.parallel_attempts {
+            self.ledger.forbid_parallel_attempts();
         }
-        self.tenants = info.names().tenants.into_iter().map(|(name, at)| (name.into(), at)).collect();
+        self.tenants = site.names().tenants.into_iter().map(|(name, at)| (name.into(), at)).collect();
         self.settings = settings;
-        self.info = info.clone();
-        self.max_open = info.caps.max_open() as usize;
-        self.shards = info.domain.shards;
-        self.probe_timeout = info.caps.connect_timeout_ms();
-        self.tape_settings();
+        self.site = site.clone();
+        self.max_open = site.caps.max_open() as usize;
+        self.shards = site.domain.shards;
+        self.probe_timeout = site.caps.connect_timeout_ms();
+        self.trace_settings();
         Ok(())
     }
 
-    /// The longest time that any query may take.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Millis {
         self.classes.longest_deadline()
     }
 
-    /// The process ends at some time, and no query outlives it.
-    pub fn end_by(&mut self, at: Millis) {
-        self.ends = at;
-        self.ledger.end_by(at);
+    /// Sets the time at which the process exits, and caps the deadline of every query to it.
+    pub fn set_exit_time(&mut self, at: Millis) {
+        self.exit_time = at;
+        self.ledger.cap_deadlines(at);
     }
 
-    /// The time now, and how far the wall clock is ahead of it. Until it is told, starts are taken as lists state them.
+    /// Sets the current time and the lead of the wall clock over it. Before the first call, start times are
+    /// taken as lists state them.
     pub fn note_clock(&mut self, now: Millis, wall_ahead: Millis) {
-        self.began.get_or_insert(now);
+        self.clock_started.get_or_insert(now);
         self.clock = Some(now);
-        self.starts.note_wall_clock(wall_ahead);
+        self.start_times.record_wall_clock(wall_ahead);
     }
 
-    /// How long the client of a query waits: as it states, and no longer than its class is given up for.
-    pub fn wait_of(&self, class: &str, stated: Option<Millis>) -> Option<Millis> {
-        let most = self.classes.at(self.classes.named(class)?).deadline;
-        Some(stated.unwrap_or(most).min(most))
+    /// Returns how long the client of a query waits: the stated time, capped by the deadline of its class;
+    /// `None` if there is no such class.
+    pub fn client_wait(&self, class: &str, stated: Option<Millis>) -> Option<Millis> {
+        let class_deadline = self.classes.get(self.classes.index_of(class)?).deadline;
+        Some(stated.unwrap_or(class_deadline).min(class_deadline))
     }
 
-    /// A query is to end by some time, if that is sooner than its own.
-    pub fn end_query_by(&mut self, no: QueryNo, at: Millis) {
-        self.ledger.end_query_by(no, at);
+    /// Moves the deadline of a query forward to `at`, if that is earlier.
+    pub fn cap_deadline(&mut self, no: QueryNo, at: Millis) {
+        self.ledger.cap_deadline(no, at);
     }
 
-    /// Whether queries of a class carry a key, without which no part of theirs may reach a run store.
+    /// Returns whether queries of a class need an idempotency key, without which none of their parts may be
+    /// sent.
     pub fn is_keyed(&self, class: &str) -> bool {
-        let at = self.classes.named(class);
-        at.is_some_and(|at| matches!(self.classes.at(at).class.repeat, Repeat::Keyed { .. }))
+        let index = self.classes.index_of(class);
+        index.is_some_and(|index| matches!(self.classes.get(index).class.repeat, RepeatPolicy::Keyed { .. }))
     }
 
-    /// How many shards there are, if that is known.
+    /// Returns the number of shards, if known.
     pub fn shards(&self) -> Option<u32> {
         self.shards
     }
 
-    /// The least time between two steps.
+    /// Returns the minimum time between two steps.
     pub fn tick(&self) -> Millis {
         self.settings.tick
     }
 
-    /// How long a probe may take.
+    /// Returns the timeout of a probe.
     pub fn probe_timeout(&self) -> Millis {
         self.probe_timeout
     }
 
-    /// Whether something waits for a step.
-    pub fn has_news(&self) -> bool {
-        !self.inbox.is_empty() || self.watching().is_broken()
+    /// Returns whether a step is needed now.
+    pub fn has_pending_events(&self) -> bool {
+        !self.pending_events.is_empty() || self.active_watch().is_broken()
     }
 
-    /// When the next step is due, if nothing happens before.
+    /// Returns when the next step is needed if nothing happens before.
     pub fn wake_at(&self) -> Option<Millis> {
-        self.wake.into_iter().chain(self.watching().due()).reduce(f64::min)
+        self.wake_time.into_iter().chain(self.active_watch().due_at()).reduce(f64::min)
     }
 
-    fn watching(&self) -> &Watching {
-        if self.is_pushed() {
-            &self.agent
+    /// Returns the watch that is in use for this way of discovery.
+    fn active_watch(&self) -> &WatchSchedule {
+        if self.lists_are_pushed() {
+            &self.agent_watch
         } else {
-            &self.service
+            &self.service_watch
         }
     }
 
-    /// Whether lists come to an agent of this aggregator's own. The router never asks for such.
-    fn is_pushed(&self) -> bool {
+    /// Returns whether lists are pushed to this aggregator's local agent. The router never requests a list
+    /// then.
+    fn lists_are_pushed(&self) -> bool {
         self.settings.discovery == Discovery::Pushed
     }
 
-    /// The number of run stores of which anything is kept.
+    /// Returns the number of run stores that the core keeps an entry for.
     pub fn run_stores(&self) -> usize {
-        self.ledger.places.len()
+        self.ledger.run_stores.len()
     }
 
-    /// What is so just now, for the figures.
+    /// Returns the gauges for the metrics.
     pub fn gauges(&self) -> Gauges {
         let parked: HashSet<_> = self.router.parked().collect();
-        let places = self.ledger.places.iter();
-        let ejected = |(id, place): &(&ReplicaId, &Place)| {
-            place.replica.state != ReplicaState::Active || parked.contains(id)
+        let entries = self.ledger.run_stores.iter();
+        let ejected = |(id, entry): &(&ReplicaId, &RunStoreEntry)| {
+            entry.effective.state != ReplicaState::Active || parked.contains(id)
         };
         Gauges {
             active: self.ledger.queries.len(),
-            pool_size: self.ledger.places.len(),
-            pool_ejected: places.filter(ejected).count(),
+            pool_size: self.ledger.run_stores.len(),
+            pool_ejected: entries.filter(ejected).count(),
         }
     }
 
-    /// Takes the next order, in the order of their making.
-    pub fn next_order(&mut self) -> Option<Order> {
-        self.orders.pop_front()
+    /// Removes and returns the oldest pending command.
+    pub fn next_command(&mut self) -> Option<Command> {
+        self.commands.pop_front()
     }
 }
--- a/src/core/route.rs
+++ b/src/core/route.rs
@@ -1,181 +1,197 @@
-//! Stage 3, route: the router is stepped with all that came in, and its actions become orders.
+//! Stage 3, route: steps the router with the pending events and turns its actions into commands.
 
 use std::collections::HashSet;
 
-use super::ledger::Place;
-use super::{CallNo, Core, Listed, News, Order, Verdict};
-use crate::api::{Action, Event, ListNews, Millis, Replica, ReplicaState};
+use super::ledger::RunStoreEntry;
+use super::{CallNo, Command, Core, DirectoryUpdate, FinalAnswer, ListedRunStore};
+use crate::api::{Action, Event, ListUpdate, Millis, Replica, ReplicaState};
 use crate::hash::draw;
-use crate::starts::Told;
+use crate::starts::StartSource;
 
-/// An answer of the directory that comes sooner than this after the start tells what it had before.
-const PROMPT: Millis = 200.0;
+/// Milliseconds after the start within which changes from the directory count as its initial state instead of
+/// as new changes.
+const INITIAL_STATE_WITHIN: Millis = 200.0;
 
 impl Core {
-    /// Hands the router all that happened by `now` and carries out what it says.
+    /// Passes all events up to `now` to the router and carries out the actions that it returns.
     pub fn step(&mut self, now: Millis) {
-        self.tape_segment(now);
-        self.end_overdue(now);
-        if self.wake.is_some_and(|at| at <= now) {
-            self.wake = None;
-            self.inbox.push(Event::Wake);
+        self.trace_segment(now);
+        self.end_overdue_queries(now);
+        if self.wake_time.is_some_and(|at| at <= now) {
+            self.wake_time = None;
+            self.pending_events.push(Event::Wake);
         }
-        let events = std::mem::take(&mut self.inbox);
-        let noted = self.tape.as_mut().map(|tape| tape.events(now, &events));
+        let events = std::mem::take(&mut self.pending_events);
+        let traced_events = self.trace_writer.as_mut().map(|trace_writer| trace_writer.events(now, &events));
         let actions = self.router.step(now, events);
-        if let Some((tape, noted)) = self.tape.as_mut().zip(noted) {
-            tape.step(now, noted, &actions);
+        if let Some((trace_writer, traced_events)) = self.trace_writer.as_mut().zip(traced_events) {
+            trace_writer.step(now, traced_events, &actions);
         }
         for action in actions {
-            self.act(now, action);
+            self.run_action(now, action);
         }
-        let watching = if self.is_pushed() { &mut self.agent } else { &mut self.service };
-        if watching.begins(now) {
-            self.orders.push_back(Order::Watch);
+        let watch = if self.lists_are_pushed() { &mut self.agent_watch } else { &mut self.service_watch };
+        if watch.open_if_due(now) {
+            self.commands.push_back(Command::Watch);
         }
     }
 
-    fn act(&mut self, now: Millis, action: Action) {
+    /// Carries out an action of the router.
+    fn run_action(&mut self, now: Millis, action: Action) {
         match action {
             Action::Send { part, replica, timeout, .. } => self.send(now, part, replica, timeout),
             Action::Cancel { part, attempt, .. } => self.cancel(now, &part, attempt),
-            Action::Answer { query, whole } => self.answer(now, &query, whole),
+            Action::Answer { query, whole } => self.answer_query(now, &query, whole),
             Action::Refuse { query, retry_after, cause } => {
-                self.end(now, &query, Verdict::Refused { retry_after, cause });
+                self.end_query(now, &query, FinalAnswer::Refused { retry_after, cause });
             }
             Action::Fail { query, retry_after, cause } => {
-                self.end(now, &query, Verdict::Failed { retry_after, cause });
+                self.end_query(now, &query, FinalAnswer::Failed { retry_after, cause });
             }
             Action::Probe { replica } => self.probe(replica),
-            Action::CloseIdle { replica } => self.orders.push_back(Order::CloseIdle(replica)),
-            Action::Subscribe => self.orders.push_back(Order::Watch),
-            Action::WakeAt(at) => self.wake = Some(self.wake.map_or(at, |known| known.min(at))),
-            Action::Log(text) => self.orders.push_back(Order::Log(text)),
+            Action::CloseIdle { replica } => self.commands.push_back(Command::CloseIdle(replica)),
+            Action::Subscribe => self.commands.push_back(Command::Watch),
+            Action::WakeAt(at) => self.wake_time = Some(self.wake_time.map_or(at, |earlier| earlier.min(at))),
+            Action::Log(text) => self.commands.push_back(Command::Log(text)),
         }
     }
 
-    fn probe(&mut self, replica: crate::api::ReplicaId) {
-        let place = self.ledger.places.get(&replica);
-        // Nothing new goes to one that drains, a probe of an earlier park included.
-        let listed =
-            place.is_some_and(|place| place.at.is_some() && place.replica.state == ReplicaState::Active);
-        // One probe at a time for each run store: a second would only add load to one in trouble.
-        if self.ledger.probes.is_out(&replica) {
+    /// Probes a run store, or reports the probe as failed if the run store may not be probed.
+    fn probe(&mut self, run_store: crate::api::ReplicaId) {
+        let entry = self.ledger.run_stores.get(&run_store);
+        // Nothing new is sent to a draining run store, including probes from before the drain.
+        let may_probe = entry
+            .is_some_and(|entry| entry.location.is_some() && entry.effective.state == ReplicaState::Active);
+        // Each run store has at most one outstanding probe: a second one would only add load to a run store
+        // in trouble.
+        if self.ledger.probes.is_outstanding(&run_store) {
             return;
         }
-        if !listed {
-            self.inbox.push(Event::ProbeEnded { replica, ok: false, load: None });
+        if !may_probe {
+            self.pending_events.push(Event::ProbeEnded { replica: run_store, ok: false, load: None });
             return;
         }
-        let no = CallNo(self.ledger.number());
-        self.ledger.probes.insert(no, replica.clone());
+        let no = CallNo(self.ledger.next_number());
+        self.ledger.probes.insert(no, run_store.clone());
         self.counters.probes += 1;
-        self.orders.push_back(Order::Probe { replica, no });
+        self.commands.push_back(Command::Probe { run_store, no });
     }
 
-    /// Takes news of the list of run stores.
-    pub fn take_news(&mut self, mut news: News) {
-        self.place_starts(&mut news);
-        let (listed, whole) = match &news {
-            News::Cached(lines) | News::Full(lines) => (lines.as_slice(), true),
-            News::Changes(lines) => (lines.as_slice(), false),
-            // The router's own waits are for a service that fails.
-            News::Silent if !self.is_pushed() => {
-                return self.service.silent(draw(&mut self.chance));
+    /// Applies an update of the list of run stores.
+    pub fn apply_directory_update(&mut self, mut update: DirectoryUpdate) {
+        self.convert_start_times(&mut update);
+        let (lines, whole) = match &update {
+            DirectoryUpdate::Cached(lines) | DirectoryUpdate::Full(lines) => (lines.as_slice(), true),
+            DirectoryUpdate::Changes(lines) => (lines.as_slice(), false),
+            // The service's watch schedules its own retry; the router's retry delays are for a service that
+            // fails.
+            DirectoryUpdate::Silent if !self.lists_are_pushed() => {
+                return self.service_watch.mark_silent(draw(&mut self.random_state));
             }
-            News::Broken | News::Silent => {
-                self.agent.broken();
+            DirectoryUpdate::Failed | DirectoryUpdate::Silent => {
+                self.agent_watch.mark_broken();
                 (&[][..], false)
             }
         };
         if whole {
-            let named: HashSet<_> = listed.iter().map(|line| &line.replica.id).collect();
+            let listed_ids: HashSet<_> = lines.iter().map(|line| &line.replica.id).collect();
             let missing: Vec<_> =
-                self.ledger.places.keys().filter(|id| !named.contains(id)).cloned().collect();
+                self.ledger.run_stores.keys().filter(|id| !listed_ids.contains(id)).cloned().collect();
             for id in missing {
-                self.ledger.places.remove(&id);
-                self.hand.forget(&id);
-                self.starts.forget(&id);
-                self.orders.push_back(Order::Retire(id));
+                self.ledger.run_stores.remove(&id);
+                self.manual_drains.note_delisted(&id);
+                self.start_times.forget(&id);
+                self.commands.push_back(Command::Retire(id));
             }
         }
-        for line in listed {
+        for line in lines {
             self.locate(line);
         }
-        let hand = &self.hand;
-        let replicas = |lines: Vec<Listed>| lines.iter().map(|line| hand.over(&line.replica)).collect();
-        self.inbox.push(Event::List(match news {
-            News::Cached(lines) => ListNews::Cached(replicas(lines)),
-            News::Full(lines) => ListNews::Full(replicas(lines)),
-            News::Changes(lines) => ListNews::Changes(replicas(lines)),
-            News::Broken | News::Silent => ListNews::Broken,
+        let drains = &self.manual_drains;
+        let replicas =
+            |lines: Vec<ListedRunStore>| lines.iter().map(|line| drains.apply_to(&line.replica)).collect();
+        self.pending_events.push(Event::List(match update {
+            DirectoryUpdate::Cached(lines) => ListUpdate::Cached(replicas(lines)),
+            DirectoryUpdate::Full(lines) => ListUpdate::Full(replicas(lines)),
+            DirectoryUpdate::Changes(lines) => ListUpdate::Changes(replicas(lines)),
+            DirectoryUpdate::Failed | DirectoryUpdate::Silent => ListUpdate::Failed,
         }));
     }
 
-    /// The list as last told, whatever operators say.
-    pub fn directory(&self) -> Vec<Listed> {
-        let line = |place: &Place| {
-            let told = &place.told;
-            let started = self.starts.stated(&told.id).or(told.started);
-            let replica = Replica { started, ..told.clone() };
-            Listed { replica, address: place.at.map(|(address, _)| address) }
+    /// Returns the latest list, without operators' manual drains.
+    pub fn directory(&self) -> Vec<ListedRunStore> {
+        let line = |entry: &RunStoreEntry| {
+            let listed = &entry.listed;
+            let started = self.start_times.stated(&listed.id).or(listed.started);
+            let replica = Replica { started, ..listed.clone() };
+            ListedRunStore { replica, address: entry.location.map(|(address, _)| address) }
         };
-        self.ledger.places.values().map(line).collect()
+        self.ledger.run_stores.values().map(line).collect()
     }
 
-    /// Places the starts that lines state on the process's clock.
-    fn place_starts(&mut self, news: &mut News) {
-        let whole = matches!(news, News::Full(_));
-        let (lines, told) = match news {
-            News::Cached(lines) => (lines, Told::AtFirst),
-            News::Full(lines) | News::Changes(lines) => {
-                let first = !std::mem::replace(&mut self.listed, true);
-                let told = if first && (whole || self.is_prompt()) { Told::AtFirst } else { Told::Since };
-                (lines, told)
+    /// Converts the start times that lines state to the process's clock.
+    fn convert_start_times(&mut self, update: &mut DirectoryUpdate) {
+        let whole = matches!(update, DirectoryUpdate::Full(_));
+        let (lines, source) = match update {
+            DirectoryUpdate::Cached(lines) => (lines, StartSource::InitialList),
+            DirectoryUpdate::Full(lines) | DirectoryUpdate::Changes(lines) => {
+                let first = !std::mem::replace(&mut self.list_received, true);
+                let source = if first && (whole || self.has_just_started()) {
+                    StartSource::InitialList
+                } else {
+                    StartSource::Update
+                };
+                (lines, source)
             }
-            News::Broken | News::Silent => return,
+            DirectoryUpdate::Failed | DirectoryUpdate::Silent => return,
         };
         let Some(now) = self.clock else { return };
         let warm_within = self.settings.cold.map_or(0.0, |rule| rule.warm_within);
         for replica in lines.iter_mut().map(|line| &mut line.replica) {
-            replica.started = self.starts.place(&replica.id, replica.started, now, told, warm_within);
+            replica.started = self.start_times.place(&replica.id, replica.started, now, source, warm_within);
         }
     }
 
-    /// Whether no watch can have waited for news yet since the process began.
-    fn is_prompt(&self) -> bool {
-        let (Some(began), Some(now)) = (self.began, self.clock) else { return true };
-        now - began <= PROMPT
+    /// Returns whether the process started so recently that no watch can have waited for a change yet.
+    fn has_just_started(&self) -> bool {
+        let (Some(began), Some(now)) = (self.clock_started, self.clock) else { return true };
+        now - began <= INITIAL_STATE_WITHIN
     }
 
-    fn locate(&mut self, line: &Listed) {
-        let replica = self.hand.over(&line.replica);
-        let (id, state) = (replica.id.clone(), replica.state);
-        let place = self.ledger.places.get_mut(&id);
-        let before = place.as_deref();
-        let known =
-            before.filter(|place| place.replica.state == ReplicaState::Active).and_then(|place| place.at);
-        let at = line.address.map(|address| (address, replica.started)).or(before.and_then(|place| place.at));
+    /// Applies a line of the list to the entry of its run store, and sends the transport what changed.
+    fn locate(&mut self, line: &ListedRunStore) {
+        let effective = self.manual_drains.apply_to(&line.replica);
+        let (id, state) = (effective.id.clone(), effective.state);
+        let entry = self.ledger.run_stores.get_mut(&id);
+        let previous = entry.as_deref();
+        let active_at = previous
+            .filter(|entry| entry.effective.state == ReplicaState::Active)
+            .and_then(|entry| entry.location);
+        let location = line
+            .address
+            .map(|address| (address, effective.started))
+            .or(previous.and_then(|entry| entry.location));
         if state == ReplicaState::Active {
-            if let Some((address, started)) = at.filter(|_| known != at) {
-                self.orders.push_back(Order::Locate { replica: id.clone(), address, started });
+            if let Some((address, started)) = location.filter(|_| active_at != location) {
+                self.commands.push_back(Command::Locate { run_store: id.clone(), address, started });
             }
         } else {
-            // The drain rule counts queued and connecting sends too.
-            self.orders.push_back(Order::Retire(id.clone()));
+            // The drain rule also counts calls that are queued or connecting.
+            self.commands.push_back(Command::Retire(id.clone()));
         }
         if state == ReplicaState::Gone {
-            // Run stores are replaced by new ones with new names all day: nothing is kept of the old ones.
-            self.ledger.places.remove(&id);
-            self.hand.forget(&id);
-            self.starts.forget(&id);
+            // Run stores are continually replaced by new ones with new names, so nothing is kept of removed
+            // ones.
+            self.ledger.run_stores.remove(&id);
+            self.manual_drains.note_delisted(&id);
+            self.start_times.forget(&id);
             return;
         }
-        let now = Place { told: line.replica.clone(), replica, at };
-        match place {
-            Some(place) => *place = now,
+        let updated = RunStoreEntry { listed: line.replica.clone(), effective, location };
+        match entry {
+            Some(entry) => *entry = updated,
             None => {
-                self.ledger.places.insert(id, now);
+                self.ledger.run_stores.insert(id, updated);
             }
         }
     }
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -1,4 +1,4 @@
-//! Directories of run stores: the watch on the discovery service, and DNS-SD records.
+//! Directories, which list the run stores: one watches the discovery service, the other queries DNS-SD records.
 
 pub mod dns;
 pub mod dns_sd;
@@ -11,44 +11,47 @@
 
 use crate::config::Config;
 
-/// A directory that takes up a configuration that was read again.
+/// A directory whose address can change when the configuration is reloaded.
 pub trait Reload {
-    /// Asks where the configuration says from now on, out of a call that hangs too.
+    /// Queries the address in `config` from now on. A call in progress to the old address is dropped, even if it hangs.
     fn reload(&self, config: &Config);
 }
 
-/// Where a directory asks, which a reload may change while a call is out.
-struct Target<T> {
-    at: RefCell<T>,
-    moved: (Sender<()>, Receiver<()>),
+/// The address that a directory queries. A reload may change it while a call is in progress.
+struct ReloadTarget<T> {
+    current: RefCell<T>,
+    /// Signalled when the address has changed.
+    changed: (Sender<()>, Receiver<()>),
 }
 
-impl<T: Clone + PartialEq> Target<T> {
-    fn new(at: T) -> Self {
-        Target { at: RefCell::new(at), moved: async_channel::bounded(1) }
+impl<T: Clone + PartialEq> ReloadTarget<T> {
+    fn new(current: T) -> Self {
+        ReloadTarget { current: RefCell::new(current), changed: async_channel::bounded(1) }
     }
 
     fn get(&self) -> T {
-        self.at.borrow().clone()
+        self.current.borrow().clone()
     }
 
-    /// The place to ask now; [`Target::moved`] tells of later changes only.
-    fn settle(&self) -> T {
-        let _ = self.moved.1.try_recv();
+    /// Returns the current address and clears the signal of earlier changes, so that [`ReloadTarget::changed`] waits
+    /// for a later one.
+    fn acknowledge(&self) -> T {
+        let _ = self.changed.1.try_recv();
         self.get()
     }
 
-    /// Says whether this is another place.
-    fn set(&self, at: T) -> bool {
-        let changed = *self.at.borrow() != at;
+    /// Sets the address and returns whether it differs from the one before.
+    fn set(&self, target: T) -> bool {
+        let changed = *self.current.borrow() != target;
         if changed {
-            *self.at.borrow_mut() = at;
-            let _ = self.moved.0.try_send(());
+            *self.current.borrow_mut() = target;
+            let _ = self.changed.0.try_send(());
         }
         changed
     }
 
-    async fn moved(&self) {
-        let _ = self.moved.1.recv().await;
+    /// Waits until the address has changed.
+    async fn changed(&self) {
+        let _ = self.changed.1.recv().await;
     }
 }
--- a/src/front/platform.rs
+++ b/src/front/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's own protocol: a thin translation between HTTP requests and the core's types.
+//! The front for the platform's own protocol, which translates between HTTP and the core's types.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -9,19 +9,20 @@
 use serde::{Deserialize, Serialize};
 
 use crate::core::drive::{millis, Driver, Pending};
-use crate::core::{Ask, AskPart, NotTaken, Verdict};
-use crate::http::door::Door;
-use crate::http::inbox::Arrived;
-use crate::http::parse::{Bad, Message};
-use crate::http::server::{Handler, Local, Refused};
+use crate::core::{FinalAnswer, InvalidQuery, PartRequest, QueryRequest};
+use crate::http::client_gate::ClientGate;
+use crate::http::inbox::ReceivedRequest;
+use crate::http::parse::{Message, MessageError};
+use crate::http::server::{Handler, LocalBoxFuture, RefusalReason};
 use crate::http::write::Response;
 use crate::log;
 
-/// The longest id, class or tenant that is taken in.
-const MOST_NAME: usize = 128;
-/// Advice to what is not taken up at all.
-const REFUSED_WAIT: f64 = 500.0;
+/// The longest accepted id, tenant or term, in bytes.
+const MAX_NAME_BYTES: usize = 128;
+/// The `Retry-After` of a request that is refused before it is read, in milliseconds.
+const REFUSED_RETRY_AFTER_MS: f64 = 500.0;
 
+/// The JSON body of a query.
 #[derive(Deserialize)]
 struct Body {
     slices: Vec<Slice>,
@@ -29,6 +30,7 @@
     filter: String,
 }
 
+/// One part of a query, as the client names it.
 #[derive(Deserialize)]
 struct Slice {
     slice: u32,
@@ -39,172 +41,188 @@
     term: Option<String>,
 }
 
+/// The JSON body of an answer.
 #[derive(Serialize)]
 struct Answer<'a> {
     entire: bool,
     items: Vec<Item<'a>>,
 }
 
+/// The answer to one part.
 #[derive(Serialize)]
 struct Item<'a> {
     slice: u32,
     body: std::borrow::Cow<'a, str>,
 }
 
-/// The platform's front.
+/// The front for the platform's own protocol.
 pub struct Platform {
     driver: Rc<Driver>,
-    door: Rc<Door>,
-    /// Ids of queries that are held: part ids on the wire are made from them and must not meet.
-    held: Rc<RefCell<HashSet<String>>>,
+    client_gate: Rc<ClientGate>,
+    /// The ids of open queries. Part ids on the wire are derived from them, so two open queries must not share one.
+    open_ids: Rc<RefCell<HashSet<String>>>,
 }
 
-/// An id that is held, until this is dropped.
-struct Held {
+/// Reserves a query id until it is dropped.
+struct ReservedId {
     id: String,
-    all: Rc<RefCell<HashSet<String>>>,
+    open_ids: Rc<RefCell<HashSet<String>>>,
 }
 
-impl Drop for Held {
+impl Drop for ReservedId {
     fn drop(&mut self) {
-        self.all.borrow_mut().remove(&self.id);
+        self.open_ids.borrow_mut().remove(&self.id);
     }
 }
 
 impl Platform {
-    /// A front before a driver, behind a door.
-    pub fn new(driver: Rc<Driver>, door: Rc<Door>) -> Self {
-        Platform { driver, door, held: Rc::default() }
+    /// Creates a front that passes queries to `driver` and reports the state of `door` in its health check.
+    pub fn new(driver: Rc<Driver>, client_gate: Rc<ClientGate>) -> Self {
+        Platform { driver, client_gate, open_ids: Rc::default() }
     }
 
-    fn query(&self, request: &Arrived, path: &str) -> Result<(Held, Pending), Response> {
+    /// Reads a query, reserves its id and passes it to the core.
+    fn start_query(&self, request: &ReceivedRequest, path: &str) -> Result<(ReservedId, Pending), Response> {
         let class = class_of(path);
-        let ask =
-            read(request, class, self.driver.is_keyed(class)).map_err(|why| self.reject(class, 400, &why))?;
-        if !self.held.borrow_mut().insert(ask.id.clone()) {
-            return Err(self.reject(class, 409, "a query of this X-Request-ID is being answered"));
+        let query = read_query(request, class, self.driver.is_keyed(class))
+            .map_err(|why| self.reject(class, 400, &why))?;
+        if !self.open_ids.borrow_mut().insert(query.id.clone()) {
+            return Err(self.reject(class, 409, "a query with this X-Request-ID is already in progress"));
         }
-        let held = Held { id: ask.id.clone(), all: self.held.clone() };
-        match self.driver.ask(ask) {
-            Ok(pending) => Ok((held, pending)),
-            Err(NotTaken::UnknownClass) => Err(self.reject(class, 404, "no such class")),
-            Err(NotTaken::Malformed(why)) => Err(self.reject(class, 400, &why)),
+        let reserved = ReservedId { id: query.id.clone(), open_ids: self.open_ids.clone() };
+        match self.driver.submit(query) {
+            Ok(pending) => Ok((reserved, pending)),
+            Err(InvalidQuery::UnknownClass) => Err(self.reject(class, 404, "unknown class")),
+            Err(InvalidQuery::Malformed(why)) => Err(self.reject(class, 400, &why)),
         }
     }
 
+    /// Counts a request that cannot be used and returns the error for it.
     fn reject(&self, class: &str, status: u16, why: &str) -> Response {
-        self.driver.not_taken(class);
+        self.driver.note_invalid_request(class);
         Response::text(status, why)
     }
 }
 
 impl Handler for Platform {
-    fn handle(&self, request: Arrived, sooner: Receiver<Instant>) -> Local<Response> {
+    fn handle(
+        &self,
+        request: ReceivedRequest,
+        earlier_deadline: Receiver<Instant>,
+    ) -> LocalBoxFuture<Response> {
         let start = &request.message.start;
         let path = path_of(&request.message);
         let response = match (start.0.as_str(), path) {
-            ("GET", "/healthz") => super::health(&self.door, &self.driver),
+            ("GET", "/healthz") => super::health(&self.client_gate, &self.driver),
             ("GET", "/counters") => Response::text(200, &self.driver.counters().to_string()),
-            ("POST", _) => match self.query(&request, path) {
-                Ok((held, pending)) => {
+            ("POST", _) => match self.start_query(&request, path) {
+                Ok((reserved, pending)) => {
                     return Box::pin(async move {
-                        let verdict = pending.verdict_before(sooner).await;
-                        log::verdict(&held.id, &verdict);
-                        let response = render(&verdict);
-                        drop(held);
+                        let final_answer = pending.answer_before(earlier_deadline).await;
+                        log::query_ended(&reserved.id, &final_answer);
+                        let response = to_response(&final_answer);
+                        drop(reserved);
                         response
                     })
                 }
                 Err(response) => response,
             },
-            _ => self.reject("", 405, "queries are POST requests").with("Allow", "POST"),
+            _ => self.reject("", 405, "method not allowed: send queries with POST").with("Allow", "POST"),
         };
         Box::pin(async move { response })
     }
 
-    fn bad(&self, bad: Bad) -> Response {
+    fn error_response(&self, bad: MessageError) -> Response {
         self.reject("", bad.status(), &bad.to_string())
     }
 
-    fn waits(&self, request: &Message) -> Option<Duration> {
-        let stated = request.headers.get("x-timeout").and_then(|text| timeout(text).ok());
-        self.driver.wait_of(class_of(path_of(request)), stated)
+    fn client_timeout(&self, request: &Message) -> Option<Duration> {
+        let requested = request.headers.get("x-timeout").and_then(|text| parse_timeout(text).ok());
+        self.driver.client_wait(class_of(path_of(request)), requested)
     }
 
-    fn refuse(&self, why: Refused) -> Response {
-        Response::text(503, why.text()).retry_after(REFUSED_WAIT)
+    fn refuse(&self, why: RefusalReason) -> Response {
+        Response::text(503, why.text()).retry_after(REFUSED_RETRY_AFTER_MS)
     }
 }
 
-/// The path of a request's target.
+/// Returns the path of a request's target, without its query string.
 fn path_of(request: &Message) -> &str {
     request.start.1.split('?').next().unwrap_or("")
 }
 
-/// The class, which is the first part of a path.
+/// Returns the class of a query, which is the first segment of its path.
 fn class_of(path: &str) -> &str {
     path.trim_start_matches('/').split('/').next().unwrap_or("")
 }
 
-fn read(arrived: &Arrived, in_path: &str, keyed: bool) -> Result<Ask, String> {
+/// Reads a query from its request.
+fn read_query(arrived: &ReceivedRequest, path_class: &str, keyed: bool) -> Result<QueryRequest, String> {
     let request = &arrived.message;
     let header = |name: &str| request.headers.get(name);
-    let class = header("x-priority-class").unwrap_or(in_path);
-    if class != in_path {
+    let class = header("x-priority-class").unwrap_or(path_class);
+    if class != path_class {
         return Err("X-Priority-Class and the path name different classes".into());
     }
     let id = header("x-request-id").ok_or("X-Request-ID is missing")?;
     let tenant = header("x-tenant-id");
-    // Ids go into frames, where a blank or a line end would end them.
+    // Ids are sent in frames, where a blank or a line break would end them.
     for (name, text) in [("X-Request-ID", id), ("X-Tenant-Id", tenant.unwrap_or("-"))] {
-        if text.is_empty() || text.len() > MOST_NAME || !text.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(format!("{name} must be 1 to {MOST_NAME} visible characters"));
+        if text.is_empty() || text.len() > MAX_NAME_BYTES || !text.bytes().all(|b| b.is_ascii_graphic()) {
+            return Err(format!("{name} must be 1 to {MAX_NAME_BYTES} visible characters"));
         }
     }
-    let timeout = header("x-timeout").map(timeout).transpose()?;
-    let body: Body = serde_json::from_slice(&request.body).map_err(|error| format!("the body: {error}"))?;
-    let hint = |slice: &Slice| slice.micros.is_none_or(|micros| micros.is_finite() && micros >= 0.0);
-    let term = |slice: &Slice| slice.term.as_ref().is_none_or(|term| term.len() <= MOST_NAME);
-    if !body.slices.iter().all(|slice| hint(slice) && term(slice)) {
-        return Err("micros must not be negative, and a term is 16 hex digits".into());
+    let timeout = header("x-timeout").map(parse_timeout).transpose()?;
+    let body: Body =
+        serde_json::from_slice(&request.body).map_err(|error| format!("invalid body: {error}"))?;
+    let is_valid_hint = |slice: &Slice| slice.micros.is_none_or(|micros| micros.is_finite() && micros >= 0.0);
+    let is_valid_term = |slice: &Slice| slice.term.as_ref().is_none_or(|term| term.len() <= MAX_NAME_BYTES);
+    if !body.slices.iter().all(|slice| is_valid_hint(slice) && is_valid_term(slice)) {
+        return Err(format!(
+            "micros must be finite and not negative, and a term at most {MAX_NAME_BYTES} bytes long"
+        ));
     }
-    let part = |slice: Slice| AskPart {
+    let part = |slice: Slice| PartRequest {
         shard: slice.slice,
         weight: slice.mass,
-        hint: slice.micros.map(|micros| micros / 1000.0),
+        work_hint: slice.micros.map(|micros| micros / 1000.0),
         key: slice.term.map(Into::into),
     };
-    Ok(Ask {
+    Ok(QueryRequest {
         id: id.to_string(),
         class: class.to_string(),
         tenant: tenant.map(str::to_string),
         timeout,
-        waited: millis(arrived.waited()),
-        retried: header("x-retried") == Some("1"),
-        partial: true,
-        key: keyed.then(|| super::key(&request.headers)).transpose()?.map(Into::into),
+        queued: millis(arrived.waited()),
+        is_retry: header("x-retried") == Some("1"),
+        accepts_partial: true,
+        key: keyed.then(|| super::idempotency_key(&request.headers)).transpose()?.map(Into::into),
         parts: body.slices.into_iter().map(part).collect(),
-        text: body.filter.into_bytes().into(),
+        payload: body.filter.into_bytes().into(),
     })
 }
 
-/// A number and its unit, in milliseconds.
-fn timeout(text: &str) -> Result<f64, String> {
+/// Parses the value of `X-Timeout`, a number with a unit (`m` for milliseconds, `u` for microseconds), into
+/// milliseconds.
+fn parse_timeout(text: &str) -> Result<f64, String> {
     let (scale, digits) = match text.as_bytes().last() {
         Some(b'm') => (1.0, &text[..text.len() - 1]),
         Some(b'u') => (0.001, &text[..text.len() - 1]),
-        _ => return Err("X-Timeout needs a unit, m or u".into()),
+        _ => return Err("X-Timeout needs a unit: m (milliseconds) or u (microseconds)".into()),
     };
     let number = digits.parse::<f64>().ok().filter(|number| number.is_finite() && *number >= 0.0);
-    number.map(|number| number * scale).ok_or_else(|| "X-Timeout is not a number and a unit".into())
+    number
+        .map(|number| number * scale)
+        .ok_or_else(|| "X-Timeout must be a number that is not negative, followed by its unit".into())
 }
 
-fn render(verdict: &Verdict) -> Response {
-    match verdict {
-        Verdict::Served { whole, pieces, .. } => {
-            let item = |piece: &'_ crate::core::Piece| (piece.shard, piece.value.clone());
-            let kept: Vec<_> = pieces.iter().map(item).collect();
-            let items = kept.iter();
+/// Translates a final answer into an HTTP response.
+fn to_response(final_answer: &FinalAnswer) -> Response {
+    match final_answer {
+        FinalAnswer::Served { whole, answers, .. } => {
+            let item = |answer: &'_ crate::core::PartAnswer| (answer.shard, answer.value.clone());
+            let values: Vec<_> = answers.iter().map(item).collect();
+            let items = values.iter();
             let items =
                 items.map(|(slice, value)| Item { slice: *slice, body: String::from_utf8_lossy(value) });
             let answer = Answer { entire: *whole, items: items.collect() };
@@ -213,11 +231,11 @@
                 Err(error) => Response::text(500, &error.to_string()),
             }
         }
-        Verdict::Refused { retry_after, cause } => {
-            let why = format!("refused, trying again is harmless: {cause}");
+        FinalAnswer::Refused { retry_after, cause } => {
+            let why = format!("refused, safe to retry: {cause}");
             Response::text(503, &why).retry_after(*retry_after)
         }
-        Verdict::Failed { retry_after, cause } => {
+        FinalAnswer::Failed { retry_after, cause } => {
             Response::text(500, &format!("failed: {cause}")).retry_after(*retry_after)
         }
     }
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -1,4 +1,4 @@
-//! A connection between two processes of one aggregator: lines of JSON, and once the listening sockets.
+//! The connection between two processes of one aggregator. It carries lines of JSON and, once, the listening sockets.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -12,99 +12,102 @@
     SendAncillaryMessage, SendFlags,
 };
 
-use super::Word;
+use super::Message;
 use crate::net::{self, Stream};
 
-/// The longest line: entries of the replicated store may be long.
-const MOST_LINE: usize = 64 * 1024 * 1024;
-/// The most sockets that are passed: clients' and the store's.
-const MOST_SOCKETS: usize = 2;
+/// The longest accepted line, in bytes: the state includes all entries of the replicated store.
+const MAX_LINE_BYTES: usize = 64 * 1024 * 1024;
+/// The maximum number of sockets that are passed: those for clients and for the replicated store.
+const MAX_SOCKETS: usize = 2;
 
-/// The connection.
+/// A connection to the other process.
 pub struct Link {
     stream: Async<UnixStream>,
 }
 
 impl Link {
-    /// A connection to a process of the same user.
+    /// Wraps a connection to a process of the same user.
     ///
     /// # Errors
-    /// If it is another user's: that one must neither be given the sockets nor give any.
+    /// Returns an error if the other process belongs to another user, with whom no sockets may be exchanged.
     pub fn new(stream: Async<UnixStream>) -> io::Result<Self> {
-        let other = sockopt::socket_peercred(stream.as_fd())?.uid;
-        if other != rustix::process::geteuid() {
-            return Err(io::Error::new(io::ErrorKind::PermissionDenied, "a process of another user"));
+        let peer_uid = sockopt::socket_peercred(stream.as_fd())?.uid;
+        if peer_uid != rustix::process::geteuid() {
+            return Err(io::Error::new(
+                io::ErrorKind::PermissionDenied,
+                "the other process belongs to another user",
+            ));
         }
         Ok(Link { stream })
     }
 
-    /// Says a word.
+    /// Sends a message.
     ///
     /// # Errors
-    /// If the other process is gone.
-    pub async fn say(&self, word: &Word) -> io::Result<()> {
-        let mut line = serde_json::to_vec(word)?;
+    /// Returns an error if the other process has ended.
+    pub async fn send(&self, message: &Message) -> io::Result<()> {
+        let mut line = serde_json::to_vec(message)?;
         line.push(b'\n');
         Stream::from(&self.stream).write_all(&line).await
     }
 
-    /// Passes sockets along, with one byte that carries them.
+    /// Sends sockets as ancillary data of one byte.
     ///
     /// # Errors
-    /// If the other process is gone.
-    pub async fn pass(&self, sockets: &[OwnedFd]) -> io::Result<()> {
+    /// Returns an error if the other process has ended.
+    pub async fn send_sockets(&self, sockets: &[OwnedFd]) -> io::Result<()> {
         let borrowed: Vec<_> = sockets.iter().map(AsFd::as_fd).collect();
         let send = |stream: &UnixStream| {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
             let mut control = SendAncillaryBuffer::new(&mut space);
             if !borrowed.is_empty() && !control.push(SendAncillaryMessage::ScmRights(&borrowed)) {
                 return Err(io::ErrorKind::InvalidInput.into());
             }
             Ok(sendmsg(stream, &[IoSlice::new(b"s")], &mut control, SendFlags::NOSIGNAL)?)
         };
-        net::again(|| self.stream.write_with(send)).await.map(drop)
+        net::retry_transient(|| self.stream.write_with(send)).await.map(drop)
     }
 
-    /// Takes the sockets that are passed along.
+    /// Receives sockets.
     ///
     /// # Errors
-    /// If the other process is gone.
-    pub async fn take(&self) -> io::Result<Vec<OwnedFd>> {
+    /// Returns an error if the other process has ended.
+    pub async fn receive_sockets(&self) -> io::Result<Vec<OwnedFd>> {
         let receive = |stream: &UnixStream| {
-            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_SOCKETS))];
+            let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
             let mut control = RecvAncillaryBuffer::new(&mut space);
             let mut byte = [0];
             let flags = RecvFlags::CMSG_CLOEXEC;
-            let came = recvmsg(stream, &mut [IoSliceMut::new(&mut byte)], &mut control, flags)?;
-            if came.bytes == 0 {
+            let received = recvmsg(stream, &mut [IoSliceMut::new(&mut byte)], &mut control, flags)?;
+            if received.bytes == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             let mut sockets = Vec::new();
             for message in control.drain() {
-                if let RecvAncillaryMessage::ScmRights(passed) = message {
-                    sockets.extend(passed);
+                if let RecvAncillaryMessage::ScmRights(received) = message {
+                    sockets.extend(received);
                 }
             }
             Ok(sockets)
         };
-        net::again(|| self.stream.read_with(receive)).await
+        net::retry_transient(|| self.stream.read_with(receive)).await
     }
 }
 
-/// The lines that come on a link.
+/// Splits what arrives on a link into lines.
 #[derive(Default)]
-pub struct Lines {
+pub struct LineReader {
     buffer: Vec<u8>,
-    /// How far the buffer was searched for a line's end.
+    /// The length of the part of the buffer that contains no line break.
     searched: usize,
 }
 
-impl Lines {
-    /// The next word. What was begun is kept if this is dropped.
+impl LineReader {
+    /// Receives the next message. Is cancel-safe: if the future is dropped, a partly received line is kept.
     ///
     /// # Errors
-    /// If the other process is gone, or says what cannot be read.
-    pub async fn next(&mut self, link: &Link) -> io::Result<Word> {
+    /// Returns an error if the other process has ended or a line cannot be parsed.
+    pub async fn next_message(&mut self, link: &Link) -> io::Result<Message> {
         let mut bytes = [0; 8192];
         loop {
             let found = self.buffer[self.searched..].iter().position(|byte| *byte == b'\n');
@@ -115,8 +118,8 @@
                     .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error.to_string()));
             }
             self.searched = self.buffer.len();
-            if self.buffer.len() > MOST_LINE {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "a line that does not end"));
+            if self.buffer.len() > MAX_LINE_BYTES {
+                return Err(io::Error::new(io::ErrorKind::InvalidData, "line too long"));
             }
             match Stream::from(&link.stream).read(&mut bytes).await? {
                 0 => return Err(io::ErrorKind::UnexpectedEof.into()),
--- a/src/http/inbox.rs
+++ b/src/http/inbox.rs
@@ -1,133 +1,140 @@
-//! Requests that were read from a connection and wait for their turn, each with the time of its last byte.
+//! Requests that were read from a connection and wait to be answered, each with the arrival time of its last byte.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use super::parse::{Bad, Kind, Message, Parser, MOST_BODY};
+use super::parse::{Message, MessageError, MessageKind, Parser, MAX_REQUEST_BODY_LEN};
 
-/// A request that was read whole.
+/// A completely received request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Arrived {
+pub struct ReceivedRequest {
     /// The request.
     pub message: Message,
-    /// When its last byte was read: its client's time counts from then.
-    pub at: Instant,
-    /// When its client stops waiting, if it says so.
-    pub due: Option<Instant>,
+    /// When its last byte was read. The client's timeout counts from then.
+    pub received_at: Instant,
+    /// When the client stops waiting, if the request states a timeout.
+    pub deadline: Option<Instant>,
 }
 
-impl Arrived {
-    /// Whether its answer carries a body, which a client of `HEAD` would take for the next answer.
-    pub fn has_body_in_answer(&self) -> bool {
+impl ReceivedRequest {
+    /// Returns whether the response has a body. A client would take a body in the response to `HEAD` for the next
+    /// response.
+    pub fn response_has_body(&self) -> bool {
         self.message.start.0 != "HEAD"
     }
 
-    /// How long it has waited for its turn.
+    /// Returns how long the request has waited to be processed.
     pub fn waited(&self) -> Duration {
-        self.at.elapsed()
+        self.received_at.elapsed()
     }
 }
 
-/// What was read from a connection and is not answered yet.
+/// Input of a connection that was read and is not yet answered.
 #[derive(Debug)]
 pub struct Inbox {
     parser: Parser,
-    whole: VecDeque<Arrived>,
-    /// When the first byte came of the request that is not whole.
-    begun: Option<Instant>,
-    /// Why nothing more can be read behind the whole ones.
-    bad: Option<Bad>,
-    /// Bytes that came after that.
-    unreadable: usize,
+    complete: VecDeque<ReceivedRequest>,
+    /// When the first byte of the incomplete request arrived.
+    partial_since: Option<Instant>,
+    /// Why nothing after the complete requests can be parsed.
+    error: Option<MessageError>,
+    /// Number of bytes received after that error.
+    bytes_after_error: usize,
 }
 
 impl Default for Inbox {
     fn default() -> Self {
         Inbox {
-            parser: Parser::new(Kind::Request),
-            whole: VecDeque::new(),
-            begun: None,
-            bad: None,
-            unreadable: 0,
+            parser: Parser::new(MessageKind::Request),
+            complete: VecDeque::new(),
+            partial_since: None,
+            error: None,
+            bytes_after_error: 0,
         }
     }
 }
 
 impl Inbox {
-    /// Takes in bytes that were read just now. `waits` tells how long the client of a request waits for its answer.
-    pub fn push(&mut self, bytes: &[u8], now: Instant, waits: impl Fn(&Message) -> Option<Duration>) {
-        if self.bad.is_some() {
-            self.unreadable += bytes.len();
+    /// Adds bytes that arrived at `now`. `client_timeout` returns how long the client of a request waits for its
+    /// response.
+    pub fn push(
+        &mut self,
+        bytes: &[u8],
+        now: Instant,
+        client_timeout: impl Fn(&Message) -> Option<Duration>,
+    ) {
+        if self.error.is_some() {
+            self.bytes_after_error += bytes.len();
             return;
         }
         self.parser.push(bytes);
         loop {
             match self.parser.next_message() {
                 Ok(Some(message)) => {
-                    let due = waits(&message).and_then(|wait| now.checked_add(wait));
-                    self.whole.push_back(Arrived { message, at: now, due });
-                    self.begun = None;
+                    let deadline = client_timeout(&message).and_then(|timeout| now.checked_add(timeout));
+                    self.complete.push_back(ReceivedRequest { message, received_at: now, deadline });
+                    self.partial_since = None;
                 }
                 Ok(None) => {
-                    if self.parser.is_inside() {
-                        self.begun.get_or_insert(now);
+                    if self.parser.has_partial_message() {
+                        self.partial_since.get_or_insert(now);
                     }
                     return;
                 }
-                Err(bad) => {
-                    self.bad = Some(bad);
+                Err(error) => {
+                    self.error = Some(error);
                     return;
                 }
             }
         }
     }
 
-    /// The next request, if one is whole.
+    /// Takes the next complete request.
     ///
     /// # Errors
-    /// Says what cannot be read, once all that came before has been handed out.
-    pub fn next_request(&mut self) -> Result<Option<Arrived>, Bad> {
-        match (self.whole.pop_front(), self.bad) {
+    /// Returns the parse error once all requests before it have been taken.
+    pub fn next_request(&mut self) -> Result<Option<ReceivedRequest>, MessageError> {
+        match (self.complete.pop_front(), self.error) {
             (Some(request), _) => Ok(Some(request)),
-            (None, Some(bad)) => Err(bad),
+            (None, Some(error)) => Err(error),
             (None, None) => Ok(None),
         }
     }
 
-    /// The earliest time at which a client stops waiting whose request is in hand.
-    pub fn earliest_due(&self) -> Option<Instant> {
-        self.whole.iter().filter_map(|request| request.due).min()
+    /// Returns the earliest deadline among the complete requests.
+    pub fn earliest_deadline(&self) -> Option<Instant> {
+        self.complete.iter().filter_map(|request| request.deadline).min()
     }
 
-    /// Whether there is something to answer without reading more.
-    pub fn has_whole(&self) -> bool {
-        !self.whole.is_empty() || self.bad.is_some()
+    /// Returns whether there is a request to answer or an error to report without reading more.
+    pub fn has_complete(&self) -> bool {
+        !self.complete.is_empty() || self.error.is_some()
     }
 
-    /// When a request began to come that is not whole, if there is one.
-    pub fn begun(&self) -> Option<Instant> {
-        self.begun
+    /// Returns when the incomplete request began to arrive, if there is one.
+    pub fn partial_since(&self) -> Option<Instant> {
+        self.partial_since
     }
 
-    /// Whether a request has begun to come and is not whole.
-    pub fn is_inside(&self) -> bool {
-        self.begun.is_some()
+    /// Returns whether a request was received partially.
+    pub fn has_partial(&self) -> bool {
+        self.partial_since.is_some()
     }
 
-    /// Whether nothing was read that is not answered.
+    /// Returns whether there is no input left to answer.
     pub fn is_empty(&self) -> bool {
-        !self.has_whole() && !self.is_inside()
+        !self.has_complete() && !self.has_partial()
     }
 
-    /// Whether it holds more than any one request may have.
+    /// Returns whether the buffered input exceeds the largest permitted request.
     pub fn is_full(&self) -> bool {
-        let whole: usize = self.whole.iter().map(|request| request.message.size()).sum();
-        whole + self.parser.buffered() + self.unreadable > MOST_BODY
+        let complete_size: usize = self.complete.iter().map(|request| request.message.size()).sum();
+        complete_size + self.parser.buffered() + self.bytes_after_error > MAX_REQUEST_BODY_LEN
     }
 
-    /// Takes in bytes of the request that has begun, or of the next one: once it is whole, or cannot be read, how many
-    /// of the bytes stand behind it.
-    pub fn bytes_behind_first(&mut self, bytes: &[u8]) -> Option<usize> {
+    /// Adds bytes of the partially received request, or of the next one. Once that request is complete or malformed,
+    /// returns how many of the bytes follow it.
+    pub fn bytes_after_first(&mut self, bytes: &[u8]) -> Option<usize> {
         self.parser.push(bytes);
         match self.parser.next_message() {
             Ok(None) => None,
@@ -135,7 +142,7 @@
         }
     }
 
-    /// Whether the client of the request that has begun waits for `100 Continue`.
+    /// Returns whether the client of the partially received request waits for `100 Continue`.
     pub fn expects_continue(&self) -> bool {
         self.parser.expects_continue()
     }
