--- a/src/http/parse.rs
+++ b/src/http/parse.rs
@@ -1,93 +1,95 @@
-//! The parser: message heads and bodies from bytes that arrive piece by piece. It does no input.
+//! An incremental HTTP/1.1 parser. It takes bytes as they arrive and performs no I/O itself.
 
 use std::fmt;
 
-/// The most bytes of a message head.
-pub const MOST_HEAD: usize = 16 * 1024;
-/// The most bytes of a request's body.
-pub const MOST_BODY: usize = 64 * 1024;
-/// The most bytes of one chunk's size line, or of a trailer line.
-const MOST_CHUNK_LINE: usize = 1024;
-const MOST_HEADERS: usize = 100;
+/// Maximum size of a message head, in bytes.
+pub const MAX_HEAD_LEN: usize = 16 * 1024;
+/// Maximum size of a request body, in bytes.
+pub const MAX_REQUEST_BODY_LEN: usize = 64 * 1024;
+/// Maximum size of a chunk size line or of the trailers, in bytes.
+const MAX_CHUNK_LINE_LEN: usize = 1024;
+const MAX_HEADERS: usize = 100;
 
-/// Why a message cannot be read. Framing is lost: the connection has to close.
+/// Why a message was rejected. Framing is lost, so the connection has to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bad {
-    /// The first line is not one of HTTP/1.
+pub enum MessageError {
+    /// The first line is not a valid HTTP/1 request or status line.
     StartLine,
-    /// The version is not 1.0 or 1.1.
+    /// The version is neither 1.0 nor 1.1.
     Version,
     /// A header line is malformed, or there are too many.
     Header,
     /// The head is too long.
     HeadTooLong,
-    /// The length is malformed, or stated twice in different ways.
+    /// The content length is malformed, repeated with different values, or combined with a transfer coding.
     Length,
     /// The transfer coding is not `chunked`.
-    Coding,
+    TransferCoding,
     /// A chunk is malformed.
     Chunk,
     /// The body is too long.
     BodyTooLong,
-    /// The rest of the request did not come in time.
+    /// The rest of the request did not arrive in time.
     TooSlow,
-    /// More came behind a request, before its answer, than any request holds.
+    /// Before a request was answered, more data followed it than the largest permitted request holds.
     Flood,
 }
 
-impl Bad {
-    /// The status that tells a client so.
+impl MessageError {
+    /// Returns the HTTP status for this error.
     pub fn status(self) -> u16 {
         match self {
-            Bad::HeadTooLong => 431,
-            Bad::BodyTooLong | Bad::Flood => 413,
-            Bad::Coding => 501,
-            Bad::Version => 505,
-            Bad::TooSlow => 408,
-            Bad::StartLine | Bad::Header | Bad::Length | Bad::Chunk => 400,
+            MessageError::HeadTooLong => 431,
+            MessageError::BodyTooLong | MessageError::Flood => 413,
+            MessageError::TransferCoding => 501,
+            MessageError::Version => 505,
+            MessageError::TooSlow => 408,
+            MessageError::StartLine | MessageError::Header | MessageError::Length | MessageError::Chunk => {
+                400
+            }
         }
     }
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for MessageError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Bad::StartLine => "the first line is not one of HTTP/1.1",
-            Bad::Version => "only HTTP/1.0 and HTTP/1.1 are spoken",
-            Bad::Header => "a header line is malformed",
-            Bad::HeadTooLong => "the head is too long",
-            Bad::Length => "the length of the body is malformed",
-            Bad::Coding => "the only transfer coding is chunked",
-            Bad::Chunk => "a chunk of the body is malformed",
-            Bad::BodyTooLong => "the body is too long",
-            Bad::TooSlow => "the request did not come in time",
-            Bad::Flood => "too much was sent behind a request that is not answered yet",
+            MessageError::StartLine => "the first line is not valid HTTP/1.1",
+            MessageError::Version => "only HTTP/1.0 and HTTP/1.1 are supported",
+            MessageError::Header => "a header line is malformed",
+            MessageError::HeadTooLong => "the head is too long",
+            MessageError::Length => "the length of the body is malformed",
+            MessageError::TransferCoding => "the only supported transfer coding is chunked",
+            MessageError::Chunk => "a chunk of the body is malformed",
+            MessageError::BodyTooLong => "the body is too long",
+            MessageError::TooSlow => "the request did not arrive in time",
+            MessageError::Flood => "too much data follows a request that is not answered yet",
         })
     }
 }
 
-/// The header lines of a message; names in lower case.
+/// The headers of a message, with names in lower case.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers(Vec<(String, String)>);
 
 impl Headers {
-    /// The first value under a name, which is given in lower case.
+    /// Returns the first value of a header. `name` must be in lower case.
     pub fn get(&self, name: &str) -> Option<&str> {
-        self.0.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.0.iter().find(|(header_name, _)| header_name == name).map(|(_, value)| value.as_str())
     }
 
-    /// All values under a name, which is given in lower case.
+    /// Returns all values of a header. `name` must be in lower case.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
-        self.0.iter().filter(move |(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.0.iter().filter(move |(header_name, _)| header_name == name).map(|(_, value)| value.as_str())
     }
 
-    /// Whether a list under a name holds a token.
+    /// Returns whether a comma-separated header contains a token, ignoring case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
-        self.all(name).flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case(token))
+        self.all(name).flat_map(|value| value.split(',')).any(|item| item.trim().eq_ignore_ascii_case(token))
     }
 }
 
-/// How a body is framed.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Framing {
     Length(usize),
@@ -95,15 +97,16 @@
     UntilClose,
 }
 
-/// A message's first line, in three words.
+/// The three parts of a message's first line: method, target and version of a request, or version, status code and
+/// reason phrase of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Start(pub String, pub String, pub String);
+pub struct StartLine(pub String, pub String, pub String);
 
-/// A whole message.
+/// A complete message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
     /// The first line.
-    pub start: Start,
+    pub start: StartLine,
     /// The headers.
     pub headers: Headers,
     /// The body.
@@ -113,7 +116,7 @@
 }
 
 impl Message {
-    /// The bytes of its text, without what separates them.
+    /// Returns the total length of the message's parts in bytes, without separators.
     pub fn size(&self) -> usize {
         let start = self.start.0.len() + self.start.1.len() + self.start.2.len();
         let headers: usize = self.headers.0.iter().map(|(name, value)| name.len() + value.len()).sum();
@@ -121,12 +124,12 @@
     }
 }
 
-/// Which side's messages are read.
+/// Which kind of messages to parse.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// Requests, under the limits on requests.
+pub enum MessageKind {
+    /// Requests, with the limits that apply to them.
     Request,
-    /// Responses, with bodies of so many bytes at most.
+    /// Responses, with bodies of at most this many bytes.
     Response(usize),
 }
 
@@ -136,213 +139,223 @@
     Body(Box<(Message, Framing)>),
 }
 
-/// Reads message after message of one connection.
+/// Parses consecutive messages of one connection.
 #[derive(Debug)]
 pub struct Parser {
-    kind: Kind,
+    kind: MessageKind,
     state: State,
     buffer: Vec<u8>,
-    /// How far the buffer was searched for the head's end.
-    searched: usize,
+    /// How many bytes of the buffer were already searched for the end of the head.
+    head_searched: usize,
 }
 
 impl Parser {
-    /// A parser at the start of a connection.
-    pub fn new(kind: Kind) -> Self {
-        Parser { kind, state: State::Head, buffer: Vec::new(), searched: 0 }
+    /// Creates a parser for a new connection.
+    pub fn new(kind: MessageKind) -> Self {
+        Parser { kind, state: State::Head, buffer: Vec::new(), head_searched: 0 }
     }
 
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether a message has begun and is not whole.
-    pub fn is_inside(&self) -> bool {
+    /// Returns whether a message was received partially.
+    pub fn has_partial_message(&self) -> bool {
         !self.buffer.is_empty() || matches!(self.state, State::Body(_))
     }
 
-    /// The number of bytes that wait to be read.
+    /// Returns the number of bytes that are not parsed yet.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether the client of the message that has begun waits for `100 Continue`.
+    /// Returns whether the client waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
         match &self.state {
-            State::Body(inside) => {
-                self.buffer.is_empty() && inside.0.headers.has_token("expect", "100-continue")
+            State::Body(partial) => {
+                self.buffer.is_empty() && partial.0.headers.has_token("expect", "100-continue")
             }
             State::Head => false,
         }
     }
 
-    /// The next message, once it is whole.
+    /// Returns the next message once it is complete.
     ///
     /// # Errors
-    /// Says what cannot be read; nothing more can be read after that.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Bad> {
+    /// Returns why the input is malformed. Nothing after that can be parsed.
+    pub fn next_message(&mut self) -> Result<Option<Message>, MessageError> {
         loop {
             match std::mem::replace(&mut self.state, State::Head) {
                 State::Head => {
-                    let Some(head) = self.head()? else { return Ok(None) };
+                    let Some(head) = self.parse_head()? else { return Ok(None) };
                     self.state = State::Body(Box::new(head));
                 }
-                State::Body(mut inside) => {
-                    if self.body(&mut inside)? {
-                        return Ok(Some(inside.0));
+                State::Body(mut partial) => {
+                    if self.read_body(&mut partial)? {
+                        return Ok(Some(partial.0));
                     }
-                    self.state = State::Body(inside);
+                    self.state = State::Body(partial);
                     return Ok(None);
                 }
             }
         }
     }
 
-    /// The connection has ended: the message that ends with it, if there is one.
+    /// Handles the end of the connection: returns the message whose body ends with it, if there is one.
     pub fn finish(&mut self) -> Option<Message> {
         match std::mem::replace(&mut self.state, State::Head) {
-            State::Body(inside) if inside.1 == Framing::UntilClose => Some(inside.0),
+            State::Body(partial) if partial.1 == Framing::UntilClose => Some(partial.0),
             _ => None,
         }
     }
 
-    fn most_body(&self) -> usize {
+    fn max_body_len(&self) -> usize {
         match self.kind {
-            Kind::Request => MOST_BODY,
-            Kind::Response(most) => most,
+            MessageKind::Request => MAX_REQUEST_BODY_LEN,
+            MessageKind::Response(max_len) => max_len,
         }
     }
 
-    fn head(&mut self) -> Result<Option<(Message, Framing)>, Bad> {
-        // Empty lines before a request are to be passed over.
-        let blank = self.buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
-        if blank > 0 {
-            self.buffer.drain(..blank);
-            self.searched = 0;
+    fn parse_head(&mut self) -> Result<Option<(Message, Framing)>, MessageError> {
+        // Empty lines before a request are skipped (RFC 9112, section 2.2).
+        let blank_len = self.buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
+        if blank_len > 0 {
+            self.buffer.drain(..blank_len);
+            self.head_searched = 0;
         }
-        let Some(end) = find_head_end(&self.buffer, self.searched) else {
-            self.searched = self.buffer.len().saturating_sub(3);
-            return if self.buffer.len() > MOST_HEAD { Err(Bad::HeadTooLong) } else { Ok(None) };
+        let Some(end) = find_head_end(&self.buffer, self.head_searched) else {
+            self.head_searched = self.buffer.len().saturating_sub(3);
+            return if self.buffer.len() > MAX_HEAD_LEN { Err(MessageError::HeadTooLong) } else { Ok(None) };
         };
-        if end > MOST_HEAD {
-            return Err(Bad::HeadTooLong);
+        if end > MAX_HEAD_LEN {
+            return Err(MessageError::HeadTooLong);
         }
-        self.searched = 0;
+        self.head_searched = 0;
         let head: Vec<u8> = self.buffer.drain(..end).collect();
-        let text = std::str::from_utf8(&head).map_err(|_| Bad::Header)?;
+        let text = std::str::from_utf8(&head).map_err(|_| MessageError::Header)?;
         let mut lines = text.lines();
-        let start = start_line(lines.next().unwrap_or(""), self.kind)?;
+        let start = parse_start_line(lines.next().unwrap_or(""), self.kind)?;
         let mut headers = Headers::default();
         for line in lines.filter(|line| !line.is_empty()) {
-            if headers.0.len() == MOST_HEADERS {
-                return Err(Bad::Header);
+            if headers.0.len() == MAX_HEADERS {
+                return Err(MessageError::Header);
             }
-            headers.0.push(header(line)?);
+            headers.0.push(parse_header(line)?);
         }
-        let version = if self.kind == Kind::Request { &start.2 } else { &start.0 };
+        let version = if self.kind == MessageKind::Request { &start.2 } else { &start.0 };
         let keep_alive = match version.as_str() {
             "HTTP/1.1" => !headers.has_token("connection", "close"),
             "HTTP/1.0" => headers.has_token("connection", "keep-alive"),
-            _ => return Err(Bad::Version),
+            _ => return Err(MessageError::Version),
         };
-        let framing = self.framing(&start, &headers)?;
+        let framing = self.parse_framing(&start, &headers)?;
         let keep_alive = keep_alive && framing != Framing::UntilClose;
         let body = match (self.kind, framing) {
-            // A long answer is held once: grown by doubling, its body would have room for up to twice its bytes.
-            (Kind::Response(_), Framing::Length(length)) => Vec::with_capacity(length),
+            // Reserve the exact size: growing by doubling would allocate up to twice the bytes of a long response.
+            (MessageKind::Response(_), Framing::Length(length)) => Vec::with_capacity(length),
             _ => Vec::new(),
         };
         Ok(Some((Message { start, headers, body, keep_alive }, framing)))
     }
 
-    fn framing(&self, start: &Start, headers: &Headers) -> Result<Framing, Bad> {
-        let of = |wanted: &'static str| headers.0.iter().filter(move |(name, _)| name == wanted);
-        let mut lengths = of("content-length").map(|(_, value)| value.as_str());
-        let coded = of("transfer-encoding").next().is_some();
-        if coded {
-            // Two framings at once are how requests are smuggled past a front.
+    fn parse_framing(&self, start: &StartLine, headers: &Headers) -> Result<Framing, MessageError> {
+        let values_of = |wanted: &'static str| headers.0.iter().filter(move |(name, _)| name == wanted);
+        let mut lengths = values_of("content-length").map(|(_, value)| value.as_str());
+        let has_transfer_encoding = values_of("transfer-encoding").next().is_some();
+        if has_transfer_encoding {
+            // A message with two kinds of framing may be a request smuggling attempt.
             if lengths.next().is_some() {
-                return Err(Bad::Length);
+                return Err(MessageError::Length);
             }
-            let chunked = of("transfer-encoding").all(|(_, value)| value.eq_ignore_ascii_case("chunked"));
-            return if chunked && of("transfer-encoding").count() == 1 {
+            let chunked =
+                values_of("transfer-encoding").all(|(_, value)| value.eq_ignore_ascii_case("chunked"));
+            return if chunked && values_of("transfer-encoding").count() == 1 {
                 Ok(Framing::Chunked)
             } else {
-                Err(Bad::Coding)
+                Err(MessageError::TransferCoding)
             };
         }
         if let Some(length) = lengths.next() {
             if lengths.any(|other| other != length) || !length.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(Bad::Length);
+                return Err(MessageError::Length);
             }
-            let length: usize =
-                length.parse().map_err(|_| if length.is_empty() { Bad::Length } else { Bad::BodyTooLong })?;
-            return if length > self.most_body() {
-                Err(Bad::BodyTooLong)
+            let length: usize = length.parse().map_err(|_| {
+                if length.is_empty() {
+                    MessageError::Length
+                } else {
+                    MessageError::BodyTooLong
+                }
+            })?;
+            return if length > self.max_body_len() {
+                Err(MessageError::BodyTooLong)
             } else {
                 Ok(Framing::Length(length))
             };
         }
-        let bare = self.kind == Kind::Request
+        let has_no_body = self.kind == MessageKind::Request
             || matches!(start.1.as_str(), "204" | "304")
             || start.1.starts_with('1');
-        Ok(if bare { Framing::Length(0) } else { Framing::UntilClose })
+        Ok(if has_no_body { Framing::Length(0) } else { Framing::UntilClose })
     }
 
-    /// Moves what is there into the body; says whether it is whole.
-    fn body(&mut self, (message, framing): &mut (Message, Framing)) -> Result<bool, Bad> {
+    /// Moves available bytes into the body. Returns whether the body is complete.
+    fn read_body(&mut self, (message, framing): &mut (Message, Framing)) -> Result<bool, MessageError> {
         match framing {
             Framing::Length(length) => {
-                let missing = *length - message.body.len();
-                let here = missing.min(self.buffer.len());
-                message.body.extend(self.buffer.drain(..here));
-                Ok(here == missing)
+                let remaining = *length - message.body.len();
+                let available = remaining.min(self.buffer.len());
+                message.body.extend(self.buffer.drain(..available));
+                Ok(available == remaining)
             }
             Framing::UntilClose => {
                 message.body.append(&mut self.buffer);
-                if message.body.len() > self.most_body() {
-                    Err(Bad::BodyTooLong)
+                if message.body.len() > self.max_body_len() {
+                    Err(MessageError::BodyTooLong)
                 } else {
                     Ok(false)
                 }
             }
-            Framing::Chunked => self.chunks(message),
+            Framing::Chunked => self.read_chunks(message),
         }
     }
 
-    fn chunks(&mut self, message: &mut Message) -> Result<bool, Bad> {
+    fn read_chunks(&mut self, message: &mut Message) -> Result<bool, MessageError> {
         loop {
             let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') else {
-                return if self.buffer.len() > MOST_CHUNK_LINE { Err(Bad::Chunk) } else { Ok(false) };
+                return if self.buffer.len() > MAX_CHUNK_LINE_LEN {
+                    Err(MessageError::Chunk)
+                } else {
+                    Ok(false)
+                };
             };
-            let line = std::str::from_utf8(&self.buffer[..end]).map_err(|_| Bad::Chunk)?;
+            let line = std::str::from_utf8(&self.buffer[..end]).map_err(|_| MessageError::Chunk)?;
             let digits = line.split(';').next().unwrap_or("").trim();
             if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|b| b.is_ascii_hexdigit()) {
-                return Err(Bad::Chunk);
+                return Err(MessageError::Chunk);
             }
-            let size = usize::from_str_radix(digits, 16).map_err(|_| Bad::Chunk)?;
-            if message.body.len() + size > self.most_body() {
-                return Err(Bad::BodyTooLong);
+            let size = usize::from_str_radix(digits, 16).map_err(|_| MessageError::Chunk)?;
+            if message.body.len() + size > self.max_body_len() {
+                return Err(MessageError::BodyTooLong);
             }
             if size == 0 {
-                return self.trailers(end + 1);
+                return self.skip_trailers(end + 1);
             }
-            // A chunk is taken once all of it and its line end are here.
+            // A chunk is consumed once it is complete, including its line end.
             let after = end + 1 + size;
-            let tail = match (self.buffer.get(after), self.buffer.get(after + 1)) {
+            let line_end_len = match (self.buffer.get(after), self.buffer.get(after + 1)) {
                 (Some(b'\n'), _) => 1,
                 (Some(b'\r'), Some(b'\n')) => 2,
                 (None, _) | (Some(b'\r'), None) => return Ok(false),
-                _ => return Err(Bad::Chunk),
+                _ => return Err(MessageError::Chunk),
             };
             message.body.extend_from_slice(&self.buffer[end + 1..after]);
-            self.buffer.drain(..after + tail);
+            self.buffer.drain(..after + line_end_len);
         }
     }
 
-    /// Passes over what follows the last chunk, up to the empty line.
-    fn trailers(&mut self, from: usize) -> Result<bool, Bad> {
+    /// Skips the trailers after the last chunk, up to and including the empty line.
+    fn skip_trailers(&mut self, from: usize) -> Result<bool, MessageError> {
         let mut at = from;
         while let Some(length) = self.buffer[at..].iter().position(|byte| *byte == b'\n') {
             let empty = self.buffer[at..at + length].iter().all(|byte| *byte == b'\r');
@@ -352,8 +365,8 @@
                 return Ok(true);
             }
         }
-        if self.buffer.len() > from + MOST_CHUNK_LINE {
-            Err(Bad::Chunk)
+        if self.buffer.len() > from + MAX_CHUNK_LINE_LEN {
+            Err(MessageError::Chunk)
         } else {
             Ok(false)
         }
@@ -373,31 +386,31 @@
     None
 }
 
-fn start_line(line: &str, kind: Kind) -> Result<Start, Bad> {
-    let mut words = line.splitn(3, ' ');
-    let mut word = || words.next().unwrap_or("").to_string();
-    let start = Start(word(), word(), word());
-    let sound = match kind {
-        Kind::Request => {
+fn parse_start_line(line: &str, kind: MessageKind) -> Result<StartLine, MessageError> {
+    let mut parts = line.splitn(3, ' ');
+    let mut next_part = || parts.next().unwrap_or("").to_string();
+    let start = StartLine(next_part(), next_part(), next_part());
+    let is_valid = match kind {
+        MessageKind::Request => {
             let method = !start.0.is_empty() && start.0.bytes().all(|b| b.is_ascii_alphabetic() || b == b'-');
             let path = start.1.starts_with('/') || start.1 == "*";
             method && path && start.2.starts_with("HTTP/")
         }
-        Kind::Response(_) => start.1.len() == 3 && start.1.bytes().all(|b| b.is_ascii_digit()),
+        MessageKind::Response(_) => start.1.len() == 3 && start.1.bytes().all(|b| b.is_ascii_digit()),
     };
-    if sound {
+    if is_valid {
         Ok(start)
     } else {
-        Err(Bad::StartLine)
+        Err(MessageError::StartLine)
     }
 }
 
-fn header(line: &str) -> Result<(String, String), Bad> {
-    let (name, value) = line.split_once(':').ok_or(Bad::Header)?;
-    let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
-    // A name with a blank before the colon, or a folded line, is read in different ways by different programs.
-    if name.is_empty() || !name.bytes().all(token) || value.bytes().any(|b| b < b' ' && b != b'\t') {
-        return Err(Bad::Header);
+fn parse_header(line: &str) -> Result<(String, String), MessageError> {
+    let (name, value) = line.split_once(':').ok_or(MessageError::Header)?;
+    let is_name_byte = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
+    // Implementations disagree on names with a space before the colon and on folded lines, so reject both.
+    if name.is_empty() || !name.bytes().all(is_name_byte) || value.bytes().any(|b| b < b' ' && b != b'\t') {
+        return Err(MessageError::Header);
     }
     Ok((name.to_ascii_lowercase(), value.trim().to_string()))
 }
--- a/src/lag.rs
+++ b/src/lag.rs
@@ -1,38 +1,44 @@
-//! How late a router runs by work of its own: what it owes to others it has to send earlier by that.
+//! The lag of the router's own steps. Answers have to be sent earlier by that, to reach their clients in
+//! time.
 
 use serde::{Deserialize, Serialize};
 
 use crate::api::Millis;
-use crate::faded::Faded;
+use crate::decaying_mean::DecayingMean;
 
-/// Lateness of a wake, of the shortest aim, from which this router itself has stood still: no usual lag.
+/// Lateness of a step, as a share of the shortest aim, from which the router itself counts as stalled. It
+/// also bounds the margin for usual lag.
 const STALL_OF_AIM: f64 = 0.1;
-/// Lags that an answer may meet: its query lies unread, its step comes late, its bytes wait to be written.
-const OF_AN_ANSWER: f64 = 3.0;
+/// Lags that an answer may meet: its query waits to be read, its step is late, and its bytes wait to be
+/// written.
+const LAGS_PER_ANSWER: f64 = 3.0;
 
-/// The lag of one router.
+/// The lag of one router's steps.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
-pub struct Lag {
-    /// How late its wakes have lately been at most.
-    worst: Faded,
-    /// When it last came back from a stall of its own.
-    pub back: Millis,
+pub struct StepLag {
+    /// Decaying maximum of the lag.
+    #[serde(rename = "worst")]
+    max_lag: DecayingMean,
+    /// When the last stall of the router ended.
+    #[serde(rename = "back")]
+    pub stall_ended: Millis,
 }
 
-impl Lag {
-    /// A step is made, with a wake due at some time, if one is out. Half of a lag fades in `half`.
-    pub fn note(&mut self, due: Option<Millis>, now: Millis, aim: Millis, half: Millis) {
-        let late = due.map_or(0.0, |due| (now - due).max(0.0));
-        // A gap where a wake was due is this router's silence, not the replicas'.
-        if late > aim * STALL_OF_AIM {
-            self.back = now;
+impl StepLag {
+    /// Records a step. `due` is the time for which a wake-up was requested, if one is outstanding. The
+    /// maximum lag halves in every half-life.
+    pub fn record_step(&mut self, due: Option<Millis>, now: Millis, aim: Millis, half_life: Millis) {
+        let lateness = due.map_or(0.0, |due| (now - due).max(0.0));
+        // The router itself was late for its wake-up, so the gap is not a silence of the replicas.
+        if lateness > aim * STALL_OF_AIM {
+            self.stall_ended = now;
         }
-        self.worst = Faded(late.max(self.worst.at(now, half)), now);
+        self.max_lag = DecayingMean(lateness.max(self.max_lag.at(now, half_life)), now);
     }
 
-    /// How much earlier than its aim an answer is to be given.
-    pub fn of_an_answer(&self, now: Millis, aim: Millis, half: Millis) -> Millis {
-        (self.worst.at(now, half) * OF_AN_ANSWER).min(aim * STALL_OF_AIM)
+    /// Returns how much earlier than its aim an answer is to be sent.
+    pub fn answer_margin(&self, now: Millis, aim: Millis, half_life: Millis) -> Millis {
+        (self.max_lag.at(now, half_life) * LAGS_PER_ANSWER).min(aim * STALL_OF_AIM)
     }
 }
 
--- a/src/service/signals.rs
+++ b/src/service/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the program attends to. None is missed, whatever calls fail while it comes.
+//! The signals that the program handles. None is missed, even if system calls fail when it arrives.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,49 +9,51 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{future, StreamExt};
 
-/// How soon a signal is seen whose wake-up was lost. The end of a process has as much time to spare.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// All that are attended to, the end last: what came before it is attended to first.
-const KINDS: [Signal; 4] = [Signal::Usr1, Signal::Hup, Signal::Term, Signal::Int];
+/// How often the marks are checked, in case a wake-up was lost. The shutdown has this much time to spare.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// All handled signals. Those that end the program are last, so that signals that came before are handled
+/// first.
+const HANDLED_SIGNALS: [Signal; 4] = [Signal::Usr1, Signal::Hup, Signal::Term, Signal::Int];
 
-/// Signals as they come.
+/// Receives signals.
 ///
-/// A wake-up is a message of the handler to the program, which the system may refuse; the mark that it leaves is not.
-pub struct Told {
+/// The signal handler sets a mark, which cannot fail, and sends a wake-up message, which the system may
+/// refuse.
+pub struct SignalReceiver {
     wake_ups: Signals,
-    marks: [(Signal, Arc<AtomicBool>); KINDS.len()],
+    marks: [(Signal, Arc<AtomicBool>); HANDLED_SIGNALS.len()],
 }
 
-impl Told {
-    /// Catches signals from now on: one that is not caught would end the process.
+impl SignalReceiver {
+    /// Starts to catch signals: one that is not caught would end the process.
     ///
     /// # Errors
-    /// If they cannot be caught.
+    /// Returns an error if they cannot be caught.
     pub fn new() -> io::Result<Self> {
-        let marks = KINDS.map(|kind| (kind, Arc::new(AtomicBool::new(false))));
-        for (kind, mark) in &marks {
-            signal_hook::flag::register(*kind as i32, mark.clone())?;
+        let marks = HANDLED_SIGNALS.map(|signal| (signal, Arc::new(AtomicBool::new(false))));
+        for (signal, mark) in &marks {
+            signal_hook::flag::register(*signal as i32, mark.clone())?;
         }
-        Ok(Told { wake_ups: Signals::new(KINDS)?, marks })
+        Ok(SignalReceiver { wake_ups: Signals::new(HANDLED_SIGNALS)?, marks })
     }
 
-    /// The next signal. Several of a kind that came since the last look are one.
+    /// Waits for the next signal. Several deliveries of one signal since the last check count as one.
     pub async fn next(&mut self) -> Signal {
         loop {
-            let came = self.marks.iter().find(|(_, mark)| mark.swap(false, Ordering::AcqRel));
-            if let Some((kind, _)) = came {
-                return *kind;
+            let marked = self.marks.iter().find(|(_, mark)| mark.swap(false, Ordering::AcqRel));
+            if let Some((signal, _)) = marked {
+                return *signal;
             }
             let woken = async {
-                // One that cannot be read leaves its mark all the same, which is looked for in its time.
+                // A wake-up that cannot be read has still set its mark, which the next check finds.
                 if !matches!(self.wake_ups.next().await, Some(Ok(_))) {
                     future::pending().await
                 }
             };
-            let look = async {
-                Timer::after(LOOK_EVERY).await;
+            let poll = async {
+                Timer::after(POLL_INTERVAL).await;
             };
-            future::or(woken, look).await;
+            future::or(woken, poll).await;
         }
     }
 }
--- a/src/starts.rs
+++ b/src/starts.rs
@@ -1,9 +1,10 @@
-//! When run stores started, by this process's own clock.
+//! Places the start times of run stores on this process's own clock.
 //!
-//! Lists state starts as Unix times of the machines' wall clock. The process's clock begins at that too and then only
-//! runs forward, so that the two part once the wall clock is stepped. A start that is told as news lies in the past and
-//! not long ago, whatever a wall clock says; where it cannot be placed, it is taken to be now, and what the run
-//! store reports meanwhile tells nothing of how others get warm.
+//! Lists give start times as Unix times of the machines' wall clock. The process's clock is set to the wall
+//! clock once and then only runs forward, so the two diverge when the wall clock is stepped. A start in an
+//! update of the list is recent and not in the future, whatever the wall clock says. A start that cannot be
+//! placed is taken to be now; until the run store is warm in any case, its load reports are not used to
+//! estimate how fast others get warm.
 
 use std::collections::BTreeMap;
 
@@ -11,100 +12,110 @@
 
 use crate::api::{Millis, ReplicaId};
 
-/// The wall clock is taken to be stepped if it parts from the process's by more than this.
-const STEP: Millis = 250.0;
-/// Steps that are remembered, the latest ones.
-const MOST_STEPS: usize = 8;
+/// The wall clock counts as stepped if its offset from the process's clock changes by more than this, in
+/// milliseconds.
+const MIN_CLOCK_STEP: Millis = 250.0;
+/// The number of offsets that are kept, the latest ones.
+const MAX_OFFSETS: usize = 8;
 
-/// A start as it was stated, and as it was placed on the process's clock.
+/// A start time as stated, and as placed on the process's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 struct Start {
     stated: Millis,
     placed: Millis,
-    /// Until when it is not known how warm the run store is, as its start could not be placed.
-    unsure_until: Millis,
+    /// If the start could not be placed, the time from which the run store is warm in any case, else the
+    /// time of placing.
+    #[serde(rename = "unsure_until")]
+    warmth_known_from: Millis,
 }
 
-/// How a start came to be known.
+/// Where a start time comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
-    /// It stands in the list that the process begins with: it may lie long ago.
-    AtFirst,
-    /// It is news.
-    Since,
+pub enum StartSource {
+    /// The list that the process starts with: the run store may have started long ago.
+    InitialList,
+    /// A later update.
+    Update,
 }
 
-/// The starts of the run stores that are listed.
+/// The start times of the listed run stores.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Starts {
-    known: BTreeMap<ReplicaId, Start>,
-    /// How far the wall clock was ahead of the process's, at each step the last time, oldest first.
-    ahead: Vec<Millis>,
-    /// Whether the clock is known not to be far ahead of the run stores': no start is told before it was, so that it is
-    /// ahead by no more than the time that seems to have passed since any.
-    is_known: bool,
+pub struct StartTimes {
+    #[serde(rename = "known")]
+    starts: BTreeMap<ReplicaId, Start>,
+    /// Offsets of the wall clock from the process's clock, in milliseconds, oldest first and the present
+    /// one last.
+    #[serde(rename = "ahead")]
+    clock_offsets: Vec<Millis>,
+    /// Whether the clock is known not to be far ahead of the clocks of the run stores. No start is listed
+    /// before it happens, so the clock is ahead by at most the age that any start seems to have.
+    #[serde(rename = "is_known")]
+    is_clock_verified: bool,
 }
 
-impl Starts {
-    /// The wall clock is so far ahead of the process's clock now.
-    pub fn note_wall_clock(&mut self, ahead: Millis) {
-        if self.ahead.iter().any(|known| (known - ahead).abs() <= STEP) {
+impl StartTimes {
+    /// Records the present offset of the wall clock from the process's clock.
+    pub fn record_wall_clock(&mut self, offset: Millis) {
+        if self.clock_offsets.iter().any(|known| (known - offset).abs() <= MIN_CLOCK_STEP) {
             return;
         }
-        if self.ahead.len() == MOST_STEPS {
-            self.ahead.remove(0);
+        if self.clock_offsets.len() == MAX_OFFSETS {
+            self.clock_offsets.remove(0);
         }
-        self.ahead.push(ahead);
-        self.is_known = false;
+        self.clock_offsets.push(offset);
+        self.is_clock_verified = false;
     }
 
-    /// Places the start that a line states. A start within `warm_within`, in which a run store gets warm, tells that the
-    /// clock is right, but for less than that; while none has, news of an older one cannot be placed.
+    /// Places a stated start on the process's clock and returns it. A start that seems to be younger than
+    /// `warm_within`, the longest warm-up time, shows that the clock is ahead by less than that. Until
+    /// there was one, an older start in an update cannot be placed.
     pub fn place(
         &mut self,
         id: &ReplicaId,
         stated: Option<Millis>,
         now: Millis,
-        told: Told,
+        source: StartSource,
         warm_within: Millis,
     ) -> Option<Millis> {
         let Some(stated) = stated else {
-            self.known.remove(id);
+            self.starts.remove(id);
             return None;
         };
-        if let Some(start) = self.known.get(id).filter(|start| start.stated == stated) {
+        if let Some(start) = self.starts.get(id).filter(|start| start.stated == stated) {
             return Some(start.placed);
         }
-        let at = self.latest_before(stated, now).unwrap_or(now);
-        self.is_known |= now - at < warm_within;
-        let unsure = told == Told::Since && !self.is_known;
-        let start = match unsure {
-            true => Start { stated, placed: now, unsure_until: now + warm_within },
-            false => Start { stated, placed: at, unsure_until: now },
+        let at = self.to_process_clock(stated, now).unwrap_or(now);
+        self.is_clock_verified |= now - at < warm_within;
+        let unplaceable = source == StartSource::Update && !self.is_clock_verified;
+        let start = match unplaceable {
+            true => Start { stated, placed: now, warmth_known_from: now + warm_within },
+            false => Start { stated, placed: at, warmth_known_from: now },
         };
-        self.known.insert(id.clone(), start);
+        self.starts.insert(id.clone(), start);
         Some(start.placed)
     }
 
-    /// Whether it is known at some time how warm a run store is, so that its reports tell how others get warm.
-    pub fn is_sure(&self, id: &ReplicaId, now: Millis) -> bool {
-        self.known.get(id).is_none_or(|start| now >= start.unsure_until)
+    /// Returns whether it is known how warm a run store is, so that its load reports show how fast others
+    /// get warm.
+    pub fn is_warmth_known(&self, id: &ReplicaId, now: Millis) -> bool {
+        self.starts.get(id).is_none_or(|start| now >= start.warmth_known_from)
     }
 
-    /// The start as the list states it.
+    /// Returns the start as stated in the list.
     pub fn stated(&self, id: &ReplicaId) -> Option<Millis> {
-        self.known.get(id).map(|start| start.stated)
+        self.starts.get(id).map(|start| start.stated)
     }
 
-    /// A run store is no longer listed.
+    /// Removes a run store that is no longer listed.
     pub fn forget(&mut self, id: &ReplicaId) {
-        self.known.remove(id);
+        self.starts.remove(id);
     }
 
-    /// A stated time on the process's clock: by the step of the wall clock under which it is latest, and not ahead.
-    fn latest_before(&self, stated: Millis, now: Millis) -> Option<Millis> {
-        let steps = self.ahead.iter().copied().chain([0.0]);
-        steps.map(|ahead| stated - ahead).filter(|at| *at <= now).reduce(f64::max)
+    /// Converts a stated time to the process's clock, by the offset that gives the latest time that is not
+    /// in the future.
+    fn to_process_clock(&self, stated: Millis, now: Millis) -> Option<Millis> {
+        let offsets = self.clock_offsets.iter().copied().chain([0.0]);
+        offsets.map(|offset| stated - offset).filter(|at| *at <= now).reduce(f64::max)
     }
 }
 
--- a/src/store/peers.rs
+++ b/src/store/peers.rs
@@ -1,7 +1,7 @@
-//! Replication: on each connection between two peers, both send what the other has not been sent.
+//! Replication: on each connection between two peers, each side sends the entries that it has not sent there yet.
 //!
-//! A line is a JSON value: an entry, `"synced"` after the first round, or `"ping"` so that a silent peer is
-//! noticed. A peer that comes back is dialled again and brought up to date by a first round.
+//! Each line is a JSON value: an entry, `"synced"` after the first round, or `"ping"` so that a dead peer is detected.
+//! A lost connection is dialled again, and the first round on the new one brings both peers up to date.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -21,16 +21,22 @@
 use crate::log::{self, Reason};
 use crate::net::Stream;
 
-const CONNECT: Duration = Duration::from_millis(500);
-const REDIAL: Duration = Duration::from_millis(500);
-const PING_EVERY: Duration = Duration::from_millis(1000);
-const SILENCE: Duration = Duration::from_millis(4000);
-const WRITE: Duration = Duration::from_millis(4000);
-/// The longest line: a value may double in size by its escapes.
-const MOST_LINE: usize = 3 * super::MOST_VALUE;
-/// Connections that peers may hold here.
-const MOST_PEERS: usize = 32;
+/// The time-out for connecting.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The pause before a peer is dialled again, or after a failed accept.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// The interval at which an idle connection sends a ping.
+const PING_INTERVAL: Duration = Duration::from_millis(1000);
+/// The time after which a connection is closed if nothing is received.
+const READ_TIMEOUT: Duration = Duration::from_millis(4000);
+/// The time-out for writing one batch of lines.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(4000);
+/// The longest accepted line, in bytes: escapes can double the size of a value.
+const MAX_LINE_BYTES: usize = 3 * super::MAX_VALUE_BYTES;
+/// The maximum number of accepted connections from peers.
+const MAX_ACCEPTED: usize = 32;
 
+/// A line of the replication protocol.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Line {
@@ -40,15 +46,16 @@
 }
 
 /// The replication of one store.
-pub struct Peers {
+pub struct Replication {
     store: Rc<Store>,
     executor: Rc<LocalExecutor<'static>>,
-    /// Peers whose first round has come, or that could not be reached at first.
+    /// The number of listed peers whose first round has arrived, or with whom the first attempt failed.
     settled: Cell<usize>,
+    /// The number of open connections that peers have made.
     accepted: Cell<usize>,
 }
 
-impl Peers {
+impl Replication {
     /// Starts replication: accepts peers at a listener and dials those that are listed.
     pub fn start(
         store: Rc<Store>,
@@ -56,7 +63,7 @@
         listener: TcpListener,
         peers: &[SocketAddr],
     ) -> Rc<Self> {
-        let replication = Rc::new(Peers {
+        let replication = Rc::new(Replication {
             store,
             executor: executor.clone(),
             settled: Cell::new(0),
@@ -69,52 +76,56 @@
         replication
     }
 
-    /// How many of the listed peers have sent all they had, or were out of reach.
+    /// Returns how many of the listed peers have sent all their entries or could not be reached.
     pub fn settled(&self) -> usize {
         self.settled.get()
     }
 
+    /// Accepts connections from peers.
     async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
-                Ok((_, peer)) if self.accepted.get() >= MOST_PEERS => {
+                Ok((_, peer)) if self.accepted.get() >= MAX_ACCEPTED => {
                     log::ended("peer", Some(peer), Reason::Full, "");
                 }
                 Ok((stream, peer)) => {
                     self.accepted.set(self.accepted.get() + 1);
                     let peers = self.clone();
-                    let task = async move {
-                        peers.talk(stream.into(), peer, &Cell::new(true)).await;
+                    let connection = async move {
+                        peers.replicate(stream.into(), peer, &Cell::new(true)).await;
                         peers.accepted.set(peers.accepted.get() - 1);
                     };
-                    self.executor.spawn(task).detach();
+                    self.executor.spawn(connection).detach();
                 }
                 Err(error) => {
                     log::line(&format!("store: accept failed: {error}"));
-                    Timer::after(REDIAL).await;
+                    Timer::after(RETRY_PAUSE).await;
                 }
             }
         }
     }
 
+    /// Keeps a connection to a listed peer.
     async fn dial(self: Rc<Self>, peer: SocketAddr) {
         let settled = Cell::new(false);
         loop {
-            if let Ok(stream) = within(CONNECT, Stream::connect(peer)).await {
-                self.talk(stream, peer, &settled).await;
+            if let Ok(stream) = within(CONNECT_TIMEOUT, Stream::connect(peer)).await {
+                self.replicate(stream, peer, &settled).await;
             }
-            self.settle(&settled);
-            Timer::after(REDIAL).await;
+            self.mark_settled(&settled);
+            Timer::after(RETRY_PAUSE).await;
         }
     }
 
-    fn settle(&self, settled: &Cell<bool>) {
+    /// Counts a peer as settled, at most once.
+    fn mark_settled(&self, settled: &Cell<bool>) {
         if !settled.replace(true) {
             self.settled.set(self.settled.get() + 1);
         }
     }
 
-    async fn talk(&self, stream: Stream, peer: SocketAddr, settled: &Cell<bool>) {
+    /// Replicates over a connection until it ends, and logs why it ended.
+    async fn replicate(&self, stream: Stream, peer: SocketAddr, settled: &Cell<bool>) {
         let read = async { self.read(stream.clone(), settled).await };
         let write = async { self.write(stream.clone()).await };
         let reason = match future::or(read, write).await {
@@ -126,17 +137,18 @@
         log::ended("peer", Some(peer), reason, "");
     }
 
+    /// Merges the entries that a peer sends.
     async fn read(&self, mut stream: Stream, settled: &Cell<bool>) -> io::Result<Reason> {
         let mut buffer = Vec::new();
         let mut bytes = vec![0; 16 * 1024];
         loop {
-            let count = within(SILENCE, stream.read(&mut bytes)).await?;
+            let count = within(READ_TIMEOUT, stream.read(&mut bytes)).await?;
             if count == 0 {
                 return Ok(Reason::PeerClosed);
             }
             let searched = buffer.len();
             buffer.extend_from_slice(&bytes[..count]);
-            if buffer.len() > MOST_LINE {
+            if buffer.len() > MAX_LINE_BYTES {
                 return Ok(Reason::Malformed);
             }
             let Some(last) = buffer[searched..].iter().rposition(|byte| *byte == b'\n') else { continue };
@@ -145,7 +157,7 @@
                     Line::Entry(entry) => {
                         self.store.merge(entry);
                     }
-                    Line::Synced => self.settle(settled),
+                    Line::Synced => self.mark_settled(settled),
                     Line::Ping => {}
                 }
             }
@@ -153,8 +165,9 @@
         }
     }
 
+    /// Sends entries that are new to a peer, and pings.
     async fn write(&self, mut stream: Stream) -> io::Result<Reason> {
-        let changed = self.store.listen();
+        let changed = self.store.subscribe();
         let mut sent: BTreeMap<String, Entry> = BTreeMap::new();
         let mut synced = false;
         loop {
@@ -173,12 +186,12 @@
                 serde_json::to_writer(&mut text, line)?;
                 text.push(b'\n');
             }
-            within(WRITE, stream.write_all(&text)).await?;
-            let wait = async {
+            within(WRITE_TIMEOUT, stream.write_all(&text)).await?;
+            let change = async {
                 let _ = changed.recv().await;
             };
-            future::or(wait, async {
-                Timer::after(PING_EVERY).await;
+            future::or(change, async {
+                Timer::after(PING_INTERVAL).await;
             })
             .await;
         }
--- a/src/trace/control.rs
+++ b/src/trace/control.rs
@@ -1,4 +1,4 @@
-//! A recording switched on and off: what ties the tape in the core to the thread that writes.
+//! Switches the recording on and off, and moves jobs from the trace writer in the core to the recorder's thread.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -6,144 +6,146 @@
 use ironpaddle_trace::file::Source;
 use ironpaddle_trace::keep::Job;
 
-use super::recorder::{Keep, Recorder, Standing};
-use super::tape::Tape;
+use super::recorder::{Recorder, RecordingStatus, Retention};
+use super::writer::TraceWriter;
 use crate::api::Millis;
 use crate::core::Core;
 use crate::log;
 
-/// Ends of connections that wait for being recorded; more are not kept.
-const MOST_CLOSED: usize = 4096;
+/// The maximum number of connection ends that wait to be recorded; further ones are discarded.
+const MAX_PENDING_ENDS: usize = 4096;
 
-/// The end of a connection: when, to what, whose address, the reason's code, and what else is said of it.
-type Closed = (Millis, String, String, String, String);
+/// The end of a connection: its time, the kind of connection, the peer's address, the reason code, and a note.
+type ConnectionEnd = (Millis, String, String, String, String);
 
-/// The switch.
+/// Controls the recording of one process.
 pub struct Control {
-    keep: Keep,
+    retention: Retention,
     source: Source,
     recorder: RefCell<Option<Recorder>>,
-    closed: Rc<RefCell<Vec<Closed>>>,
+    /// Ends of connections that are not recorded yet.
+    closed: Rc<RefCell<Vec<ConnectionEnd>>>,
     /// The number of the next segment.
     segment: Cell<u64>,
-    /// Records that were lost, and those of them that no segment tells of yet.
+    /// The number of records that were lost.
     lost: Cell<u64>,
-    untold: Cell<u64>,
+    /// The number of lost records that no segment on the disk records yet.
+    unrecorded: Cell<u64>,
 }
 
 impl Control {
-    /// A switch that is off, for one process.
-    pub fn new(keep: Keep, source: Source) -> Self {
+    /// Creates the control of one process, with the recording switched off.
+    pub fn new(retention: Retention, source: Source) -> Self {
         let (recorder, closed) = (RefCell::default(), Rc::default());
-        let (segment, lost, untold) = (Cell::new(0), Cell::new(0), Cell::new(0));
-        Control { keep, source, recorder, closed, segment, lost, untold }
+        let (segment, lost, unrecorded) = (Cell::new(0), Cell::new(0), Cell::new(0));
+        Control { retention, source, recorder, closed, segment, lost, unrecorded }
     }
 
-    /// Whether it is on.
+    /// Returns true if the recording is on.
     pub fn is_on(&self) -> bool {
-        self.recorder.borrow().as_ref().is_some_and(|recorder| recorder.standing().recording)
+        self.recorder.borrow().as_ref().is_some_and(|recorder| recorder.status().recording)
     }
 
-    /// Switches it on; nothing changes if it is.
+    /// Switches the recording on. Does nothing if it is on already.
     ///
     /// # Errors
-    /// If the folder cannot be made.
+    /// If the folder cannot be created or the thread cannot be started.
     pub fn start(&self, core: &mut Core, clock: impl Fn() -> Millis + 'static) -> Result<(), String> {
         if self.is_on() {
             return Ok(());
         }
-        let recorder =
-            Recorder::start(&self.keep).map_err(|why| format!("{}: {why}", self.keep.dir.display()))?;
+        let recorder = Recorder::start(&self.retention)
+            .map_err(|why| format!("{}: {why}", self.retention.dir.display()))?;
         self.begin(recorder, core, clock);
         Ok(())
     }
 
-    /// Has a recorder write what the core does from now on.
+    /// Attaches a recorder to the core, which is recorded from now on.
     pub fn begin(&self, recorder: Recorder, core: &mut Core, clock: impl Fn() -> Millis + 'static) {
         *self.recorder.borrow_mut() = Some(recorder);
-        let tape = Tape::new(self.source.clone(), self.keep.limits, self.segment.get());
-        core.record(clock(), Some(tape));
+        let trace_writer = TraceWriter::new(self.source.clone(), self.retention.limits, self.segment.get());
+        core.set_trace_writer(clock(), Some(trace_writer));
         let closed = self.closed.clone();
-        log::watch(Some(Box::new(move |kind, peer, code, note| {
+        log::set_connection_observer(Some(Box::new(move |kind, peer, code, note| {
             let mut closed = closed.borrow_mut();
-            if closed.len() < MOST_CLOSED {
+            if closed.len() < MAX_PENDING_ENDS {
                 closed.push((clock(), kind.into(), peer.into(), code.into(), note.into()));
             }
         })));
     }
 
-    /// Switches it off, in good order.
+    /// Switches the recording off, and ends the open segment cleanly.
     pub fn stop(&self, core: &mut Core, now: Millis) {
         self.pump(core, now);
-        core.tape_last(now);
+        core.finish_trace(now);
         self.pump(core, now);
-        if let Some(tape) = core.record(now, None) {
-            self.segment.set(tape.next_segment());
+        if let Some(trace_writer) = core.set_trace_writer(now, None) {
+            self.segment.set(trace_writer.next_segment());
         }
         if let Some(recorder) = &mut *self.recorder.borrow_mut() {
             recorder.finish();
         }
-        log::watch(None);
+        log::set_connection_observer(None);
     }
 
-    /// Has a new segment begun.
+    /// Makes the next step begin a new segment.
     pub fn rotate(&self, core: &mut Core) {
-        if let Some(tape) = core.tape() {
-            tape.rotate();
+        if let Some(trace_writer) = core.trace_writer() {
+            trace_writer.rotate();
         }
     }
 
-    /// Hands over what is to be written.
+    /// Hands the collected jobs to the recorder, and takes back what it reports of losses and the segment's size.
     pub fn pump(&self, core: &mut Core, now: Millis) {
-        core.tape_due(now);
-        let Some(tape) = core.tape() else { return };
-        self.count_lost(tape);
+        core.trace_counters(now);
+        let Some(trace_writer) = core.trace_writer() else { return };
+        self.count_lost(trace_writer);
         for (at, kind, peer, code, note) in self.closed.take() {
-            tape.closed(at, &kind, &peer, &code, &note);
+            trace_writer.closed(at, &kind, &peer, &code, &note);
         }
-        if !tape.tick(now) {
+        if !trace_writer.tick(now) {
             return;
         }
         let mut recorder = self.recorder.borrow_mut();
         let Some(recorder) = &mut *recorder else { return };
-        if recorder.is_begun() {
-            tape.begun();
-            self.untold.set(tape.untold());
+        if recorder.is_segment_begun() {
+            trace_writer.segment_written();
+            self.unrecorded.set(trace_writer.unrecorded_losses());
         }
-        if let Some(records) = recorder.failed() {
-            tape.lost(now, now, records);
+        if let Some(records) = recorder.take_failure() {
+            trace_writer.lost(now, now, records);
         }
-        while let Some(job) = tape.next_job() {
-            let from = first(&job).unwrap_or(now);
-            let records = recorder.take(job);
+        while let Some(job) = trace_writer.next_job() {
+            let from = first_entry_at(&job).unwrap_or(now);
+            let records = recorder.submit(job);
             if records > 0 {
-                tape.lost(now, from, records);
+                trace_writer.lost(now, from, records);
             }
         }
-        self.count_lost(tape);
-        tape.grown(recorder.size());
+        self.count_lost(trace_writer);
+        trace_writer.set_segment_size(recorder.size());
     }
 
-    /// Adds up what was lost since this was called last.
-    fn count_lost(&self, tape: &Tape) {
-        let before = self.untold.replace(tape.untold());
-        self.lost.set(self.lost.get() + tape.untold().saturating_sub(before));
+    /// Adds the records lost since the last call to the total.
+    fn count_lost(&self, trace_writer: &TraceWriter) {
+        let before = self.unrecorded.replace(trace_writer.unrecorded_losses());
+        self.lost.set(self.lost.get() + trace_writer.unrecorded_losses().saturating_sub(before));
     }
 
-    /// How it stands.
-    pub fn standing(&self) -> Standing {
-        let standing = self.recorder.borrow().as_ref().map(Recorder::standing).unwrap_or_default();
-        Standing { lost: self.lost.get(), ..standing }
+    /// Returns the status of the recording.
+    pub fn status(&self) -> RecordingStatus {
+        let status = self.recorder.borrow().as_ref().map(Recorder::status).unwrap_or_default();
+        RecordingStatus { lost: self.lost.get(), ..status }
     }
 
-    /// Whether all is written, after [`Control::stop`].
+    /// Returns true once everything is written after [`Control::stop`].
     pub fn is_done(&self) -> bool {
         self.recorder.borrow().as_ref().is_none_or(Recorder::is_done)
     }
 }
 
-/// When the first entry of a job was made.
-fn first(job: &Job) -> Option<Millis> {
+/// Returns the time of the first entry in a job.
+fn first_entry_at(job: &Job) -> Option<Millis> {
     match job {
         Job::Open(_, batch) | Job::Add(batch) => Some(batch.first()),
         Job::Close => None,
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -1,70 +1,72 @@
-//! Replay: the recorded events go to the decision module again, and each action is compared.
+//! Replays a recording: feeds the recorded events to the decision module again and compares each action.
 //!
-//! Replay begins at a checkpoint and ends at a loss, a gap, or the end; a later checkpoint begins it anew. As the
-//! module reads no clock and draws chance from its state, it has to say the same to the bit.
+//! Replay begins at a checkpoint and stops at a loss, a gap, or the end; it resumes at the next checkpoint. The module
+//! reads no clock, and its random numbers come from its state, so the actions have to be identical to the bit.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
 use ironpaddle_trace::block::{Batch, Block};
-use ironpaddle_trace::record::{self, Entry, Record, Step, Told};
+use ironpaddle_trace::record::{self, AppliedSettings, Entry, Record, Step};
 
 use super::{convert, MODULE};
 use crate::api::{Action, Settings};
-use crate::settings::Info;
+use crate::settings::SiteSettings;
 use crate::Router;
 
-/// What differed first.
+/// The first difference between the recorded and the replayed actions.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct Difference {
-    /// When, in Unix milliseconds.
+    /// The time of the step, in Unix milliseconds.
     pub at: f64,
-    /// The query that it is about, if one is.
+    /// The query that the action concerns, if any.
     pub query: Option<u64>,
-    /// What was recorded; `None` where nothing more was.
+    /// The recorded action; `None` if the recorded step has fewer actions.
     pub recorded: Option<String>,
-    /// What the module says now; `None` where it says nothing more.
+    /// The replayed action; `None` if the replayed step has fewer actions.
     pub now: Option<String>,
 }
 
-/// What replay has shown.
+/// The result of a replay.
 #[derive(Debug, Clone, Default, PartialEq, serde::Serialize)]
 pub struct Report {
-    /// Checkpoints from which replay began.
+    /// The number of checkpoints from which replay began.
     pub checkpoints: u64,
-    /// Steps played.
+    /// The number of steps replayed.
     pub steps: u64,
-    /// Events fed to the module.
+    /// The number of events fed to the module.
     pub events: u64,
-    /// Actions compared.
+    /// The number of actions compared.
     pub actions: u64,
-    /// Steps that could not be played, as there was no checkpoint that could be read before them.
+    /// The number of steps that could not be replayed, as no readable checkpoint precedes them.
     pub skipped: u64,
-    /// Why checkpoints could not be used, each reason once.
+    /// The reasons for which checkpoints could not be used, each once.
     pub unusable: Vec<String>,
-    /// The first difference.
+    /// The first difference, if there is any.
     pub difference: Option<Difference>,
-    /// Steps that differed.
+    /// The number of steps that differed.
     pub differing: u64,
-    /// With other settings: ends of queries as recorded and as they would be, and how many.
+    /// With other settings: the number of queries by recorded and replayed end, as `RECORDED -> REPLAYED`.
     pub verdicts: BTreeMap<String, u64>,
 }
 
-/// A replay of one process's entries, which have to come in their order.
+/// Replays the entries of one process, which have to be fed in their order.
 pub struct Replay {
     router: Option<Router>,
-    other: Option<Info>,
-    /// With other settings: the ends of queries that were recorded, and those that the module gave.
+    /// The settings that replace the recorded ones, if any.
+    other: Option<SiteSettings>,
+    /// With other settings: the recorded and the replayed end of each query.
     ends: BTreeMap<u64, (Option<String>, Option<String>)>,
     report: Report,
 }
 
 impl Replay {
-    /// A replay under the recorded settings, or under others.
-    pub fn new(other: Option<Info>) -> Self {
+    /// Creates a replay under the recorded settings, or under `other` settings.
+    pub fn new(other: Option<SiteSettings>) -> Self {
         Replay { router: None, other, ends: BTreeMap::new(), report: Report::default() }
     }
 
-    /// The next entry.
+    /// Replays the next entry.
     pub fn take(&mut self, block: &Block, entry: &Entry) {
         match &entry.record {
             Record::Checkpoint(checkpoint) => {
@@ -75,14 +77,14 @@
                     Err("recorded by a decision module of another text; replay needs the program that recorded it")
                 };
                 match state {
-                    // With other settings the first checkpoint alone counts: later states are those of reality.
+                    // With other settings only the first checkpoint is used: later ones hold the recorded state.
                     Ok(_) if self.other.is_some() && self.router.is_some() => {}
                     Ok(router) => {
                         self.router = Some(router);
                         self.report.checkpoints += 1;
-                        // The state holds its settings, and what they have been used up by.
+                        // The state holds the recorded settings, so the other ones are applied to it.
                         if self.other.is_some() {
-                            self.retune(block, &checkpoint.told);
+                            self.apply_settings(block, &checkpoint.settings);
                         }
                     }
                     Err(why) => {
@@ -93,27 +95,28 @@
                     }
                 }
             }
-            Record::Settings(told) => self.retune(block, told),
+            Record::Settings(told) => self.apply_settings(block, told),
             Record::Step(step) => self.step(block, entry.at, step),
             _ => {}
         }
     }
 
-    /// Entries are missing here: only a checkpoint begins anew.
+    /// Notes that entries are missing here. Replay resumes at the next checkpoint, or at once with other settings.
     pub fn gap(&mut self) {
         if self.other.is_none() {
             self.router = None;
         }
     }
 
-    fn retune(&mut self, block: &Block, told: &Told) {
+    fn apply_settings(&mut self, block: &Block, told: &AppliedSettings) {
         let Some(router) = &mut self.router else { return };
         let Ok(mut settings) = postcard::from_bytes::<Settings>(&told.module) else { return };
         if let Some(other) = &self.other {
-            settings = in_places(block, told, &settings, other);
+            settings = in_recorded_order(block, told, &settings, other);
         }
-        // What was in force when it was recorded had been checked; what is not is told by the differences.
-        let _ = router.retune(settings);
+        // Recorded settings were checked before they came into force. If the module rejects them all the same, the
+        // replayed actions differ, and that is reported.
+        let _ = router.apply_settings(settings);
     }
 
     fn step(&mut self, block: &Block, at: f64, step: &Step) {
@@ -121,7 +124,8 @@
             self.report.skipped += 1;
             return;
         };
-        let events: Vec<_> = step.events.iter().map(|event| convert::event_in(block, at, event)).collect();
+        let events: Vec<_> =
+            step.events.iter().map(|event| convert::event_from_record(block, at, event)).collect();
         self.report.steps += 1;
         self.report.events += events.len() as u64;
         let actions = router.step(at, events);
@@ -130,36 +134,36 @@
             return;
         }
         self.report.actions += actions.len() as u64;
-        // Names are compared as texts: a table made anew knows them by other places.
+        // Names are compared as text, since the new name table gives them other indexes.
         let mut table = Batch::default();
-        let again: Vec<_> =
-            actions.iter().map(|action| convert::action_out(&mut table, at, action)).collect();
-        let text = |action: &record::Action| match action {
+        let replayed: Vec<_> =
+            actions.iter().map(|action| convert::action_to_record(&mut table, at, action)).collect();
+        let run_store_name = |action: &record::Action| match action {
             record::Action::Send { run_store, .. } => Some(block.text(*run_store)),
             record::Action::Probe(name) | record::Action::CloseIdle(name) => Some(block.text(*name)),
             _ => None,
         };
-        let same = |recorded: &record::Action, (again, action): (&record::Action, &Action)| {
+        let same = |recorded: &record::Action, (replayed, action): (&record::Action, &Action)| {
             let run_store = match action {
                 Action::Send { replica, .. } | Action::Probe { replica } | Action::CloseIdle { replica } => {
                     Some(&*replica.0)
                 }
                 _ => None,
             };
-            text(recorded) == run_store && bare(recorded) == bare(again)
+            run_store_name(recorded) == run_store && without_name(recorded) == without_name(replayed)
         };
-        let mut pairs = step.actions.iter().zip(again.iter().zip(&actions));
+        let mut pairs = step.actions.iter().zip(replayed.iter().zip(&actions));
         let differs = pairs.position(|(recorded, pair)| !same(recorded, pair));
         let at_end = (step.actions.len() != actions.len()).then(|| step.actions.len().min(actions.len()));
         if let Some(place) = differs.or(at_end) {
             self.report.differing += 1;
             let recorded = step.actions.get(place);
-            let query = recorded.or(again.get(place)).and_then(record::Action::query);
+            let query = recorded.or(replayed.get(place)).and_then(record::Action::query);
             let show = |action: &record::Action| {
-                let words = format!("{:?}", bare(action));
-                text(action).map_or(words.clone(), |name| format!("{words} at {name}"))
+                let text = format!("{:?}", without_name(action));
+                run_store_name(action).map_or(text.clone(), |name| format!("{text} at {name}"))
             };
-            let now = actions.get(place).map(|action| format!("{action:?}"));
+            let now = actions.get(place).map(|action| format!("{:?}", InTraceTerms(action)));
             let found = Difference { at, query, recorded: recorded.map(show), now };
             self.report.difference.get_or_insert(found);
         }
@@ -173,13 +177,13 @@
         }
         let mut table = Batch::default();
         for action in actions {
-            if let Some((query, end)) = end_of(&convert::action_out(&mut table, 0.0, action)) {
+            if let Some((query, end)) = end_of(&convert::action_to_record(&mut table, 0.0, action)) {
                 self.ends.entry(query).or_default().1 = Some(end);
             }
         }
     }
 
-    /// What it has shown.
+    /// Returns the result.
     pub fn report(mut self) -> Report {
         for (recorded, now) in self.ends.values() {
             let none = || "no end".to_string();
@@ -190,8 +194,8 @@
     }
 }
 
-/// An action without the place of its name.
-fn bare(action: &record::Action) -> record::Action {
+/// Returns the action with the index of its name set to 0.
+fn without_name(action: &record::Action) -> record::Action {
     let mut action = action.clone();
     match &mut action {
         record::Action::Send { run_store: name, .. }
@@ -202,7 +206,32 @@
     action
 }
 
-/// The end that an action gives a query.
+/// Formats an action with the names that the trace format has for its fields and values.
+struct InTraceTerms<'a>(&'a Action);
+
+impl fmt::Debug for InTraceTerms<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Action::Send { part, replica, timeout, reason, choice } => f
+                .debug_struct("Send")
+                .field("part", part)
+                .field("replica", replica)
+                .field("timeout", timeout)
+                .field("why", &convert::reason_to_record(*reason))
+                .field("choice", &convert::choice_to_record(*choice))
+                .finish(),
+            Action::Cancel { part, attempt, reason } => f
+                .debug_struct("Cancel")
+                .field("part", part)
+                .field("attempt", attempt)
+                .field("why", &convert::reason_to_record(*reason))
+                .finish(),
+            other => fmt::Debug::fmt(other, f),
+        }
+    }
+}
+
+/// Returns the query that an action ends, and how it ends it.
 fn end_of(action: &record::Action) -> Option<(u64, String)> {
     match action {
         record::Action::Answer { query, whole: true } => Some((*query, "whole".into())),
@@ -213,10 +242,15 @@
     }
 }
 
-/// Other settings, with classes and groups at the places that the recording knows them by. One that the other
-/// settings do not name stays as it was.
-fn in_places(block: &Block, told: &Told, recorded: &Settings, other: &Info) -> Settings {
-    let (mut settings, names) = (other.settings(), other.names());
+/// Returns the other settings with classes and groups in the order of the recording. Those that the other settings do
+/// not name keep their recorded settings.
+fn in_recorded_order(
+    block: &Block,
+    told: &AppliedSettings,
+    recorded: &Settings,
+    other: &SiteSettings,
+) -> Settings {
+    let (mut settings, names) = (other.router_settings(), other.names());
     let place = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
     let class = |(at, name): (usize, &record::Name)| {
         let own = place(&names.classes, *name).and_then(|place| settings.classes.get(place));
--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -1,316 +1,334 @@
-//! The state of one connection to a run store, without input or output.
+//! The state of one connection to a run store, without I/O.
 //!
-//! A call is queued, then being written, then written, and ends once. Whether it may have run turns on the
-//! last byte of its frame: up to there it never ran, from there on it may have.
+//! A call is queued, then being written, then written, and ends exactly once. Whether it may have run depends on the
+//! last byte of its frame: before that byte is written the call cannot have run, afterwards it may have.
 //!
-//! A call that is given up may have to be proved over. The run store reads frames in their order: once it has answered
-//! a probe that was written behind the frame which gives the call up, it has read that frame.
+//! A caller may need proof that a call it gave up is over. The run store reads frames in order: once it has answered
+//! a probe that was written after the cancel frame, it has read the cancel frame.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use super::codec::{self, End, Frame, Part};
+use super::codec::{self, Frame, Part, PartStatus};
 use crate::api::{LoadReport, Millis, Outcome};
 use crate::core::{Call, CallEnd, CallNo};
 
-/// Ids of parts that are over which are remembered, so that a late or second answer is known from a spoilt one.
-const MOST_PAST: usize = 512;
-/// Silence after which a call that is given up makes its connection suspect: the machine may have vanished.
-const SILENCE: Duration = Duration::from_millis(1500);
+/// Number of finished parts whose ids are remembered, to tell a late or repeated answer from a malformed one.
+const MAX_PAST_PARTS: usize = 512;
+/// A connection without input for this long is presumed dead when a call on it is given up: the machine may have
+/// disappeared.
+const DEAD_AFTER: Duration = Duration::from_millis(1500);
 
-/// Silence of so many usual answers, with something out, looks like a connection that has fallen silent. One that
-/// is only slow costs a further connection by that, as what is out on it is still waited for.
-const SILENT_OF_USUAL: u32 = 3;
-/// The weight of an answer in the usual time of answers is one in so many.
-const USUAL_OF: u32 = 8;
+/// A connection with outstanding calls is treated as unresponsive after this many average response times without
+/// input. If it is merely slow, this costs one more connection, as its outstanding calls are still awaited.
+const UNRESPONSIVE_RESPONSE_TIMES: u32 = 3;
+/// The moving average of response times gives a new one a weight of one part in this many.
+const RESPONSE_TIME_WEIGHT_DIVISOR: u32 = 8;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
     Queued,
     Writing,
     Written(Instant),
-    /// It is given up and waited for until that is proved to be known; the run store is being told.
-    Told,
-    /// The same, and the probe behind is being written, or is.
-    Asked,
+    /// Given up, and awaited until the run store provably knows. The cancel frame is queued or written, but no probe
+    /// after it is being written yet.
+    Cancelling,
+    /// Like `Cancelling`, but the probe after the cancel frame is being written or was written.
+    ProofRequested,
 }
 
 impl Stage {
-    /// Whether the run store has it whole, and may answer it.
-    fn is_out(self) -> bool {
+    /// Returns whether the call was written completely, so that the run store may answer it.
+    fn is_fully_written(self) -> bool {
         !matches!(self, Stage::Queued | Stage::Writing)
     }
 
-    /// Whether it is only waited for until it is proved to be over.
-    fn is_told(self) -> bool {
-        matches!(self, Stage::Told | Stage::Asked)
+    /// Returns whether the call was given up and is only awaited until it is provably over.
+    fn is_cancelling(self) -> bool {
+        matches!(self, Stage::Cancelling | Stage::ProofRequested)
     }
 }
 
 #[derive(Debug)]
-struct Held {
+struct TrackedCall {
     call: Call,
     stage: Stage,
-    /// Given up while it was being written, and whether that is to be proved.
-    given_up: Option<bool>,
-    /// Whether it was queued on an earlier connection, which ended.
-    moved: bool,
+    /// Set if the call was given up while being written: whether it needs proof that it is over.
+    cancel_after_write: Option<bool>,
+    /// Whether the call was queued before on a connection that ended.
+    requeued: bool,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum Item {
+enum QueueItem {
     Call(CallNo),
-    GiveUp(String),
-    Probe(CallNo),
-    /// A probe that proves calls to be over; they are named once it is being written.
-    Proof(Vec<CallNo>),
+    Cancel(String),
+    LoadProbe(CallNo),
+    /// A probe whose answer proves calls to be over. The calls are listed when writing begins.
+    ProofProbe(Vec<CallNo>),
 }
 
 /// Something that ended on a connection.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Ended {
+pub enum EndEvent {
     /// An attempt.
     Call(CallNo, CallEnd),
     /// A probe: whether it succeeded, and the load report.
     Probe(CallNo, bool, Option<LoadReport>),
 }
 
-/// What came on a connection: what ended by it, in order, and what spoilt it, if anything did. What stands before
-/// the spoilt frame holds.
-pub type Came = (Vec<Ended>, Result<(), String>);
+/// What was read from a connection: what ended, in order, and the error if a frame was malformed. Frames before the
+/// malformed one are valid.
+pub type ReceiveResult = (Vec<EndEvent>, Result<(), String>);
 
 /// The state of a connection.
 #[derive(Debug)]
-pub struct Link {
-    /// Parts that share a frame at most.
-    bundle: usize,
-    queue: VecDeque<Item>,
-    calls: BTreeMap<CallNo, Held>,
-    /// Probes that are written, oldest first; `None` for one that is given up.
-    probes: VecDeque<(Option<CallNo>, Instant)>,
-    /// Probes that are written and prove calls to be over, oldest first, each with its calls.
-    proofs: VecDeque<(Vec<CallNo>, Instant)>,
-    /// Whether such probes may be sent.
-    may_prove: bool,
-    writing: Vec<Item>,
-    /// Parts that were answered or given up here, oldest first, and whether an answer has come.
-    past: VecDeque<(String, bool)>,
+pub struct ConnectionState {
+    /// Maximum number of parts in one frame.
+    max_parts_per_frame: usize,
+    queue: VecDeque<QueueItem>,
+    calls: BTreeMap<CallNo, TrackedCall>,
+    /// Written probes, oldest first, with the time of writing; `None` for one that was given up.
+    load_probes: VecDeque<(Option<CallNo>, Instant)>,
+    /// Written probes that prove calls to be over, oldest first, each with its calls and the time of writing.
+    proof_probes: VecDeque<(Vec<CallNo>, Instant)>,
+    /// Whether probes that prove calls to be over may be sent.
+    proof_probes_allowed: bool,
+    writing: Vec<QueueItem>,
+    /// Parts that were answered or given up, oldest first, and whether an answer has arrived.
+    past_parts: VecDeque<(String, bool)>,
     buffer: Vec<u8>,
-    /// Since when the buffer holds the beginning of a frame.
-    inside: Option<Instant>,
-    heard: Instant,
-    suspect: bool,
-    /// How long answers take, smoothed.
-    usual: Duration,
+    /// When the incomplete frame at the start of the buffer began to arrive.
+    partial_since: Option<Instant>,
+    last_input: Instant,
+    presumed_dead: bool,
+    /// Moving average of response times.
+    average_response_time: Duration,
 }
 
-impl Link {
-    /// A connection's state at its start; answers are taken to need some usual time until some have come.
-    pub fn new(bundle: usize, now: Instant, usual: Duration) -> Self {
-        Link {
-            bundle: bundle.max(1),
+impl ConnectionState {
+    /// Creates the state of a new connection. `average_response_time` is the assumed response time until answers
+    /// arrive.
+    pub fn new(max_parts_per_frame: usize, now: Instant, average_response_time: Duration) -> Self {
+        ConnectionState {
+            max_parts_per_frame: max_parts_per_frame.max(1),
             queue: VecDeque::new(),
             calls: BTreeMap::new(),
-            probes: VecDeque::new(),
-            proofs: VecDeque::new(),
-            may_prove: true,
+            load_probes: VecDeque::new(),
+            proof_probes: VecDeque::new(),
+            proof_probes_allowed: true,
             writing: Vec::new(),
-            past: VecDeque::new(),
+            past_parts: VecDeque::new(),
             buffer: Vec::new(),
-            inside: None,
-            heard: now,
-            suspect: false,
-            usual,
+            partial_since: None,
+            last_input: now,
+            presumed_dead: false,
+            average_response_time,
         }
     }
 
-    /// Says whether probes may be sent that prove calls to be over.
-    pub fn set_may_prove(&mut self, may_prove: bool) {
-        self.may_prove = may_prove;
-        if !may_prove {
-            self.queue.retain(|item| !matches!(item, Item::Proof(_)));
+    /// Sets whether probes that prove calls to be over may be sent.
+    pub fn allow_proof_probes(&mut self, allowed: bool) {
+        self.proof_probes_allowed = allowed;
+        if !allowed {
+            self.queue.retain(|item| !matches!(item, QueueItem::ProofProbe(_)));
         }
     }
 
-    /// When this side is to be shut, as nothing is out but what is given up: the run store's end proves that to be over.
-    /// It is tried once no probe will prove it, or none has in the usual time of answers.
-    pub fn shuts_at(&self) -> Option<Instant> {
-        let only = !self.calls.is_empty()
-            && self.calls.values().all(|held| held.stage.is_told())
+    /// Returns when to shut down the write side because only calls that were given up are outstanding: the run store
+    /// closing its side proves them over. This is tried if no probe can prove it, or if none was answered within the
+    /// average response time.
+    pub fn write_shutdown_at(&self) -> Option<Instant> {
+        let only_cancelling = !self.calls.is_empty()
+            && self.calls.values().all(|tracked| tracked.stage.is_cancelling())
             && self.queue.is_empty()
             && self.writing.is_empty()
-            && self.probes.iter().all(|(no, _)| no.is_none());
-        let asked = self.calls.values().all(|held| held.stage == Stage::Asked);
-        let since = self.proofs.front().filter(|_| asked).map(|(_, at)| self.heard.max(*at) + self.usual);
-        only.then(|| since.unwrap_or(self.heard))
-    }
-
-    /// Calls on it that have not ended.
-    pub fn load(&self) -> usize {
+            && self.load_probes.iter().all(|(no, _)| no.is_none());
+        let all_probed = self.calls.values().all(|tracked| tracked.stage == Stage::ProofRequested);
+        let since = self
+            .proof_probes
+            .front()
+            .filter(|_| all_probed)
+            .map(|(_, at)| self.last_input.max(*at) + self.average_response_time);
+        only_cancelling.then(|| since.unwrap_or(self.last_input))
+    }
+
+    /// Returns the number of calls that have not ended.
+    pub fn pending_calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether nothing is out or to be written.
+    /// Returns whether nothing is outstanding, queued or being written.
     pub fn is_idle(&self) -> bool {
-        self.calls.is_empty() && self.queue.is_empty() && self.writing.is_empty() && self.probes.is_empty()
+        self.calls.is_empty()
+            && self.queue.is_empty()
+            && self.writing.is_empty()
+            && self.load_probes.is_empty()
     }
 
-    /// Whether it fell silent with something out, for good as far as can be told.
-    pub fn is_suspect(&self) -> bool {
-        self.suspect
+    /// Returns whether the connection stayed silent with something outstanding for so long that it is presumed dead.
+    pub fn is_presumed_dead(&self) -> bool {
+        self.presumed_dead
     }
 
-    /// Whether nothing new should go on it, as something has long been out and nothing comes, or as what has begun
-    /// to come may be noise that would swallow an answer.
-    pub fn is_silent(&self, now: Instant) -> bool {
-        let written = self.calls.values().filter_map(|held| match held.stage {
+    /// Returns whether to put no new call on the connection: a written call has long been outstanding without any
+    /// input, or a partial frame that nothing awaits may be garbage that would swallow an answer.
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
+        let written = self.calls.values().filter_map(|tracked| match tracked.stage {
             Stage::Written(at) => Some(at),
             _ => None,
         });
-        let since = written.min().map(|at| at.max(self.heard));
-        let unasked = self.inside.is_some() && !self.is_awaited();
-        self.suspect || unasked || since.is_some_and(|since| now - since >= self.usual * SILENT_OF_USUAL)
+        let since = written.min().map(|at| at.max(self.last_input));
+        let unexpected = self.partial_since.is_some() && !self.awaits_answer();
+        self.presumed_dead
+            || unexpected
+            || since
+                .is_some_and(|since| now - since >= self.average_response_time * UNRESPONSIVE_RESPONSE_TIMES)
     }
 
-    /// When something was last heard on it.
-    pub fn heard(&self) -> Instant {
-        self.heard
+    /// Returns when input last arrived.
+    pub fn last_input(&self) -> Instant {
+        self.last_input
     }
 
-    /// How long answers usually take on it.
-    pub fn usual(&self) -> Duration {
-        self.usual
+    /// Returns the moving average of response times.
+    pub fn average_response_time(&self) -> Duration {
+        self.average_response_time
     }
 
-    /// Since when a frame has been coming in that is not whole. One that never ends swallows all that follows.
-    pub fn inside_since(&self) -> Option<Instant> {
-        self.inside
+    /// Returns when the incomplete frame began to arrive. A frame that never ends blocks everything after it.
+    pub fn partial_frame_since(&self) -> Option<Instant> {
+        self.partial_since
     }
 
     /// Queues a call.
     pub fn push(&mut self, call: Call) {
-        self.hold(call, false);
+        self.track(call, false);
     }
 
-    /// Queues a call that an earlier connection had not begun to write.
-    pub fn push_again(&mut self, call: Call) {
-        self.hold(call, true);
+    /// Queues a call that was still queued when an earlier connection ended.
+    pub fn push_moved(&mut self, call: Call) {
+        self.track(call, true);
     }
 
-    fn hold(&mut self, call: Call, moved: bool) {
-        self.queue.push_back(Item::Call(call.no));
-        self.calls.insert(call.no, Held { call, stage: Stage::Queued, given_up: None, moved });
+    fn track(&mut self, call: Call, requeued: bool) {
+        self.queue.push_back(QueueItem::Call(call.no));
+        self.calls
+            .insert(call.no, TrackedCall { call, stage: Stage::Queued, cancel_after_write: None, requeued });
     }
 
-    /// Takes the calls that no byte was written of, to go on another connection; each goes but once.
+    /// Takes the calls of which nothing was written, to send them on another connection. Each call is moved only
+    /// once.
     pub fn take_queued(&mut self) -> Vec<Call> {
-        let queued = |held: &Held| held.stage == Stage::Queued && !held.moved;
-        let nos: Vec<CallNo> =
-            self.calls.iter().filter(|(_, held)| queued(held)).map(|(no, _)| *no).collect();
-        self.queue.retain(|item| !matches!(item, Item::Call(no) if nos.contains(no)));
-        nos.iter().filter_map(|no| self.calls.remove(no)).map(|held| held.call).collect()
+        let queued = |tracked: &TrackedCall| tracked.stage == Stage::Queued && !tracked.requeued;
+        let numbers: Vec<CallNo> =
+            self.calls.iter().filter(|(_, tracked)| queued(tracked)).map(|(no, _)| *no).collect();
+        self.queue.retain(|item| !matches!(item, QueueItem::Call(no) if numbers.contains(no)));
+        numbers.iter().filter_map(|no| self.calls.remove(no)).map(|tracked| tracked.call).collect()
     }
 
-    fn pass(&mut self, part: String, answered: bool) {
-        if self.past.len() == MOST_PAST {
-            self.past.pop_front();
+    fn remember_past(&mut self, part: String, answered: bool) {
+        if self.past_parts.len() == MAX_PAST_PARTS {
+            self.past_parts.pop_front();
         }
-        self.past.push_back((part, answered));
+        self.past_parts.push_back((part, answered));
     }
 
-    /// Whether an answer is waited for: of a call, or of a probe.
-    fn is_awaited(&self) -> bool {
-        !self.proofs.is_empty()
-            || !self.probes.is_empty()
-            || self.calls.values().any(|held| held.stage.is_out())
+    /// Returns whether an answer to a call or a probe is outstanding.
+    fn awaits_answer(&self) -> bool {
+        !self.proof_probes.is_empty()
+            || !self.load_probes.is_empty()
+            || self.calls.values().any(|tracked| tracked.stage.is_fully_written())
     }
 
-    /// Queues a probe.
+    /// Queues a load probe.
     pub fn push_probe(&mut self, no: CallNo) {
-        self.queue.push_back(Item::Probe(no));
+        self.queue.push_back(QueueItem::LoadProbe(no));
     }
 
-    /// Takes back the calls that have not begun to be written and may not begin any more: they waited for too long.
-    pub fn expire(&mut self, now: Millis) -> Vec<Ended> {
-        let late = |held: &Held| held.stage == Stage::Queued && held.call.is_late(now);
-        let nos: Vec<CallNo> = self.calls.iter().filter(|(_, held)| late(held)).map(|(no, _)| *no).collect();
-        self.queue.retain(|item| !matches!(item, Item::Call(no) if nos.contains(no)));
-        nos.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
+    /// Ends the queued calls that have waited too long and may no longer be sent.
+    pub fn expire(&mut self, now: Millis) -> Vec<EndEvent> {
+        let expired = |tracked: &TrackedCall| tracked.stage == Stage::Queued && tracked.call.is_late(now);
+        let numbers: Vec<CallNo> =
+            self.calls.iter().filter(|(_, tracked)| expired(tracked)).map(|(no, _)| *no).collect();
+        self.queue.retain(|item| !matches!(item, QueueItem::Call(no) if numbers.contains(no)));
+        numbers.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
     }
 
-    /// The next frame to write. It counts as being written until [`Link::written`].
-    pub fn next_frame(&mut self, wait: impl Fn(&Call) -> u64) -> Option<Vec<u8>> {
+    /// Returns the next frame to write. It counts as being written until [`ConnectionState::mark_written`] is called.
+    pub fn next_frame(&mut self, timeout_ms: impl Fn(&Call) -> u64) -> Option<Vec<u8>> {
         let first = loop {
             match self.queue.pop_front()? {
-                Item::Proof(_) => {
-                    let told = self.calls.iter_mut().filter(|(_, held)| held.stage == Stage::Told);
-                    let asked = |(no, held): (&CallNo, &mut Held)| {
-                        held.stage = Stage::Asked;
+                QueueItem::ProofProbe(_) => {
+                    let cancelling =
+                        self.calls.iter_mut().filter(|(_, tracked)| tracked.stage == Stage::Cancelling);
+                    let request_proof = |(no, tracked): (&CallNo, &mut TrackedCall)| {
+                        tracked.stage = Stage::ProofRequested;
                         *no
                     };
-                    let calls: Vec<CallNo> = told.map(asked).collect();
-                    // All that it was for may have ended meanwhile.
+                    let calls: Vec<CallNo> = cancelling.map(request_proof).collect();
+                    // All calls that needed this probe may have ended meanwhile.
                     if !calls.is_empty() {
-                        break Item::Proof(calls);
+                        break QueueItem::ProofProbe(calls);
                     }
                 }
                 item => break item,
             }
         };
         self.writing = vec![first];
-        let more = |item: Option<&Item>| matches!(item, Some(Item::Call(_)));
-        if more(self.writing.first()) {
-            while self.writing.len() < self.bundle && more(self.queue.front()) {
+        let is_call = |item: Option<&QueueItem>| matches!(item, Some(QueueItem::Call(_)));
+        if is_call(self.writing.first()) {
+            while self.writing.len() < self.max_parts_per_frame && is_call(self.queue.front()) {
                 self.writing.extend(self.queue.pop_front());
             }
         }
         match &self.writing[0] {
-            Item::GiveUp(part) => Some(codec::give_up(part)),
-            Item::Probe(_) => Some(codec::load_probe()),
-            Item::Proof(_) => Some(codec::probe()),
-            Item::Call(_) => {
+            QueueItem::Cancel(part) => Some(codec::encode_cancel(part)),
+            QueueItem::LoadProbe(_) => Some(codec::encode_load_probe()),
+            QueueItem::ProofProbe(_) => Some(codec::encode_probe()),
+            QueueItem::Call(_) => {
                 for item in &self.writing {
-                    if let Item::Call(no) = item {
-                        if let Some(held) = self.calls.get_mut(no) {
-                            held.stage = Stage::Writing;
+                    if let QueueItem::Call(no) = item {
+                        if let Some(tracked) = self.calls.get_mut(no) {
+                            tracked.stage = Stage::Writing;
                         }
                     }
                 }
-                Some(codec::call(self.writing().map(|call| Part {
+                Some(codec::encode_call(self.writing().map(|call| Part {
                     id: &call.part,
                     shard: call.shard,
-                    wait: wait(call),
+                    timeout_ms: timeout_ms(call),
                     key: call.key.as_deref(),
-                    text: &call.text,
+                    text: &call.payload,
                 })))
             }
         }
     }
 
-    /// The calls of the frame that is being written.
+    /// Returns the calls of the frame that is being written.
     pub fn writing(&self) -> impl Iterator<Item = &Call> {
         self.writing.iter().filter_map(|item| match item {
-            Item::Call(no) => self.calls.get(no).map(|held| &held.call),
+            QueueItem::Call(no) => self.calls.get(no).map(|tracked| &tracked.call),
             _ => None,
         })
     }
 
-    /// The last byte of the frame is written; says how many attempts that makes.
-    pub fn written(&mut self, now: Instant) -> usize {
+    /// Records that the last byte of the frame was written. Returns the number of attempts in it.
+    pub fn mark_written(&mut self, now: Instant) -> usize {
         let mut attempts = 0;
         for item in std::mem::take(&mut self.writing) {
             match item {
-                Item::GiveUp(_) => {}
-                Item::Probe(no) => self.probes.push_back((Some(no), now)),
-                Item::Proof(calls) => self.proofs.push_back((calls, now)),
-                Item::Call(no) => {
+                QueueItem::Cancel(_) => {}
+                QueueItem::LoadProbe(no) => self.load_probes.push_back((Some(no), now)),
+                QueueItem::ProofProbe(calls) => self.proof_probes.push_back((calls, now)),
+                QueueItem::Call(no) => {
                     attempts += 1;
-                    let Some(held) = self.calls.get_mut(&no) else { continue };
-                    held.stage = Stage::Written(now);
-                    // Given up while it was being written: the run store is told now that it has it.
-                    match held.given_up {
-                        Some(true) => self.tell(no),
-                        Some(false) => self.drop_written(no),
+                    let Some(tracked) = self.calls.get_mut(&no) else { continue };
+                    tracked.stage = Stage::Written(now);
+                    // It was given up while being written, and can be cancelled only now that the run store has it.
+                    match tracked.cancel_after_write {
+                        Some(true) => self.cancel_with_proof(no),
+                        Some(false) => self.cancel_written(no),
                         None => {}
                     }
                 }
@@ -319,195 +337,206 @@
         attempts
     }
 
-    /// Takes bytes in; says what ended, and what cannot be read: the connection has to close then.
-    pub fn read(&mut self, bytes: &[u8], now: Instant) -> Came {
-        self.heard = now;
+    /// Processes received bytes. Returns what ended, and an error if a frame is malformed, after which the connection
+    /// must be closed.
+    pub fn receive(&mut self, bytes: &[u8], now: Instant) -> ReceiveResult {
+        self.last_input = now;
         self.buffer.extend_from_slice(bytes);
         let mut ended = Vec::new();
-        let came = self.frames(&mut ended);
-        self.inside = (!self.buffer.is_empty()).then(|| self.inside.unwrap_or(now));
-        (ended, came)
+        let result = self.process_frames(&mut ended);
+        self.partial_since = (!self.buffer.is_empty()).then(|| self.partial_since.unwrap_or(now));
+        (ended, result)
     }
 
-    fn frames(&mut self, ended: &mut Vec<Ended>) -> Result<(), String> {
-        while let Some(frame) = codec::next(&mut self.buffer)? {
-            self.inside = None;
+    fn process_frames(&mut self, ended: &mut Vec<EndEvent>) -> Result<(), String> {
+        while let Some(frame) = codec::take_frame(&mut self.buffer)? {
+            self.partial_since = None;
             match frame {
-                Frame::End { part, end, load, value } => {
-                    let out = |held: &&Held| held.call.part == part && held.stage.is_out();
-                    let Some(no) = self.calls.values().find(out).map(|held| held.call.no) else {
-                        // An answer to what was given up, or a second one, concerns nobody. An answer to what
-                        // was never asked here stands for one that was: that one never comes.
-                        if let Some(past) = self.past.iter_mut().find(|past| past.0 == part) {
+                Frame::PartEnded { part, status, load, value } => {
+                    let outstanding = |tracked: &&TrackedCall| {
+                        tracked.call.part == part && tracked.stage.is_fully_written()
+                    };
+                    let Some(no) = self.calls.values().find(outstanding).map(|tracked| tracked.call.no)
+                    else {
+                        // A late answer to a part that was given up, or a second answer, is ignored. An answer to a
+                        // part that was never sent here must replace one that was, which will never arrive.
+                        if let Some(past) = self.past_parts.iter_mut().find(|past| past.0 == part) {
                             past.1 = true;
                             continue;
                         }
-                        return Err(format!("an end of the part {part:?}, which is not out here"));
+                        return Err(format!(
+                            "answer to part {part:?}, which is not outstanding on this connection"
+                        ));
                     };
-                    if let Some(Held { stage: Stage::Written(at), .. }) = self.calls.remove(&no) {
-                        self.usual = (self.usual * (USUAL_OF - 1) + (self.heard - at)) / USUAL_OF;
+                    if let Some(TrackedCall { stage: Stage::Written(at), .. }) = self.calls.remove(&no) {
+                        self.average_response_time = (self.average_response_time
+                            * (RESPONSE_TIME_WEIGHT_DIVISOR - 1)
+                            + (self.last_input - at))
+                            / RESPONSE_TIME_WEIGHT_DIVISOR;
                     }
-                    self.pass(part, true);
-                    let (outcome, value) = match end {
-                        End::Served => (Outcome::Completed, Some(value)),
-                        End::Error => (Outcome::Errored, None),
-                        End::TurnedAway => (Outcome::Rejected, None),
+                    self.remember_past(part, true);
+                    let (outcome, value) = match status {
+                        PartStatus::Served => (Outcome::Completed, Some(value)),
+                        PartStatus::Failed => (Outcome::Errored, None),
+                        PartStatus::Rejected => (Outcome::Rejected, None),
                     };
-                    ended.push(Ended::Call(no, CallEnd { outcome, value, load }));
+                    ended.push(EndEvent::Call(no, CallEnd { outcome, value, load }));
                 }
-                Frame::Probed => {
-                    for no in self.proofs.pop_front().map(|(calls, _)| calls).unwrap_or_default() {
-                        if let Some(held) = self.calls.get(&no) {
-                            let part = held.call.part.clone();
-                            self.pass(part, false);
+                Frame::ProbeAnswer => {
+                    for no in self.proof_probes.pop_front().map(|(calls, _)| calls).unwrap_or_default() {
+                        if let Some(tracked) = self.calls.get(&no) {
+                            let part = tracked.call.part.clone();
+                            self.remember_past(part, false);
                             ended.push(self.end(no, Outcome::Cancelled));
                         }
                     }
                 }
-                Frame::Load { ok, load } => {
-                    if let Some((Some(no), _)) = self.probes.pop_front() {
-                        ended.push(Ended::Probe(no, ok, load));
+                Frame::LoadProbeAnswer { ok, load } => {
+                    if let Some((Some(no), _)) = self.load_probes.pop_front() {
+                        ended.push(EndEvent::Probe(no, ok, load));
                     }
                 }
-                Frame::Unusable(why) => return Err(format!("the run store could not use a frame: {why}")),
+                Frame::Rejected(why) => return Err(format!("the run store rejected a frame: {why}")),
             }
         }
-        // With nothing out, these bytes belong to nothing, and the next answer would be read as their rest. But the
-        // answer to what was given up may come yet, and in pieces.
-        let late = self.past.iter().any(|(_, answered)| !answered);
-        if !self.buffer.is_empty() && !late && !self.is_awaited() {
-            return Err("bytes that nobody waits for".into());
+        // With nothing outstanding, these bytes belong to no answer, and the next answer would be read as their
+        // continuation. However, a late answer to a part that was given up may still arrive, in several pieces.
+        let late_answer_possible = self.past_parts.iter().any(|(_, answered)| !answered);
+        if !self.buffer.is_empty() && !late_answer_possible && !self.awaits_answer() {
+            return Err("unexpected bytes while no answer is outstanding".into());
         }
         Ok(())
     }
 
-    /// Stops waiting for a call; says whether it was here.
+    /// Stops waiting for a call. Returns whether it was on this connection.
     pub fn give_up(&mut self, no: CallNo, now: Instant) -> bool {
-        let Some(held) = self.calls.get_mut(&no) else { return false };
-        match held.stage {
+        let Some(tracked) = self.calls.get_mut(&no) else { return false };
+        match tracked.stage {
             Stage::Queued => {
-                self.queue.retain(|item| *item != Item::Call(no));
+                self.queue.retain(|item| *item != QueueItem::Call(no));
                 self.calls.remove(&no);
             }
-            Stage::Writing => held.given_up = Some(false),
+            Stage::Writing => tracked.cancel_after_write = Some(false),
             Stage::Written(at) => {
-                self.note_silence(at, now);
-                self.drop_written(no);
+                self.mark_dead_if_silent(at, now);
+                self.cancel_written(no);
             }
-            // The run store is being told already.
-            Stage::Told | Stage::Asked => {
-                let part = held.call.part.clone();
+            // The cancel frame is already queued or written.
+            Stage::Cancelling | Stage::ProofRequested => {
+                let part = tracked.call.part.clone();
                 self.calls.remove(&no);
-                self.pass(part, false);
+                self.remember_past(part, false);
             }
         }
         true
     }
 
-    /// Gives up a call that ends once it is proved to be over: at once if it has not begun to be written, and by its
-    /// answer, by that to a probe, or with the connection if it has.
-    pub fn call_back(&mut self, no: CallNo, now: Instant) -> Option<Ended> {
-        let held = self.calls.get_mut(&no)?;
-        match held.stage {
+    /// Gives up a call that ends only once it is provably over: at once if none of it was written; otherwise with its
+    /// answer, the answer to a later probe, or the end of the connection.
+    pub fn give_up_with_proof(&mut self, no: CallNo, now: Instant) -> Option<EndEvent> {
+        let tracked = self.calls.get_mut(&no)?;
+        match tracked.stage {
             Stage::Queued => {
-                self.queue.retain(|item| *item != Item::Call(no));
+                self.queue.retain(|item| *item != QueueItem::Call(no));
                 return Some(self.end(no, Outcome::NotSent));
             }
-            Stage::Writing => held.given_up = Some(true),
+            Stage::Writing => tracked.cancel_after_write = Some(true),
             Stage::Written(at) => {
-                self.note_silence(at, now);
-                self.tell(no);
+                self.mark_dead_if_silent(at, now);
+                self.cancel_with_proof(no);
             }
-            Stage::Told | Stage::Asked => {}
+            Stage::Cancelling | Stage::ProofRequested => {}
         }
         None
     }
 
-    fn note_silence(&mut self, written: Instant, now: Instant) {
-        self.suspect |= self.heard < written && now - written >= SILENCE;
+    fn mark_dead_if_silent(&mut self, written: Instant, now: Instant) {
+        self.presumed_dead |= self.last_input < written && now - written >= DEAD_AFTER;
     }
 
-    /// The run store is told that a written call is given up, and the call is forgotten.
-    fn drop_written(&mut self, no: CallNo) {
-        if let Some(Held { call: Call { part, .. }, .. }) = self.calls.remove(&no) {
-            self.queue.push_back(Item::GiveUp(part.clone()));
-            self.pass(part, false);
+    /// Queues the cancel frame of a written call and forgets the call.
+    fn cancel_written(&mut self, no: CallNo) {
+        if let Some(TrackedCall { call: Call { part, .. }, .. }) = self.calls.remove(&no) {
+            self.queue.push_back(QueueItem::Cancel(part.clone()));
+            self.remember_past(part, false);
         }
     }
 
-    /// The same, but the call stays until that is proved to have been read. One probe serves all that stands before it.
-    fn tell(&mut self, no: CallNo) {
-        let Some(held) = self.calls.get_mut(&no) else { return };
-        held.stage = Stage::Told;
-        let told = Item::GiveUp(held.call.part.clone());
-        match self.queue.iter().position(|item| matches!(item, Item::Proof(_))) {
-            Some(at) => self.queue.insert(at, told),
+    /// Queues the cancel frame of a written call, but keeps the call until the run store has provably read that
+    /// frame. One probe serves all cancel frames before it.
+    fn cancel_with_proof(&mut self, no: CallNo) {
+        let Some(tracked) = self.calls.get_mut(&no) else { return };
+        tracked.stage = Stage::Cancelling;
+        let cancel = QueueItem::Cancel(tracked.call.part.clone());
+        match self.queue.iter().position(|item| matches!(item, QueueItem::ProofProbe(_))) {
+            Some(at) => self.queue.insert(at, cancel),
             None => {
-                self.queue.push_back(told);
-                self.queue.extend(self.may_prove.then(|| Item::Proof(Vec::new())));
+                self.queue.push_back(cancel);
+                self.queue.extend(self.proof_probes_allowed.then(|| QueueItem::ProofProbe(Vec::new())));
             }
         }
     }
 
-    /// Stops waiting for a probe; says whether it was here.
+    /// Stops waiting for a probe. Returns whether it was on this connection.
     pub fn give_up_probe(&mut self, no: CallNo) -> bool {
         let queued = self.queue.len();
-        self.queue.retain(|item| *item != Item::Probe(no));
-        let heard = self.heard;
+        self.queue.retain(|item| *item != QueueItem::LoadProbe(no));
+        let last_input = self.last_input;
         let mut found = self.queue.len() < queued;
-        for (known, at) in self.probes.iter_mut().filter(|(known, _)| *known == Some(no)) {
+        for (known, at) in self.load_probes.iter_mut().filter(|(known, _)| *known == Some(no)) {
             *known = None;
-            self.suspect |= heard < *at;
+            self.presumed_dead |= last_input < *at;
             found = true;
         }
         found
     }
 
-    /// Takes back what has not begun to be written. Nothing new is sent, also no probe.
-    pub fn retire(&mut self) -> Vec<Ended> {
-        self.set_may_prove(false);
-        self.queue.retain(|item| matches!(item, Item::GiveUp(_)));
-        let queued = |held: &Held| held.stage == Stage::Queued;
-        let nos: Vec<CallNo> =
-            self.calls.iter().filter(|(_, held)| queued(held)).map(|(no, _)| *no).collect();
-        nos.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
+    /// Ends all queued calls. Sends no further calls or probes.
+    pub fn retire(&mut self) -> Vec<EndEvent> {
+        self.allow_proof_probes(false);
+        self.queue.retain(|item| matches!(item, QueueItem::Cancel(_)));
+        let queued = |tracked: &TrackedCall| tracked.stage == Stage::Queued;
+        let numbers: Vec<CallNo> =
+            self.calls.iter().filter(|(_, tracked)| queued(tracked)).map(|(no, _)| *no).collect();
+        numbers.into_iter().map(|no| self.end(no, Outcome::NotSent)).collect()
     }
 
-    /// Nothing more is written: the ends of all that was not written whole.
-    pub fn sever(&mut self) -> Vec<Ended> {
+    /// Stops writing, and ends every probe and every call that was not written completely.
+    pub fn stop_writing(&mut self) -> Vec<EndEvent> {
         let mut ended = Vec::new();
         for item in self.queue.drain(..).chain(std::mem::take(&mut self.writing)) {
-            if let Item::Probe(no) = item {
-                ended.push(Ended::Probe(no, false, None));
+            if let QueueItem::LoadProbe(no) = item {
+                ended.push(EndEvent::Probe(no, false, None));
             }
         }
-        for (no, _) in self.probes.drain(..) {
-            ended.extend(no.map(|no| Ended::Probe(no, false, None)));
+        for (no, _) in self.load_probes.drain(..) {
+            ended.extend(no.map(|no| EndEvent::Probe(no, false, None)));
         }
-        let unsent = self.calls.iter().filter(|(_, held)| !held.stage.is_out()).map(|(no, _)| *no);
+        let unsent =
+            self.calls.iter().filter(|(_, tracked)| !tracked.stage.is_fully_written()).map(|(no, _)| *no);
         for no in unsent.collect::<Vec<_>>() {
             ended.push(self.end(no, Outcome::ConnectFailed));
         }
         ended
     }
 
-    /// The connection is no more: the ends of all that was on it. If an answer was spoilt, what is out has been
-    /// taken by a run store that lives, and failed there.
-    pub fn broken(&mut self, spoilt: bool) -> Vec<Ended> {
-        let mut ended = self.sever();
-        for (no, held) in std::mem::take(&mut self.calls) {
-            let outcome = match held.stage {
-                Stage::Told | Stage::Asked => Outcome::Cancelled,
-                _ if spoilt => Outcome::Errored,
+    /// Ends everything on the connection because the connection has ended. If an answer was malformed, the run store
+    /// is alive and received the outstanding calls, which failed there.
+    pub fn end_all(&mut self, answer_malformed: bool) -> Vec<EndEvent> {
+        let mut ended = self.stop_writing();
+        for (no, tracked) in std::mem::take(&mut self.calls) {
+            let outcome = match tracked.stage {
+                Stage::Cancelling | Stage::ProofRequested => Outcome::Cancelled,
+                _ if answer_malformed => Outcome::Errored,
                 _ => Outcome::Reset,
             };
-            ended.push(Ended::Call(no, CallEnd::bare(outcome)));
+            ended.push(EndEvent::Call(no, CallEnd::bare(outcome)));
         }
         ended
     }
 
-    fn end(&mut self, no: CallNo, outcome: Outcome) -> Ended {
+    fn end(&mut self, no: CallNo, outcome: Outcome) -> EndEvent {
         self.calls.remove(&no);
-        Ended::Call(no, CallEnd::bare(outcome))
+        EndEvent::Call(no, CallEnd::bare(outcome))
     }
 }
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Transports to run stores: connections, pooled, and what travels on them.
+//! Transports to run stores: pooled connections and the wire protocols on them.
 
 pub mod frames;
 pub mod opensearch;
@@ -9,68 +9,68 @@
 
 use crate::api::Millis;
 use crate::log::Reason;
-use crate::net::Fault;
-use crate::settings::Info;
+use crate::net::SocketErrorKind;
+use crate::settings::SiteSettings;
 
-/// What transports keep to.
+/// Limits and settings of a transport.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// How long a connection may take to come up.
-    pub connect: Duration,
-    /// After this time idle, run stores close connections.
-    pub keep_alive: Duration,
-    /// Calls on one connection at once, where a wire can carry several.
-    pub streams: usize,
-    /// Parts in one call, where a wire can carry several.
-    pub bundle: usize,
-    /// Connections in all.
-    pub connections: usize,
-    /// Whether a part may be out twice. Where not, a connection that is ended here is read on until the run store has
-    /// ended it too: only then is it sure to have noticed.
-    pub copies: bool,
+    /// How long it may take to establish a connection.
+    pub connect_timeout: Duration,
+    /// Run stores close connections after this idle time.
+    pub run_store_idle_timeout: Duration,
+    /// Maximum number of concurrent calls on one connection, where the protocol supports several.
+    pub max_calls_per_connection: usize,
+    /// Maximum number of parts in one call, where the protocol supports several.
+    pub max_parts_per_call: usize,
+    /// Maximum number of connections in all.
+    pub max_connections: usize,
+    /// Whether several attempts of a part may run at once. If not, a connection closed by this side is read until the
+    /// run store closes it too: only then is the run store certain to have noticed.
+    pub parallel_attempts: bool,
     /// Whether run stores may be probed.
-    pub probes: bool,
+    pub probes_allowed: bool,
 }
 
-/// Where a run store listens, and since when its process runs.
-type At = (SocketAddr, Option<Millis>);
+/// The address of a run store, and when its process started.
+type Endpoint = (SocketAddr, Option<Millis>);
 
-/// The pause after this machine could make no connection.
-const NO_SOCKET_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after this machine failed to create a connection.
+const NO_SOCKET_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Why a connection could not be made.
-fn connect_failed(error: &io::Error) -> Reason {
-    match (error.kind(), Fault::of(error)) {
+/// Returns the reason for the log when a connection could not be made.
+fn connect_failure_reason(error: &io::Error) -> Reason {
+    match (error.kind(), SocketErrorKind::of(error)) {
         (io::ErrorKind::TimedOut, _) => Reason::ConnectTimeout,
-        (_, Fault::Connection) => Reason::ConnectFailed,
-        (_, Fault::Room | Fault::Machine) => Reason::NoSocket,
+        (_, SocketErrorKind::Connection) => Reason::ConnectFailed,
+        (_, SocketErrorKind::ResourceLimit | SocketErrorKind::LocalHost) => Reason::NoSocket,
     }
 }
 
-/// The share of the idle time after which run stores close that a connection is kept here: to close first is
-/// to never write to one that is being closed.
-const IDLE_SHARE: f64 = 0.8;
+/// Connections are closed after this share of the idle time after which run stores close them. Closing first avoids
+/// writing to a connection that is being closed.
+const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 
 impl Limits {
-    /// What settings say of connections, of which there may be so many.
-    pub fn of(info: &Info, connections: usize) -> Self {
+    /// Takes the limits from the settings, with a maximum number of connections.
+    pub fn from_settings(site: &SiteSettings, max_connections: usize) -> Self {
         Limits {
-            connect: span(info.caps.connect_timeout_ms()),
-            keep_alive: span(info.caps.keepalive_ms()),
-            streams: info.caps.streams_per_conn() as usize,
-            bundle: info.domain.bundle_max() as usize,
-            connections,
-            copies: info.caps.parallel_tries,
-            probes: info.caps.probes,
+            connect_timeout: duration_from_millis(site.caps.connect_timeout_ms()),
+            run_store_idle_timeout: duration_from_millis(site.caps.keepalive_ms()),
+            max_calls_per_connection: site.caps.streams_per_conn() as usize,
+            max_parts_per_call: site.domain.bundle_max() as usize,
+            max_connections,
+            parallel_attempts: site.caps.parallel_tries,
+            probes_allowed: site.caps.probes,
         }
     }
 
-    fn idle(&self) -> Duration {
-        self.keep_alive.mul_f64(IDLE_SHARE)
+    fn idle_timeout(&self) -> Duration {
+        self.run_store_idle_timeout.mul_f64(IDLE_TIMEOUT_SHARE)
     }
 }
 
-/// A span of the settings as a duration.
-pub fn span(millis: Millis) -> Duration {
+/// Converts a time in milliseconds, as in the settings, to a duration.
+pub fn duration_from_millis(millis: Millis) -> Duration {
     Duration::from_secs_f64(millis.clamp(0.0, 1e9) / 1000.0)
 }
--- a/tests/figures.rs
+++ b/tests/figures.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use ironpaddle::api::{Outcome, ReplicaState};
-use ironpaddle::core::{Call, CallEnd, Core, News, Order, QueryNo, Verdict};
-use ironpaddle::settings::Info;
+use ironpaddle::core::{Call, CallEnd, Command, Core, DirectoryUpdate, FinalAnswer, QueryNo};
+use ironpaddle::settings::SiteSettings;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
@@ -45,16 +45,16 @@
 
 fn core() -> Core {
     let class = |name: &str, repeat: &str| json!({"name": name, "aim_ms": 300.0, "deadline_ms": 900.0, "repeat": repeat});
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 2, "max_open": 12, "may_cancel": true},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [0.4, 1.0], "complete_from": [1.0, 1.0]},
         "request_classes": [class(CLASSES[0], "read_like"), class(CLASSES[1], "non_idempotent")],
         "tick_ms": 5.0,
     }))
     .unwrap();
-    let mut core = Core::new(&info, 7).unwrap();
+    let mut core = Core::new(&site, 7).unwrap();
     let line = |name: &str| fixture::listed(name, ReplicaState::Active, 0.0);
-    core.take_news(News::Cached(vec![line("a"), line("b")]));
+    core.apply_directory_update(DirectoryUpdate::Cached(vec![line("a"), line("b")]));
     core
 }
 
@@ -77,9 +77,9 @@
     }
 
     fn look(&mut self, core: &mut Core) {
-        while let Some(order) = core.next_order() {
-            match order {
-                Order::Send(call) => {
+        while let Some(command) = core.next_command() {
+            match command {
+                Command::Send(call) => {
                     assert!(
                         self.out.iter().all(|known| known.part != call.part),
                         "a second copy of {}",
@@ -88,16 +88,16 @@
                     self.out.push(call);
                 }
                 // What is to be proved over may still end in any way.
-                Order::GiveUp { no, prove, .. } => {
-                    self.proved += u64::from(prove);
-                    self.out.retain(|call| prove || call.no != no);
+                Command::Abandon { no, await_proof, .. } => {
+                    self.proved += u64::from(await_proof);
+                    self.out.retain(|call| await_proof || call.no != no);
                 }
-                Order::Final { query, verdict } => {
+                Command::Answer { query, answer } => {
                     let class = self.open.remove(&query).expect("one final answer to each query");
-                    let end = match verdict {
-                        Verdict::Served { .. } => 0,
-                        Verdict::Refused { .. } => 1,
-                        Verdict::Failed { .. } => 2,
+                    let end = match answer {
+                        FinalAnswer::Served { .. } => 0,
+                        FinalAnswer::Refused { .. } => 1,
+                        FinalAnswer::Failed { .. } => 2,
                     };
                     self.ends[class][end] += 1;
                 }
--- a/tests/late.rs
+++ b/tests/late.rs
@@ -11,15 +11,15 @@
 use futures_lite::{future, AsyncReadExt};
 use ironpaddle::api::{Millis, Outcome, ReplicaId, ReplicaState};
 use ironpaddle::core::drive::{Directory, Driver, RunStores};
-use ironpaddle::core::{Call, CallEnd, CallNo, Core, News, QueryNo};
-use ironpaddle::settings::Info;
-use ironpaddle::transport::{frames::Frames, opensearch::Searches, Limits};
+use ironpaddle::core::{Call, CallEnd, CallNo, Core, DirectoryUpdate, QueryNo};
+use ironpaddle::settings::SiteSettings;
+use ironpaddle::transport::{frames::FrameTransport, opensearch::SearchTransport, Limits};
 use serde_json::json;
 
 #[path = "common/core.rs"]
 mod fixture;
 
-fn info() -> Info {
+fn site() -> SiteSettings {
     let class = json!({"name": "search", "aim_ms": 1000.0, "deadline_ms": 9000.0, "repeat": "read_like"});
     serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "may_cancel": true},
@@ -31,22 +31,22 @@
 }
 
 fn driver() -> Rc<Driver> {
-    Driver::new(Core::new(&info(), 7).unwrap(), Rc::new(LocalExecutor::new()))
+    Driver::new(Core::new(&site(), 7).unwrap(), Rc::new(LocalExecutor::new()))
 }
 
 fn call(no: u64, replica: &str, until: Millis, allowed_until: Millis) -> Call {
     Call {
         no: CallNo(no),
-        replica: replica.into(),
+        run_store: replica.into(),
         part: format!("q{no}.0"),
         query: format!("q{no}"),
         class: "search".into(),
-        of: (QueryNo(no), 0),
+        query_attempt: (QueryNo(no), 0),
         key: None,
         shard: 0,
         until,
         allowed_until,
-        text: Rc::from(&b"\ntext"[..]),
+        payload: Rc::from(&b"\ntext"[..]),
     }
 }
 
@@ -68,12 +68,12 @@
 fn a_call_that_is_late_when_it_could_be_written_is_not_written() {
     type Made = fn(Rc<Driver>, Limits) -> Rc<dyn RunStores>;
     let made: [Made; 2] = [
-        |driver, limits| Rc::new(Frames::new(driver, limits)),
-        |driver, limits| Rc::new(Searches::new(driver, limits)),
+        |driver, limits| Rc::new(FrameTransport::new(driver, limits)),
+        |driver, limits| Rc::new(SearchTransport::new(driver, limits)),
     ];
     for made in made {
         let driver = driver();
-        let stores = made(driver.clone(), Limits::of(&info(), 10));
+        let stores = made(driver.clone(), Limits::from_settings(&site(), 10));
         let (address, first) = listener();
         let (id, now) = (ReplicaId::from("s"), driver.now());
         stores.locate(&id, address, None);
@@ -98,23 +98,23 @@
 #[test]
 fn a_connection_that_is_too_slow_is_over_once_its_run_store_has_ended_it_where_copies_may_not_be_out() {
     for copies in [true, false] {
-        let (driver, mut info) = (driver(), info());
-        info.caps.parallel_tries = copies;
-        let stores = Frames::new(driver.clone(), Limits::of(&info, 10));
+        let (driver, mut site) = (driver(), site());
+        site.caps.parallel_tries = copies;
+        let stores = FrameTransport::new(driver.clone(), Limits::from_settings(&site, 10));
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let now = driver.now();
         stores.locate(&"s".into(), listener.local_addr().unwrap(), None);
         stores.send(call(1, "s", now + 9000.0, Millis::INFINITY));
         // More than the system takes for one that does not read.
         let text = vec![b'x'; 32_000_000].into();
-        stores.send(Call { text, ..call(2, "s", now + 9000.0, now + 200.0) });
+        stores.send(Call { payload: text, ..call(2, "s", now + 9000.0, now + 200.0) });
         let executor = driver.executor().clone();
         let a_while = || async_io::block_on(executor.run(Timer::after(Duration::from_millis(700))));
         a_while();
-        assert_eq!(stores.open(), usize::from(!copies), "copies {copies}");
+        assert_eq!(stores.connections(), usize::from(!copies), "copies {copies}");
         drop(listener.accept().unwrap());
         a_while();
-        assert_eq!(stores.open(), 0, "copies {copies}");
+        assert_eq!(stores.connections(), 0, "copies {copies}");
     }
 }
 
@@ -129,7 +129,7 @@
         self.sent.set(self.sent.get() + 1);
         self.driver.call_ended(call.no, CallEnd::bare(Outcome::Rejected));
     }
-    fn give_up(&self, _: &ReplicaId, _: CallNo, _: bool) {}
+    fn abandon(&self, _: &ReplicaId, _: CallNo, _: bool) {}
     fn probe(&self, _: &ReplicaId, no: CallNo) {
         self.driver.probe_ended(no, true, None);
     }
@@ -137,14 +137,14 @@
     fn close_idle(&self, _: &ReplicaId) {}
     fn retire(&self, _: &ReplicaId) {}
     fn locate(&self, _: &ReplicaId, _: SocketAddr, _: Option<Millis>) {}
-    fn places(&self) -> usize {
+    fn tracked_run_stores(&self) -> usize {
         0
     }
-    fn open(&self) -> usize {
+    fn connections(&self) -> usize {
         0
     }
-    fn room(&self, _: usize) {}
-    fn retune(&self, _: &Info) {}
+    fn set_max_connections(&self, _: usize) {}
+    fn apply_settings(&self, _: &SiteSettings) {}
 }
 
 struct NoDirectory;
@@ -161,18 +161,18 @@
     let sent = Rc::new(Cell::new(0));
     driver.connect(Rc::new(Full { driver: driver.clone(), sent: sent.clone() }), Rc::new(NoDirectory));
     let lines = ["a", "b"].map(|name| fixture::listed(name, ReplicaState::Active, 0.0));
-    driver.take_news(News::Cached(lines.to_vec()));
+    driver.apply_directory_update(DirectoryUpdate::Cached(lines.to_vec()));
     let executor = driver.executor().clone();
     executor.spawn(driver.clone().run()).detach();
     let (mut client, server) = std::os::unix::net::UnixStream::pair().unwrap();
     let mut server = Async::new(server).unwrap();
-    let pending = driver.ask(fixture::ask("r1", "search", 1, 9000.0)).unwrap();
+    let pending = driver.submit(fixture::ask("r1", "search", 1, 9000.0)).unwrap();
     let serves = async {
         let left = async {
             let _ = server.read(&mut [0]).await;
         };
         let answered = async {
-            pending.verdict().await;
+            pending.answer().await;
         };
         future::or(left, answered).await;
         drop(pending);
--- a/tests/list.rs
+++ b/tests/list.rs
@@ -10,19 +10,19 @@
 use std::thread;
 use std::time::Duration;
 
-use fixture::{listed, orders};
+use fixture::{commands, listed};
 use futures_lite::future;
 use ironpaddle::api::{Millis, ReplicaState};
 use ironpaddle::core::drive::{Directory, Driver};
-use ironpaddle::core::{Core, Listed, News, Order};
-use ironpaddle::directory::list::{MOST_BYTES, MOST_LINES};
+use ironpaddle::core::{Command, Core, DirectoryUpdate, ListedRunStore};
+use ironpaddle::directory::list::{MAX_LINES, MAX_LIST_BYTES};
 use ironpaddle::directory::watch::Watch;
-use ironpaddle::settings::Info;
+use ironpaddle::settings::SiteSettings;
 use proptest::prelude::*;
 use serde_json::json;
 
 fn core() -> Core {
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3},
         "domain": {"cells": 1, "width": 1, "shards": 9},
         "request_classes":
@@ -30,7 +30,7 @@
         "tick_ms": 5.0,
     }))
     .unwrap();
-    Core::new(&info, 7).unwrap()
+    Core::new(&site, 7).unwrap()
 }
 
 type Located = Option<(SocketAddr, Option<Millis>)>;
@@ -40,18 +40,18 @@
 struct Reference(BTreeMap<String, (ReplicaState, Located)>);
 
 impl Reference {
-    fn take(&mut self, news: &News) -> Vec<Order> {
+    fn take(&mut self, news: &DirectoryUpdate) -> Vec<Command> {
         let (lines, whole) = match news {
-            News::Cached(lines) | News::Full(lines) => (&lines[..], true),
-            News::Changes(lines) => (&lines[..], false),
-            News::Broken | News::Silent => (&[][..], false),
+            DirectoryUpdate::Cached(lines) | DirectoryUpdate::Full(lines) => (&lines[..], true),
+            DirectoryUpdate::Changes(lines) => (&lines[..], false),
+            DirectoryUpdate::Failed | DirectoryUpdate::Silent => (&[][..], false),
         };
-        let mut orders = Vec::new();
+        let mut commands = Vec::new();
         if whole {
             for name in self.0.keys().cloned().collect::<Vec<_>>() {
                 if !lines.iter().any(|line| *line.replica.id.0 == *name) {
                     self.0.remove(&name);
-                    orders.push(Order::Retire(name.as_str().into()));
+                    commands.push(Command::Retire(name.as_str().into()));
                 }
             }
         }
@@ -60,10 +60,10 @@
             let before = self.0.get(&name).copied();
             let at = line.address.map(|at| (at, line.replica.started)).or(before.and_then(|(_, at)| at));
             if state != ReplicaState::Active {
-                orders.push(Order::Retire(line.replica.id.clone()));
+                commands.push(Command::Retire(line.replica.id.clone()));
             } else if before != Some((ReplicaState::Active, at)) {
-                orders.extend(at.map(|(address, started)| Order::Locate {
-                    replica: line.replica.id.clone(),
+                commands.extend(at.map(|(address, started)| Command::Locate {
+                    run_store: line.replica.id.clone(),
                     address,
                     started,
                 }));
@@ -73,28 +73,28 @@
                 _ => self.0.insert(name, (state, at)),
             };
         }
-        orders
+        commands
     }
 }
 
-fn news() -> impl Strategy<Value = News> {
+fn news() -> impl Strategy<Value = DirectoryUpdate> {
     let state = prop_oneof![
         6 => Just(ReplicaState::Active),
         2 => Just(ReplicaState::Draining),
         1 => Just(ReplicaState::Gone),
     ];
     let line = (0u8..20, state, 0u8..4, prop::option::weighted(0.8, 1u16..4)).prop_map(
-        |(name, state, started, port)| Listed {
+        |(name, state, started, port)| ListedRunStore {
             address: port.map(|port| ([127, 0, 0, 1], port).into()),
             ..listed(&format!("s-{name}"), state, f64::from(started))
         },
     );
     let lines = || prop::collection::vec(line.clone(), 0..30);
     prop_oneof![
-        2 => lines().prop_map(News::Full),
-        1 => lines().prop_map(News::Cached),
-        3 => lines().prop_map(News::Changes),
-        1 => Just(News::Broken),
+        2 => lines().prop_map(DirectoryUpdate::Full),
+        1 => lines().prop_map(DirectoryUpdate::Cached),
+        3 => lines().prop_map(DirectoryUpdate::Changes),
+        1 => Just(DirectoryUpdate::Failed),
     ]
 }
 
@@ -105,8 +105,8 @@
         let (mut core, mut reference) = (core(), Reference::default());
         for news in told {
             let expected = reference.take(&news);
-            core.take_news(news);
-            prop_assert_eq!(orders(&mut core), expected);
+            core.apply_directory_update(news);
+            prop_assert_eq!(commands(&mut core), expected);
             let names: Vec<_> = core.directory().iter().map(|line| line.replica.id.0.to_string()).collect();
             prop_assert_eq!(names, reference.0.keys().cloned().collect::<Vec<_>>());
         }
@@ -187,10 +187,10 @@
 #[test]
 fn a_list_of_57_000_lines_is_taken_and_one_beyond_the_bounds_leaves_it_as_it_was() {
     let whole = || Does::Tells(body(57_000));
-    let too_many = Does::Tells(body(MOST_LINES + 1));
+    let too_many = Does::Tells(body(MAX_LINES + 1));
     assert_eq!(known_after(vec![whole(), too_many]), 57_000, "too many lines");
-    assert_eq!(known_after(vec![whole(), Does::Begins(MOST_BYTES + 1)]), 57_000, "too many bytes");
+    assert_eq!(known_after(vec![whole(), Does::Begins(MAX_LIST_BYTES + 1)]), 57_000, "too many bytes");
     // What is beyond the old list and within the bounds takes its place.
     let fewer = Does::Tells(body(600));
-    assert_eq!(known_after(vec![whole(), fewer, Does::Begins(MOST_BYTES + 1)]), 600);
+    assert_eq!(known_after(vec![whole(), fewer, Does::Begins(MAX_LIST_BYTES + 1)]), 600);
 }
--- a/tests/hand.rs
+++ b/tests/manual_drain.rs
@@ -3,10 +3,10 @@
 #[path = "common/core.rs"]
 mod fixture;
 
-use fixture::{calls, listed as line, orders};
+use fixture::{calls, commands, listed as line};
 use ironpaddle::api::{Outcome, ReplicaState};
-use ironpaddle::core::{Ask, Call, CallEnd, Core, News, Order};
-use ironpaddle::settings::Info;
+use ironpaddle::core::{Call, CallEnd, Command, Core, DirectoryUpdate, QueryRequest};
+use ironpaddle::settings::SiteSettings;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use serde_json::json;
@@ -14,7 +14,7 @@
 const WARM: f64 = 10_000.0;
 
 fn core() -> Core {
-    let info: Info = serde_json::from_value(json!({
+    let site: SiteSettings = serde_json::from_value(json!({
         "caps": {"max_attempts": 3, "max_open": 500, "may_cancel": true, "probes": true, "connect_timeout_ms": 50.0},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [1.0], "complete_from": [1.0]},
         "request_classes": [{"name": "search", "aim_ms": 300.0, "deadline_ms": 900.0, "repeat": "read_like"}],
@@ -22,15 +22,15 @@
         "tick_ms": 5.0,
     }))
     .unwrap();
-    let mut core = Core::new(&info, 7).unwrap();
-    core.take_news(News::Full(vec![
+    let mut core = Core::new(&site, 7).unwrap();
+    core.apply_directory_update(DirectoryUpdate::Full(vec![
         line("a", ReplicaState::Active, 0.0),
         line("b", ReplicaState::Active, 0.0),
     ]));
     core
 }
 
-fn ask(number: usize) -> Ask {
+fn ask(number: usize) -> QueryRequest {
     fixture::ask(&format!("r{number}"), "search", 1, 900.0)
 }
 
@@ -76,22 +76,29 @@
     let (mut core, mut now, mut out) = (core(), 1e6, false);
     let mut queue = Vec::new();
     core.step(now);
-    orders(&mut core);
+    commands(&mut core);
     for (at, step) in steps.iter().enumerate() {
         let told = |state, since: Option<f64>| line("a", state, since.map_or(0.0, |since| now - since));
         match step {
             Step::Out | Step::Back => {
                 out = matches!(step, Step::Out);
-                prop_assert!(core.by_hand(now, &"a".into(), out), "it was listed once");
-                prop_assert!(!core.by_hand(now, &"c".into(), out), "it never was");
+                prop_assert!(core.set_manual_drain(now, &"a".into(), out), "it was listed once");
+                prop_assert!(!core.set_manual_drain(now, &"c".into(), out), "it never was");
             }
             Step::Full(state, since) => {
-                core.take_news(News::Full(vec![told(*state, *since), line("b", ReplicaState::Active, 0.0)]));
+                core.apply_directory_update(DirectoryUpdate::Full(vec![
+                    told(*state, *since),
+                    line("b", ReplicaState::Active, 0.0),
+                ]));
             }
-            Step::Change(state, since) => core.take_news(News::Changes(vec![told(*state, *since)])),
-            Step::Unlisted => core.take_news(News::Full(vec![line("b", ReplicaState::Active, 0.0)])),
-            Step::Broken => core.take_news(News::Broken),
-            Step::Retune => core.retune(&info()).unwrap(),
+            Step::Change(state, since) => {
+                core.apply_directory_update(DirectoryUpdate::Changes(vec![told(*state, *since)]))
+            }
+            Step::Unlisted => {
+                core.apply_directory_update(DirectoryUpdate::Full(vec![line("b", ReplicaState::Active, 0.0)]))
+            }
+            Step::Broken => core.apply_directory_update(DirectoryUpdate::Failed),
+            Step::Retune => core.apply_settings(&site()).unwrap(),
             Step::Ask => {
                 core.take_in(now, ask(at)).unwrap();
             }
@@ -105,18 +112,22 @@
         }
         now += 5.0;
         core.step(now);
-        for order in orders(&mut core) {
-            match order {
-                Order::Send(call) => {
-                    prop_assert!(!out || call.replica == "b".into(), "an attempt at {} while it is out", at);
+        for command in commands(&mut core) {
+            match command {
+                Command::Send(call) => {
+                    prop_assert!(
+                        !out || call.run_store == "b".into(),
+                        "an attempt at {} while it is out",
+                        at
+                    );
                     queue.push(call);
                 }
-                Order::Probe { replica, no } => {
-                    prop_assert!(!out || replica == "b".into(), "a probe at {} while it is out", at);
+                Command::Probe { run_store, no } => {
+                    prop_assert!(!out || run_store == "b".into(), "a probe at {} while it is out", at);
                     core.probe_ended(no, false, None);
                 }
-                Order::Locate { replica, .. } => {
-                    prop_assert!(!out || replica == "b".into(), "located at {} while it is out", at);
+                Command::Locate { run_store, .. } => {
+                    prop_assert!(!out || run_store == "b".into(), "located at {} while it is out", at);
                 }
                 _ => {}
             }
@@ -125,7 +136,7 @@
     Ok(())
 }
 
-fn info() -> Info {
+fn site() -> SiteSettings {
     serde_json::from_value(json!({
         "caps": {"max_attempts": 2, "max_open": 500, "may_cancel": true, "probes": true},
         "domain": {"cells": 1, "width": 1, "shards": 9, "least_share": [1.0], "complete_from": [1.0]},
@@ -153,17 +164,17 @@
         core.take_in(now, ask(number)).unwrap();
         now += 5.0;
         core.step(now);
-        for call in calls(&orders(&mut core)) {
+        for call in calls(&commands(&mut core)) {
             let outcome =
-                if call.replica == "a".into() { Outcome::ConnectFailed } else { Outcome::Completed };
+                if call.run_store == "a".into() { Outcome::ConnectFailed } else { Outcome::Completed };
             core.call_ended(now, call.no, CallEnd { outcome, value: Some(b"v"[..].into()), load: None });
         }
     }
     assert_eq!(core.gauges().pool_ejected, 1, "parked");
-    assert!(core.by_hand(now, &"a".into(), true));
-    assert!(orders(&mut core).contains(&Order::Retire("a".into())));
+    assert!(core.set_manual_drain(now, &"a".into(), true));
+    assert!(commands(&mut core).contains(&Command::Retire("a".into())));
     now += 500.0;
-    assert!(core.by_hand(now, &"a".into(), false));
+    assert!(core.set_manual_drain(now, &"a".into(), false));
     core.step(now);
     assert_eq!(core.gauges().pool_ejected, 0);
     let back = now;
@@ -176,10 +187,10 @@
         }
         now += 5.0;
         core.step(now);
-        let orders = orders(&mut core);
-        located += orders.iter().filter(|order| matches!(order, Order::Locate { .. })).count();
-        for call in calls(&orders) {
-            if call.replica == "a".into() {
+        let commands = commands(&mut core);
+        located += commands.iter().filter(|command| matches!(command, Command::Locate { .. })).count();
+        for call in calls(&commands) {
+            if call.run_store == "a".into() {
                 sent.0 += 1
             } else {
                 sent.1 += 1
@@ -189,12 +200,16 @@
         }
         if number == 150 {
             // Discovery tells of the restart at last: it is the one that is known.
-            core.take_news(News::Changes(vec![line("a", ReplicaState::Active, back - 200.0)]));
+            core.apply_directory_update(DirectoryUpdate::Changes(vec![line(
+                "a",
+                ReplicaState::Active,
+                back - 200.0,
+            )]));
         }
     }
     assert!(sent.0 > 0 && sent.0 * 2 < sent.1, "used, with care, as it is cold: {sent:?}");
     assert_eq!(located, 1, "what discovery tells late makes no new process of it");
     // A later start is one.
-    core.take_news(News::Changes(vec![line("a", ReplicaState::Active, back + 10.0)]));
-    assert!(orders(&mut core).iter().any(|order| matches!(order, Order::Locate { .. })));
+    core.apply_directory_update(DirectoryUpdate::Changes(vec![line("a", ReplicaState::Active, back + 10.0)]));
+    assert!(commands(&mut core).iter().any(|command| matches!(command, Command::Locate { .. })));
 }
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -1,4 +1,4 @@
-//! A recording replays to the same actions, whatever happened in it, and a summary of it equals the counts.
+//! Tests that a recording replays to the same actions, whatever happened in it, and that its summary equals the counts.
 
 #[path = "common/core.rs"]
 mod fixture;
@@ -6,25 +6,25 @@
 use std::io::Cursor;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use fixture::{calls, listed, orders};
+use fixture::{calls, commands, listed};
 use ironpaddle::api::{LoadReport, Outcome, ReplicaState};
-use ironpaddle::core::{Call, CallEnd, Core, Listed, News, Order};
-use ironpaddle::settings::Info;
+use ironpaddle::core::{Call, CallEnd, Command, Core, DirectoryUpdate, ListedRunStore};
+use ironpaddle::settings::SiteSettings;
 use ironpaddle::trace::replay::{Replay, Report};
-use ironpaddle::trace::tape::{Limits, Tape};
+use ironpaddle::trace::writer::{Limits, TraceWriter};
 use ironpaddle_trace::block::Block;
 use ironpaddle_trace::file::{Reader, Source, Writer};
 use ironpaddle_trace::keep::Job;
 use ironpaddle_trace::record::{Action, Entry, Record};
 use ironpaddle_trace::set::Set;
-use ironpaddle_trace::summary::{summarise, Only, Summary};
+use ironpaddle_trace::summary::{summarise, Filter, Summary};
 use serde_json::json;
 
-/// Unix milliseconds at which these days begin.
+/// The time at which each simulated day begins, in Unix milliseconds.
 const BEGIN: f64 = 1_764_608_400_000.0;
 const STORES: usize = 8;
 
-fn info(aim: f64) -> Info {
+fn site(aim: f64) -> SiteSettings {
     let class = |name: &str, repeat: &str| json!({"name": name, "aim_ms": aim, "deadline_ms": 4000.0, "repeat": repeat, "late_worth": 0.1});
     serde_json::from_value(json!({
         "balancers": 2,
@@ -38,7 +38,7 @@
     .unwrap()
 }
 
-fn list(random: &mut fastrand::Rng, now: f64) -> Vec<Listed> {
+fn list(random: &mut fastrand::Rng, now: f64) -> Vec<ListedRunStore> {
     let line = |store: usize| {
         let mut line = listed(&format!("s-{store}"), ReplicaState::Active, 0.0);
         line.replica.cell = store as u32;
@@ -51,13 +51,13 @@
     (0..STORES).map(line).collect()
 }
 
-/// Plays a day of some trouble against a core, of which a tape is kept; gives back the jobs and the core.
-fn day(seed: u64, limits: Limits, mut meddle: impl FnMut(&mut Core, f64)) -> (Vec<Job>, Core) {
+/// Plays a day with faults against a core that is recorded, and returns the recorded jobs and the core.
+fn day(seed: u64, limits: Limits, mut intervene: impl FnMut(&mut Core, f64)) -> (Vec<Job>, Core) {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut core = Core::new(&info(1000.0), seed).unwrap();
+    let mut core = Core::new(&site(1000.0), seed).unwrap();
     let source = Source { aggregator: "n0".into(), started: BEGIN as u64, seed, ..Source::default() };
-    core.record(BEGIN, Some(Tape::new(source, limits, 0)));
-    core.take_news(News::Cached(list(&mut random, BEGIN)));
+    core.set_trace_writer(BEGIN, Some(TraceWriter::new(source, limits, 0)));
+    core.apply_directory_update(DirectoryUpdate::Cached(list(&mut random, BEGIN)));
     let (mut now, mut jobs, mut asked) = (BEGIN, Vec::new(), 0);
     let mut out: Vec<(f64, Call)> = Vec::new();
     for step in 0..4000 {
@@ -66,7 +66,7 @@
             let (class, parts) = if random.bool() { ("search", random.u32(1..6)) } else { ("entry", 1) };
             let mut ask = fixture::ask(&format!("c{asked}"), class, parts, 800.0 + random.f64() * 3000.0);
             ask.tenant = ["vaal", "vaal-muon", "unknown"].get(random.usize(..4)).map(ToString::to_string);
-            ask.retried = random.f64() < 0.1;
+            ask.is_retry = random.f64() < 0.1;
             asked += 1;
             let no = core.take_in(now, ask).unwrap();
             if random.f64() < 0.02 {
@@ -74,26 +74,30 @@
             }
         }
         if random.f64() < 0.002 {
-            core.not_taken(now, "search");
+            core.note_invalid_request(now, "search");
         }
         if random.f64() < 0.004 {
             let news = list(&mut random, now);
-            core.take_news(if random.bool() { News::Full(news) } else { News::Broken });
+            core.apply_directory_update(if random.bool() {
+                DirectoryUpdate::Full(news)
+            } else {
+                DirectoryUpdate::Failed
+            });
         }
-        meddle(&mut core, now);
+        intervene(&mut core, now);
         core.step(now);
-        let orders = orders(&mut core);
-        for order in &orders {
-            if let Order::GiveUp { no, prove, .. } = order {
+        let commands = commands(&mut core);
+        for command in &commands {
+            if let Command::Abandon { no, await_proof, .. } = command {
                 out.retain(|(_, call)| call.no != *no);
-                if *prove {
+                if *await_proof {
                     core.call_ended(now, *no, CallEnd::bare(Outcome::Cancelled));
                 }
             }
         }
-        for call in calls(&orders) {
-            // Two run stores fail much, one is slow.
-            let slow = if &*call.replica.0 == "s-2" { 900.0 } else { 60.0 };
+        for call in calls(&commands) {
+            // Two run stores fail often, and one is slow.
+            let slow = if &*call.run_store.0 == "s-2" { 900.0 } else { 60.0 };
             out.push((now + random.f64() * slow, call));
         }
         let due = |(at, call): &(f64, Call)| *at <= now || call.until <= now;
@@ -104,7 +108,7 @@
                 core.call_timed_out(now, call.no);
                 continue;
             }
-            let bad = matches!(&*call.replica.0, "s-3" | "s-4") && step % 1000 > 500;
+            let bad = matches!(&*call.run_store.0, "s-3" | "s-4") && step % 1000 > 500;
             let outcome = match random.u32(..if bad { 8 } else { 200 }) {
                 0 => Outcome::Errored,
                 1 => Outcome::Reset,
@@ -119,21 +123,21 @@
             };
             core.call_ended(now, call.no, CallEnd { outcome, value, load: Some(load) });
         }
-        core.tape_due(now);
+        core.trace_counters(now);
         jobs.extend(fetch(&mut core, now));
     }
-    core.tape_last(now);
+    core.finish_trace(now);
     jobs.extend(fetch(&mut core, now));
     (jobs, core)
 }
 
 fn fetch(core: &mut Core, now: f64) -> Vec<Job> {
-    let Some(tape) = core.tape() else { return Vec::new() };
-    tape.tick(now);
-    std::iter::from_fn(|| tape.next_job()).collect()
+    let Some(trace_writer) = core.trace_writer() else { return Vec::new() };
+    trace_writer.tick(now);
+    std::iter::from_fn(|| trace_writer.next_job()).collect()
 }
 
-/// The segments that some jobs make.
+/// Writes jobs to segments, and returns their bytes.
 fn segments(jobs: Vec<Job>) -> Vec<Vec<u8>> {
     let (mut made, mut writer): (Vec<Vec<u8>>, Option<Writer<Vec<u8>>>) = (Vec::new(), None);
     for job in jobs {
@@ -161,7 +165,7 @@
     }
 }
 
-fn replay(segments: &[Vec<u8>], other: Option<Info>) -> Report {
+fn replay(segments: &[Vec<u8>], other: Option<SiteSettings>) -> Report {
     let mut replay = Replay::new(other);
     each(segments, |block, entry| replay.take(block, entry));
     replay.report()
@@ -169,7 +173,7 @@
 
 const LONG: Limits = Limits { bytes: u64::MAX, age: f64::INFINITY };
 
-/// Segments in a folder of their own, read as a set.
+/// Writes segments to a folder of their own, and summarizes them as a set.
 fn summary(segments: &[Vec<u8>]) -> Summary {
     static MADE: AtomicUsize = AtomicUsize::new(0);
     let no = MADE.fetch_add(1, Ordering::Relaxed);
@@ -180,7 +184,7 @@
     }
     let mut set = Set::open(std::slice::from_ref(&dir)).unwrap();
     let all = (f64::NEG_INFINITY, f64::INFINITY);
-    let summary = summarise(&mut set, all, &Only::default());
+    let summary = summarise(&mut set, all, &Filter::default());
     std::fs::remove_dir_all(dir).unwrap();
     summary
 }
@@ -195,7 +199,7 @@
         assert_eq!(report.difference, None, "seed {seed}");
         assert_eq!((report.checkpoints, report.steps, report.skipped), (1, 4000, 0));
         assert!(report.actions > 5000, "{report:?}");
-        // The day was one that tries the module.
+        // The day has failures of each kind.
         let ends = core.counters.ends;
         assert!(ends[1] > 10 && ends[2] > 10 && ends[5] > 10 && ends[6] > 10, "{ends:?}");
     }
@@ -214,7 +218,7 @@
         steps += report.steps;
     }
     assert_eq!(steps, 4000);
-    // Most begin in the middle of things.
+    // Later segments begin with queries in flight.
     let mut open = 0;
     each(&segments[1..], |block, entry| {
         if let (Record::Step(step), 0) = (&entry.record, open) {
@@ -231,7 +235,7 @@
     let (jobs, _) = day(6, LONG, |core, _| {
         steps += 1;
         if steps % 700 == 0 {
-            core.retune(&info(600.0 + f64::from(steps))).unwrap();
+            core.apply_settings(&site(600.0 + f64::from(steps))).unwrap();
         }
     });
     let report = replay(&segments(jobs), None);
@@ -244,7 +248,7 @@
     let (jobs, core) = day(7, LONG, |core, now| {
         steps += 1;
         if steps == 1500 {
-            core.tape().unwrap().lost(now, now - 100.0, 40);
+            core.trace_writer().unwrap().lost(now, now - 100.0, 40);
         }
     });
     let segments = segments(jobs);
@@ -260,14 +264,14 @@
     let [loss] = lost[..] else { panic!("{lost:?}") };
     assert!(loss.records > 40 && loss.records < 2000, "{loss:?}");
     assert!(report.steps < 4000 && report.steps > 3500, "{}", report.steps);
-    // The summary says how much of what was counted the trace lacks.
+    // The summary shows how many of the counted queries are missing from the trace.
     let summary = summary(&segments);
     let counted = &core.counters.classes["search"];
-    let (told, missing) = (&summary.classes["search"], summary.processes[0].missing["search"]);
+    let (service, missing) = (&summary.classes["search"], summary.processes[0].missing["search"]);
     assert!(missing[0] > 0, "{missing:?}");
-    assert_eq!(told.answered as i64 + missing[0], counted.ok as i64);
-    assert_eq!(told.refused as i64 + missing[1], counted.shed as i64);
-    assert_eq!((told.failed + told.not_taken) as i64 + missing[2], counted.errors as i64);
+    assert_eq!(service.answered as i64 + missing[0], counted.ok as i64);
+    assert_eq!(service.refused as i64 + missing[1], counted.shed as i64);
+    assert_eq!((service.failed + service.not_taken) as i64 + missing[2], counted.errors as i64);
 }
 
 #[test]
@@ -275,9 +279,9 @@
     let (jobs, core) = day(8, Limits { age: 3000.0, ..LONG }, |_, _| ());
     let summary = summary(&segments(jobs));
     for (class, ends) in &core.counters.classes {
-        let told = &summary.classes[&**class];
-        assert_eq!((told.answered, told.refused), (ends.ok, ends.shed), "{class}");
-        assert_eq!(told.failed + told.not_taken, ends.errors, "{class}");
+        let service = &summary.classes[&**class];
+        assert_eq!((service.answered, service.refused), (ends.ok, ends.shed), "{class}");
+        assert_eq!(service.failed + service.not_taken, ends.errors, "{class}");
     }
     let all =
         |of: fn(&ironpaddle_trace::summary::Service) -> u64| summary.classes.values().map(of).sum::<u64>();
@@ -324,12 +328,12 @@
 fn under_other_settings_the_ends_are_compared() {
     let (jobs, _) = day(10, LONG, |_, _| ());
     let segments = segments(jobs);
-    let same = replay(&segments, Some(info(1000.0)));
+    let same = replay(&segments, Some(site(1000.0)));
     assert!(same.verdicts.keys().all(|change| {
         let (before, after) = change.split_once(" -> ").unwrap();
         before == after
     }));
-    let other = replay(&segments, Some(info(90.0)));
+    let other = replay(&segments, Some(site(90.0)));
     assert!(other
         .verdicts
         .keys()
