--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -1,4 +1,5 @@
-//! What the full size asks of each role, worked out from measured slopes: the tables of `docs/CAPACITY.md`.
+//! Capacity planning: computes what each role needs at full size from measured slopes, as the tables of
+//! `docs/CAPACITY.md`.
 
 mod answers;
 mod assumptions;
@@ -21,16 +22,16 @@
 use number::{number, percent};
 use sizes::Sizes;
 
-/// How the tables are made.
+/// The options of the `capacity` command.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// The file of measured series.
+    /// The TOML file of measured series.
     #[arg(long, default_value = "docs/measurements/slopes.toml")]
     slopes: PathBuf,
-    /// The file of assumptions.
+    /// The TOML file of assumptions.
     #[arg(long, default_value = "docs/measurements/assumptions.toml")]
     assumptions: PathBuf,
-    /// Put the tables into this page, between its marks, in place of printing them.
+    /// Replace the tables between the markers of this page instead of printing them.
     #[arg(long)]
     page: Option<PathBuf>,
 }
@@ -47,17 +48,17 @@
     assumption: Vec<Assumption>,
 }
 
-/// A table with the name of its marks.
+/// A table with the name of its markers in the page.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Block {
     name: &'static str,
     text: String,
 }
 
-/// Prints the tables, or puts them into the page.
+/// Prints the tables, or replaces them in the page.
 ///
 /// # Errors
-/// Says which file is at fault, and why.
+/// Names the file that cannot be read, parsed or written, and the reason.
 pub fn run(options: &Options) -> Result<(), String> {
     let at_fault = |path: &Path, why: String| format!("{}: {why}", path.display());
     let read = |path: &Path| std::fs::read_to_string(path).map_err(|error| at_fault(path, error.to_string()));
@@ -73,23 +74,26 @@
     std::fs::write(page, text).map_err(|error| at_fault(page, error.to_string()))
 }
 
+/// Parses a slopes file and fits its series.
 fn slopes(text: &str) -> Result<Slopes, String> {
     let file: SlopesFile = toml::from_str(text).map_err(|error| error.to_string())?;
     Slopes::new(file.series)
 }
 
+/// Parses an assumptions file, as its list and by name.
 fn assumptions(text: &str) -> Result<(Vec<Assumption>, Assumptions), String> {
     let file: AssumptionsFile = toml::from_str(text).map_err(|error| error.to_string())?;
     let known = Assumptions::of(&file.assumption)?;
     Ok((file.assumption, known))
 }
 
+/// Computes all tables.
 fn blocks(list: &[Assumption], assumptions: &Assumptions, slopes: &Slopes) -> Vec<Block> {
     let sizes = Sizes::new(assumptions, slopes);
     let mut blocks = vec![Block { name: "assumptions", text: assumed(list) }];
     blocks.extend(roles::blocks(&sizes));
     blocks.extend(answers::blocks(&sizes));
-    // Last, as only those are shown that the other tables use.
+    // These come last: they list only the series that the tables above have used.
     blocks.push(Block { name: "series", text: measured(slopes) });
     blocks.push(Block { name: "commands", text: commands(slopes) });
     blocks
@@ -149,7 +153,7 @@
     })
 }
 
-/// A row: what, its figure with the unit, and what it rests on.
+/// Returns a row with a label, a figure with its unit, and the series or assumptions behind the figure.
 fn row(what: &str, figure: Option<&Figure>, unit: &str) -> Vec<String> {
     let Some(figure) = figure else {
         return vec![what.to_string(), "not measured".into(), "-".into()];
@@ -157,11 +161,12 @@
     vec![what.to_string(), format!("{} {unit}", number(figure.value)).trim_end().into(), rests_on(figure)]
 }
 
-/// A row of a figure that rests on assumptions alone.
+/// Returns a row with a figure that is derived from assumptions alone.
 fn plain(what: &str, value: f64, unit: &str) -> Vec<String> {
     row(what, Some(&Figure::plain(value)), unit)
 }
 
+/// Describes the series behind a figure and how far they were extrapolated.
 fn rests_on(figure: &Figure) -> String {
     let one = |basis: &fit::Basis| {
         let place = match basis.place {
@@ -181,6 +186,7 @@
     bases.join("; ")
 }
 
+/// Returns the markers before and after a table in the page.
 fn marks(name: &str) -> (String, String) {
     (format!("<!-- table: {name} -->\n"), format!("<!-- end of {name} -->\n"))
 }
@@ -190,7 +196,10 @@
     format!("{begin}\n{}\n{end}", block.text)
 }
 
-/// The page with the tables between its marks.
+/// Returns the page with the tables replaced between their markers.
+///
+/// # Errors
+/// If a table has no markers, or markers have no table.
 fn fill(page: &str, blocks: &[Block]) -> Result<String, String> {
     let mut text = page.to_string();
     for block in blocks {
--- a/crates/lab/src/capacity/answers.rs
+++ b/crates/lab/src/capacity/answers.rs
@@ -1,4 +1,4 @@
-//! The tables that answer the page's questions, and the order in which mechanisms are missing.
+//! The tables that answer the questions of the page, and the table of gaps, ordered by how far each exceeds its limit.
 
 use ironpaddle::api::ColdStartRule;
 use ironpaddle::asking::MAX_LIST_DELAY;
@@ -11,12 +11,12 @@
 use super::subset::{self, Choice, Region, Spread};
 use super::{plain, rests_on, row, table, Block};
 
-/// The head of a table of figures.
+/// The header of a table of figures.
 const HEAD: [&str; 3] = ["what", "figure", "rests on"];
-/// The subset that the page proposes.
+/// The name of the subset choice that the page proposes.
 const CHOSEN: &str = "chosen holders";
 
-/// The tables.
+/// Returns the tables.
 pub fn blocks(sizes: &Sizes) -> Vec<Block> {
     let spreads = spreads(sizes);
     let ramps = ramps(sizes);
@@ -99,7 +99,7 @@
     ]
 }
 
-/// What a tick may take of a core, in microseconds.
+/// Returns the CPU time that a tick may take, in microseconds.
 fn tick_bound(s: &Sizes) -> f64 {
     s.a.tick_ms * 1000.0 * s.a.control_core
 }
@@ -132,7 +132,7 @@
     ]
 }
 
-/// A choice that was played, and what came of it.
+/// A simulated subset choice: its name, the choice, the region and the result.
 type Played = (&'static str, Choice, Region, Spread);
 
 fn spreads(s: &Sizes) -> Vec<Played> {
@@ -192,7 +192,7 @@
     table(&head, &spreads.iter().map(row).collect::<Vec<_>>())
 }
 
-/// Seconds in which so many bytes come at what control may use.
+/// Returns the seconds that a transfer takes at the bandwidth of control traffic.
 fn at_control_rate(s: &Sizes, bytes: &Figure) -> Figure {
     bytes.times(1.0 / (s.a.control_kb_per_s * 1000.0))
 }
@@ -294,7 +294,7 @@
     rows
 }
 
-/// Who may send to a cold run store and what their lists name, with what comes of it.
+/// A simulated cold start: the senders of the run store, the length of their lists, and the result.
 struct Started {
     name: &'static str,
     senders: f64,
@@ -410,12 +410,12 @@
     table(&head, &lost.map(row))
 }
 
-/// When an attempt that says nothing is given up and may be repeated, in milliseconds after it was sent.
+/// Returns the time after which an unanswered attempt may be retried, in milliseconds after it was sent.
 fn patience(s: &Sizes) -> f64 {
     (s.a.wanted_ms * s.a.patience_of_aim).max(s.a.part_ms * s.a.patience_of_usual)
 }
 
-/// The share of parts that may miss their time, so that no more than so many queries do.
+/// Returns the share of parts that may be late so that the assumed share of queries is served in time.
 fn late(s: &Sizes) -> f64 {
     1.0 - s.a.served_in_time.powf(1.0 / s.a.parts_per_query)
 }
@@ -467,12 +467,14 @@
     ]
 }
 
-/// Whether the mechanism is there: not at all, since the builds that are told as now, or before.
+/// The state of a mechanism that does not exist.
 const MISSING: &str = "**missing**";
+/// The state of a mechanism that the current build has and the earlier build lacks.
 const BUILT: &str = "built since";
+/// The state of a mechanism that both builds have.
 const CARRIED: &str = "in the program";
 
-/// What a size asks of the program as it is, against what there may be.
+/// A demand at full size, compared with its limit.
 struct Gap {
     what: String,
     asks: Option<Figure>,
--- a/crates/lab/src/capacity/assumptions.rs
+++ b/crates/lab/src/capacity/assumptions.rs
@@ -1,25 +1,25 @@
-//! What is taken as given: the parameters of the arithmetic.
+//! The assumptions: parameters of the capacity computation that are not measured.
 
 use std::collections::BTreeSet;
 
 use serde::de::value::{Error, MapDeserializer};
 use serde::Deserialize;
 
-/// One of them, as the file has it.
+/// An assumption as the file lists it.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumption {
-    /// Its name.
+    /// The name, which is unique.
     pub name: String,
-    /// Its value.
+    /// The value.
     pub value: f64,
-    /// Its unit.
+    /// The unit of the value.
     pub unit: String,
-    /// Who says so.
+    /// The source of the value.
     pub source: String,
 }
 
-/// All of them, by name.
+/// The values of all assumptions by name.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumptions {
@@ -68,10 +68,10 @@
 }
 
 impl Assumptions {
-    /// What a file's list says.
+    /// Reads the values from a file's list.
     ///
     /// # Errors
-    /// Says which is missing, unknown, doubled or out of range.
+    /// Names the assumption that is missing, unknown, duplicated or out of range.
     pub fn of(list: &[Assumption]) -> Result<Self, String> {
         let mut names = BTreeSet::new();
         for one in list {
--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -1,11 +1,11 @@
-//! Measured series, the lines fitted to them, and figures worked out from those.
+//! Measured series, the curves fitted to them, and figures computed from the fits.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 
 use serde::Deserialize;
 
-/// The form that is fitted to a series.
+/// The curve that is fitted to a series.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Curve {
@@ -16,38 +16,38 @@
     Square,
 }
 
-/// What one command measured.
+/// A series that one command measured.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Series {
-    /// Its name, which no other has.
+    /// The name, which is unique.
     pub name: String,
     /// What `x` counts.
     pub x: String,
     /// The unit of `y`.
     pub unit: String,
-    /// The command that gave it.
+    /// The command that produced the series.
     pub command: String,
-    /// What was held meanwhile.
+    /// The conditions that were held fixed.
     pub fixed: String,
-    /// The commit that was measured.
+    /// The build that was measured.
     pub build: String,
     /// Pairs of `x` and `y`.
     pub points: Vec<[f64; 2]>,
-    /// The form that is fitted.
+    /// The curve that is fitted.
     #[serde(default)]
     pub curve: Curve,
 }
 
-/// A line that was fitted to a series, by least squares of relative residuals: ranges are wide, and what is small counts
-/// as much as what is large.
+/// A curve fitted to a series by least squares of relative residuals. Values span wide ranges, and relative residuals
+/// give small values the same weight as large ones.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fit {
-    /// What each step of `x` adds, or each step of its square.
+    /// The increase of `y` per unit of `x`, or of its square.
     pub slope: f64,
-    /// What is there without any.
+    /// The value at `x = 0`.
     pub intercept: f64,
-    /// The root of the mean square of relative residuals.
+    /// The root mean square of the relative residuals.
     pub rms: f64,
     /// The largest relative residual.
     pub most: f64,
@@ -57,10 +57,10 @@
 }
 
 impl Series {
-    /// Fits its line.
+    /// Fits the curve.
     ///
     /// # Errors
-    /// Says why there is none.
+    /// If a point is out of range or all points share one `x`.
     pub fn fit(&self) -> Result<Fit, String> {
         let at_fault = |why: &str| Err(format!("series {}: {why}", self.name));
         let sound = |[x, y]: &[f64; 2]| x.is_finite() && y.is_finite() && *x >= 0.0 && *y > 0.0;
@@ -90,7 +90,7 @@
 }
 
 impl Fit {
-    /// What it says at some `x`.
+    /// Returns the value of the fit at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept
             + self.slope
@@ -100,71 +100,71 @@
                 }
     }
 
-    /// How many times beyond the measured range some `x` is; 1 inside it.
+    /// Returns the factor by which `x` lies beyond the measured range; 1 inside it.
     pub fn beyond(&self, x: f64) -> f64 {
         let (least, most) = self.range;
         (x / most).max(least / x.max(f64::MIN_POSITIVE)).max(1.0)
     }
 }
 
-/// Where a figure lies against what was measured, with the fit's error.
+/// The position of a figure relative to the measured range, with the error of the fit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Place {
-    /// It is a measured point itself.
+    /// A measured point.
     Measured,
-    /// Inside the range.
+    /// Inside the range, with the root mean square error.
     Inside(f64),
-    /// So many times beyond it.
+    /// Beyond the range, with the factor of extrapolation and the root mean square error.
     Beyond(f64, f64),
 }
 
-/// What a figure was worked out from.
+/// A series that a figure was computed from.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Basis {
-    /// The series.
+    /// The name of the series.
     pub series: String,
-    /// Where in the measured range.
+    /// The position relative to the measured range.
     pub place: Place,
 }
 
-/// A figure and what it rests on: measured series, or on none but the assumptions.
+/// A figure and the series behind it; without series it is derived from assumptions alone.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Figure {
-    /// The figure.
+    /// The value.
     pub value: f64,
-    /// The series it rests on.
+    /// The series behind the value.
     pub bases: Vec<Basis>,
 }
 
 impl Figure {
-    /// A figure that rests on assumptions alone.
+    /// Returns a figure that is derived from assumptions alone.
     pub fn plain(value: f64) -> Self {
         Figure { value, bases: Vec::new() }
     }
 
-    /// So many times it.
+    /// Returns the figure multiplied by a factor.
     pub fn times(&self, by: f64) -> Self {
         Figure { value: self.value * by, bases: self.bases.clone() }
     }
 
-    /// It and another together.
+    /// Returns the sum of two figures, with the series of both.
     pub fn plus(&self, other: &Figure) -> Self {
         let bases = self.bases.iter().chain(&other.bases).cloned().collect();
         Figure { value: self.value + other.value, bases }
     }
 }
 
-/// All series with their fits, and which of them were asked for.
+/// All series with their fits, and the names of those that have been used.
 pub struct Slopes {
     all: Vec<(Series, Fit)>,
     used: RefCell<BTreeSet<String>>,
 }
 
 impl Slopes {
-    /// Fits all.
+    /// Fits all series.
     ///
     /// # Errors
-    /// Says which series is at fault.
+    /// Names the series that is duplicated or cannot be fitted.
     pub fn new(series: Vec<Series>) -> Result<Self, String> {
         let mut all: Vec<(Series, Fit)> = Vec::new();
         for one in series {
@@ -177,19 +177,21 @@
         Ok(Slopes { all, used: RefCell::default() })
     }
 
-    /// The series that any figure was asked of so far, in the file's order.
+    /// Returns the series that figures have used so far, in the order of the file.
     pub fn used(&self) -> Vec<&(Series, Fit)> {
         let used = self.used.borrow();
         self.all.iter().filter(|(series, _)| used.contains(&series.name)).collect()
     }
 
+    /// Finds a series by name and marks it as used.
     fn named(&self, name: &str) -> Option<&(Series, Fit)> {
         let found = self.all.iter().find(|(series, _)| series.name == name)?;
         self.used.borrow_mut().insert(name.to_string());
         Some(found)
     }
 
-    /// What a series says at some `x`: what was measured just there, else the line; none if it was not measured.
+    /// Returns the value of a series at `x`: the mean of the points measured there, else the fit; `None` if there is no
+    /// such series.
     pub fn at(&self, name: &str, x: f64) -> Option<Figure> {
         let (series, fit) = self.named(name)?;
         let there: Vec<f64> =
@@ -202,7 +204,7 @@
         Some(Figure { value, bases: vec![Basis { series: name.to_string(), place }] })
     }
 
-    /// What each step of a series' `x` adds, for so many of them.
+    /// Returns the slope of a series, with its position relative to the measured range at `x`.
     pub fn each(&self, name: &str, x: f64) -> Option<Figure> {
         let (_, fit) = self.named(name)?;
         let place = match fit.beyond(x) {
--- a/crates/lab/src/capacity/number.rs
+++ b/crates/lab/src/capacity/number.rs
@@ -1,9 +1,9 @@
-//! Figures as the page shows them: three digits that count.
+//! Formats figures with three significant digits for the tables.
 
-/// A number with its thousands parted, three digits of it counting.
+/// Formats a number with three significant digits and thousands separators.
 pub fn number(value: f64) -> String {
     let size = value.abs();
-    // What rounding leaves of nothing is nothing.
+    // Rounding errors around zero are shown as zero.
     if size < 1e-9 {
         return "0".into();
     }
@@ -27,9 +27,9 @@
     parted
 }
 
-/// A number under a thousand.
+/// Formats a number below one thousand.
 fn small(value: f64) -> String {
-    // The place of the first digit that counts, once the last is rounded.
+    // The decimal exponent of the first significant digit, after rounding.
     let first = format!("{:.2e}", value.abs());
     let first = first.rsplit('e').next().and_then(|power| power.parse::<i32>().ok()).unwrap_or(0);
     let text = format!("{value:.*}", (2 - first).max(0) as usize);
@@ -40,7 +40,7 @@
     }
 }
 
-/// A share as a percentage.
+/// Formats a share as a percentage.
 pub fn percent(share: f64) -> String {
     format!("{} %", number(share * 100.0))
 }
--- a/crates/lab/src/capacity/ramp.rs
+++ b/crates/lab/src/capacity/ramp.rs
@@ -1,4 +1,5 @@
-//! What a cold run store gets from all of its senders together, by the program's own rule (`src/cold.rs`).
+//! Simulates the parts that a cold run store receives from all of its senders under the program's own cold-start rule
+//! (`src/cold.rs`).
 
 use ironpaddle::api::{ColdStartRule, LoadReport};
 use ironpaddle::cold::{allowance, FleetTraffic, LoadReports};
@@ -7,45 +8,46 @@
 /// A cold run store and one of its senders. Rates are in parts a second.
 #[derive(Debug, Clone, Copy)]
 pub struct Sender {
-    /// Run stores that the sender's list names.
+    /// The number of run stores in the sender's list.
     pub stores: usize,
-    /// Aggregators that share their traffic, as the settings tell each of them.
+    /// The number of aggregators that share the traffic, as each of them has it from the settings.
     pub routers: u32,
-    /// Aggregators that send to the run store.
+    /// The number of aggregators that send to the run store.
     pub senders: f64,
-    /// Parts that a run store gets while all is well, and the busy share of its time that they take.
+    /// The parts that a warm run store receives in normal operation.
     pub parts: f64,
-    /// See `parts`.
+    /// The share of its time that a run store is busy with these parts.
     pub busy: f64,
-    /// Queries of an aggregator, and parts of each.
+    /// The queries of an aggregator.
     pub queries: f64,
-    /// See `queries`.
+    /// The number of parts of a query.
     pub query_parts: f64,
-    /// What the settings say of cold run stores.
+    /// The cold-start rule of the settings.
     pub rule: ColdStartRule,
 }
 
-/// What came of it, of one sender in the mean over the time in which a run store gets warm; parts a second.
+/// The result: mean rates of one sender over the warm-up time of a run store, in parts a second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ramp {
-    /// Parts that it has for the run store.
+    /// The parts that the sender has for the run store.
     pub wanted: f64,
-    /// Parts that it may send there.
+    /// The parts that the sender is allowed to send there.
     pub sent: f64,
-    /// What the run store gets from all, as a share of what it bears in that time.
+    /// The parts that the run store receives from all senders, as a share of its capacity in that time.
     pub used: f64,
-    /// The most in a second that it gets from all, as a share of that from which it falls, in the mean over starts.
+    /// The most parts that it receives from all senders in a second, as a share of the load that overloads it; the mean
+    /// over all starts.
     pub peak: f64,
 }
 
-/// Cold run stores that are played at once, each for itself, so that chance does not show.
+/// The number of cold run stores that are simulated independently, to average out randomness.
 const STARTS: usize = 200;
-/// Seconds before their start, in which the sender learns its share of the traffic.
+/// Seconds before the run stores start, in which the sender learns its share of the traffic.
 const BEFORE: usize = 8;
-/// Milliseconds between two looks at what run stores report.
+/// The interval between two evaluations of the load reports, in milliseconds.
 const LOOK: usize = 2000;
 
-/// Plays one sender, millisecond by millisecond.
+/// Simulates one sender in steps of a millisecond.
 pub fn play(sender: &Sender, seed: u64) -> Ramp {
     let rule = &sender.rule;
     let mut chance = seed;
@@ -61,9 +63,9 @@
     let wanted = sender.parts / sender.senders;
     let seconds = (rule.warm_within / 1000.0).ceil() as usize;
     let mut sent = vec![0.0; seconds];
-    // The time between two parts for the run store, as chance has it.
+    // Draws the time between two parts for the run store from an exponential distribution.
     let gap = |chance: &mut u64| -(1.0 - draw(chance)).ln() / wanted * 1000.0;
-    // What is left of its room, since when, and when the next part for it comes.
+    // For each run store: the allowance that is left, the time it was computed at, and the time of the next part.
     let mut cold: Vec<((f64, f64), f64)> =
         (0..STARTS).map(|_| ((draw(&mut chance), start), start + gap(&mut chance))).collect();
     let mut queries = 0.0;
--- a/crates/lab/src/capacity/roles.rs
+++ b/crates/lab/src/capacity/roles.rs
@@ -1,13 +1,14 @@
-//! A table for each role: what it holds and does at the full size, what that rests on, and what carries it.
+//! A table for each role: its state and work at full size, the series or assumptions behind each figure, and the module
+//! that implements it.
 
 use super::fit::Figure;
 use super::sizes::Sizes;
 use super::{plain, row, table, Block};
 
-/// What carries a row where nothing does yet.
+/// The prefix of the `carried by` column where the mechanism is not implemented.
 const MISSING: &str = "**missing**: ";
 
-/// Series of processor time by parts a second, and under which load each was measured.
+/// The series of CPU time by parts a second, with the load under which each was measured.
 pub const PARTS: [(&str, &str); 4] = [
     ("build before, as many in flight as it takes (600 run stores)", "part-cpu-busy-before"),
     ("build before, at a given rate (60 run stores)", "part-cpu-before"),
@@ -15,6 +16,7 @@
     ("now, at a given rate (60 run stores)", "part-cpu-now"),
 ];
 
+/// The table of a role.
 struct Role {
     name: &'static str,
     rows: Vec<Vec<String>>,
@@ -30,12 +32,12 @@
         self.rows.push(row);
     }
 
-    /// A figure that a series gives; it may be missing.
+    /// Adds a row with a figure from a series, which may be missing.
     fn measured(&mut self, what: &str, figure: Option<Figure>, unit: &str, carried: &str) {
         self.push(row(what, figure.as_ref(), unit), carried);
     }
 
-    /// A figure that follows from the assumptions.
+    /// Adds a row with a figure that follows from the assumptions.
     fn assumed(&mut self, what: &str, value: f64, unit: &str, carried: &str) {
         self.push(plain(what, value, unit), carried);
     }
@@ -48,7 +50,7 @@
     }
 }
 
-/// The tables of all roles.
+/// Returns the tables of all roles.
 pub fn blocks(sizes: &Sizes) -> Vec<Block> {
     vec![
         serving(sizes),
@@ -196,7 +198,7 @@
     let whole = s.list_bytes(s.a.run_stores).times(1e-6);
     role.measured("a whole list", Some(whole), "MB", "the platform's");
     role.assumed("lines that change", s.changes, "a second", "the platform's");
-    // The series of watchers were measured at one change a second.
+    // The series by number of watchers were measured at one change a second.
     let at =
         |series: &str, watchers: f64, by: f64| s.slopes.at(series, watchers).map(|figure| figure.times(by));
     for (how, watchers, carried) in
--- a/crates/lab/src/capacity/sizes.rs
+++ b/crates/lab/src/capacity/sizes.rs
@@ -1,4 +1,4 @@
-//! What the full size comes to, before any slope: counts and rates that follow from the assumptions.
+//! Counts and rates at full size that follow from the assumptions, and figures that combine them with series.
 
 use ironpaddle::asking::WATCH_WAIT;
 use ironpaddle::http::write;
@@ -6,55 +6,56 @@
 use super::assumptions::Assumptions;
 use super::fit::{Figure, Slopes};
 
+/// Seconds of a day.
 const DAY: f64 = 86_400.0;
-/// What an answer of the watch holds around its lines, head included.
+/// A watch response without entries, including its head.
 const EMPTY_ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 45\r\n\r\n\
     {\"index\":1234567,\"snapshot\":false,\"endpoints\":[]}";
 
-/// Counts and rates at the full size; a second each where nothing else is said.
+/// Counts and rates at full size; rates are per second.
 pub struct Sizes<'a> {
-    /// What is taken as given.
+    /// The assumptions.
     pub a: &'a Assumptions,
-    /// What was measured.
+    /// The measured series.
     pub slopes: &'a Slopes,
-    /// Of an aggregator: queries and parts.
+    /// Queries of an aggregator.
     pub queries: f64,
-    /// See `queries`.
+    /// Parts of an aggregator.
     pub parts: f64,
-    /// Parts out and queries open, by Little's law.
+    /// Parts in flight at an aggregator, by Little's law.
     pub in_flight: f64,
-    /// See `in_flight`.
+    /// Open queries of an aggregator, by Little's law.
     pub open: f64,
-    /// Parts that a run store gets from all.
+    /// Parts that a run store receives from all aggregators.
     pub store_parts: f64,
-    /// Of a region: aggregators, run stores, blocks.
+    /// Aggregators of a region.
     pub region_aggregators: f64,
-    /// See `region_aggregators`.
+    /// Run stores of a region.
     pub region_stores: f64,
-    /// See `region_aggregators`.
+    /// Blocks of a region.
     pub blocks: f64,
-    /// Connections of an aggregator to run stores, and of a run store from aggregators, by chosen holders.
+    /// Connections of an aggregator to run stores if it connects only to chosen holders.
     pub connections: f64,
-    /// See `connections`.
+    /// Connections of a run store from aggregators if they connect only to chosen holders.
     pub senders: f64,
-    /// Lines of the list that change.
+    /// Changes of list entries.
     pub changes: f64,
-    /// Of these, such that concern an aggregator.
+    /// Changes of list entries that are relevant to an aggregator.
     pub own_changes: f64,
-    /// Lines of the list that concern an aggregator.
+    /// List entries that are relevant to an aggregator.
     pub own_lines: f64,
-    /// Aggregators for each control machine.
+    /// The number of aggregators that each control machine serves.
     pub told_each: f64,
-    /// Calls of a watch while nothing changes.
+    /// Requests of a watch while nothing changes.
     pub watch_calls: f64,
-    /// Bytes of such a call, and of its answer without lines.
+    /// Bytes of a watch request.
     pub call_bytes: f64,
-    /// See `call_bytes`.
+    /// Bytes of a watch response without entries.
     pub answer_bytes: f64,
 }
 
 impl<'a> Sizes<'a> {
-    /// Works them out.
+    /// Computes the counts and rates.
     pub fn new(a: &'a Assumptions, slopes: &'a Slopes) -> Self {
         let queries = a.queries_per_s / a.aggregators;
         let parts = queries * a.parts_per_query;
@@ -88,45 +89,48 @@
         }
     }
 
-    /// A whole list, in bytes.
+    /// Returns the size of a whole list, in bytes.
     pub fn list_bytes(&self, lines: f64) -> Figure {
         self.slopes.at("list-bytes", lines).unwrap_or(Figure::plain(lines * self.a.line_bytes))
     }
 
-    /// A quiet tick by the build before, in microseconds, at so many run stores and parts in flight.
+    /// Returns the CPU time of a tick without events in the earlier build, in microseconds, by run stores and parts in
+    /// flight.
     pub fn tick_before(&self, stores: f64, flights: f64) -> Option<Figure> {
         self.slopes.at("quiet-tick-before", stores * flights)
     }
 
-    /// A quiet tick now, at so many parts in flight and all run stores.
+    /// Returns the CPU time of a tick without events in the current build, in microseconds, by parts in flight with all
+    /// run stores listed.
     pub fn tick_now(&self, flights: f64) -> Option<Figure> {
         self.slopes.at("module_quiet_tick_by_in_flight_at_57000", flights)
     }
 
-    /// The share of a core that quiet ticks take, from what one takes in microseconds.
+    /// Returns the share of a core that ticks take, from the CPU time of one in microseconds.
     pub fn of_core(&self, tick_us: &Figure) -> Figure {
         tick_us.times(1.0 / (self.a.tick_ms * 1000.0))
     }
 
-    /// The cores that all parts take from client to answer, by a series of processor time by parts a second.
+    /// Returns the cores that all parts of an aggregator take, by a series of CPU time by parts a second.
     pub fn part_cores(&self, series: &str) -> Option<Figure> {
         Some(self.slopes.at(series, self.parts)?.times(1e-6))
     }
 
-    /// A whole list that is known already, taken in: read, handed on and taken up by the module; in milliseconds.
+    /// Returns the time to process a whole list of known entries, in milliseconds: parsing it, routing it through the
+    /// core and applying it in the decision module.
     pub fn taken_in(&self, build: &str) -> Option<Figure> {
         let of = |series: &str| self.slopes.at(series, self.a.run_stores);
         let (parsed, routed) = (of(&format!("list-parsed-{build}"))?, of(&format!("list-routed-{build}"))?);
         Some(parsed.plus(&routed).plus(&of(whole_list_module(build))?.times(1e-3)))
     }
 
-    /// Bytes that a watcher gets, when so many lines change a second.
+    /// Returns the bytes that a watch transfers per second at a rate of changed entries.
     pub fn watch_bytes(&self, changes: f64) -> f64 {
         (self.watch_calls + changes) * (self.call_bytes + self.answer_bytes) + changes * self.a.line_bytes
     }
 }
 
-/// The series of a whole list taken up by the module, in microseconds.
+/// Returns the name of the series for applying a whole list in the decision module, in microseconds.
 pub fn whole_list_module(build: &str) -> &'static str {
     match build {
         "before" => "whole-list-module-before",
--- a/crates/lab/src/capacity/subset.rs
+++ b/crates/lab/src/capacity/subset.rs
@@ -1,53 +1,55 @@
-//! Deterministic subsetting, played: which holders of each block an aggregator connects to, by rendezvous hashing, what
-//! that makes of the load on run stores, and what the loss of a zone makes of it.
+//! Simulates deterministic subsetting: each aggregator chooses the holders of each block that it connects to by
+//! rendezvous hashing. Evaluates the load on run stores, also after the loss of a zone.
 
 use ironpaddle::hash::mix;
 
-/// A region, in which every block is held.
+/// A region that holds every block.
 #[derive(Debug, Clone, Copy)]
 pub struct Region {
-    /// Aggregators.
+    /// The number of aggregators.
     pub aggregators: usize,
-    /// Blocks.
+    /// The number of blocks.
     pub blocks: usize,
-    /// Holders of each block, one after the other in the region's zones.
+    /// The number of holders of each block, assigned to the region's zones in turn.
     pub holders: usize,
-    /// Zones.
+    /// The number of zones.
     pub zones: usize,
 }
 
-/// How an aggregator chooses among the holders of a block.
+/// The way an aggregator chooses among the holders of a block.
 #[derive(Debug, Clone, Copy)]
 pub struct Choice {
-    /// How many of them it connects to.
+    /// The number of holders that it connects to.
     pub chosen: usize,
-    /// Whether those of its own zone come first.
+    /// Whether holders in its own zone are preferred.
     pub own_zone: bool,
 }
 
-/// What came of it. Loads are in means of all run stores of the region while all is well.
+/// The result. Loads are relative to the mean load of all run stores of the region before the loss of a zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Spread {
-    /// Connections of an aggregator to run stores.
+    /// The mean number of connections of an aggregator to run stores.
     pub connections: f64,
-    /// Connections that a run store holds, in the mean and at most.
+    /// The mean and the maximum number of connections of a run store.
     pub held: (f64, f64),
-    /// The standard deviation of loads.
+    /// The standard deviation of the loads.
     pub deviation: f64,
-    /// The largest load, while all is well and after a zone is lost with its aggregators and run stores.
+    /// The largest load, before and after a zone is lost with its aggregators and run stores.
     pub most: (f64, f64),
-    /// The mean load of the run stores that are left then.
+    /// The mean load of the remaining run stores after the loss.
     pub left: f64,
-    /// Connections that an aggregator makes anew then.
+    /// The mean number of connections that a remaining aggregator opens after the loss.
     pub anew: f64,
-    /// Connections that were moved then though their run store still stands, all aggregators together.
+    /// The number of connections, over all aggregators, that were dropped after the loss although their run store
+    /// remains.
     pub needless: usize,
 }
 
-/// A holder of a block as an aggregator ranks it: whether it comes first by its zone, its weight, its zone, itself.
+/// The rank of a holder at an aggregator: whether its zone is preferred, its weight, its zone, and its number.
 type Ranked = (bool, u64, usize, usize);
 
-/// The holders of a block, ranked by an aggregator: the highest weight first, which is drawn from both names alone.
+/// Ranks the holders of a block for an aggregator by descending weight. The weight is a hash of the numbers of both, so
+/// it does not depend on other holders.
 fn rank(region: &Region, choice: Choice, (aggregator, block): (usize, usize), seed: u64) -> Vec<Ranked> {
     let own = aggregator % region.zones;
     let own_seed = mix(seed ^ (aggregator as u64) << 32);
@@ -61,15 +63,15 @@
     ranked
 }
 
-/// Plays the choices of all aggregators of a region, before and after its first zone is lost. Each block is asked for
-/// alike, and each aggregator asks its chosen holders of a block in equal parts.
+/// Simulates the choices of all aggregators of a region, before and after its first zone is lost. All blocks are
+/// queried equally, and each aggregator distributes its queries evenly over its chosen holders of a block.
 pub fn play(region: &Region, choice: Choice, seed: u64) -> Spread {
     let stores = region.blocks * region.holders;
     let (mut load, mut after, mut held) = (vec![0.0; stores], vec![0.0; stores], vec![0u32; stores]);
     let (mut anew, mut needless) = (0usize, 0usize);
     let stands = |aggregator: usize| !aggregator.is_multiple_of(region.zones);
     let standing = (0..region.aggregators).filter(|one| stands(*one)).count();
-    // The clients of aggregators that are lost come to those that are left.
+    // The clients of lost aggregators move to the remaining ones.
     let more = region.aggregators as f64 / standing.max(1) as f64;
     for aggregator in 0..region.aggregators {
         for block in 0..region.blocks {
@@ -82,7 +84,7 @@
             if !stands(aggregator) {
                 continue;
             }
-            // Of those that still stand, the highest again; what was not among the chosen before is new.
+            // Chooses the highest-ranked holders that remain; those that were not chosen before need a new connection.
             let standing = || ranked.iter().enumerate().filter(|(_, (_, _, zone, _))| *zone != 0);
             let left = standing().count().min(choice.chosen);
             for (place, (.., store)) in standing().take(left) {
--- a/crates/lab/src/capacity/tests.rs
+++ b/crates/lab/src/capacity/tests.rs
@@ -65,7 +65,7 @@
     assert_eq!([exact.beyond(10.0), exact.beyond(5000.0)], [1.0, 5.0]);
     let square = series(&[[1.0, 3.0], [2.0, 9.0], [3.0, 19.0]], Curve::Square).fit().unwrap();
     assert!((square.at(100.0) - 20_001.0).abs() < 1e-6, "{square:?}");
-    // Of two points at one x the line goes through 1.6, where relative residuals are least: 0.6, and 0.2 the other way.
+    // The two points at x = 1 give 1.2, which minimizes the squared relative residuals: 0.2 and 0.4.
     let rough = series(&[[1.0, 1.0], [1.0, 2.0], [2.0, 4.0]], Curve::Line).fit().unwrap();
     assert!((rough.at(1.0) - 1.2).abs() < 1e-9 && (rough.at(2.0) - 4.0).abs() < 1e-9, "{rough:?}");
     assert!((rough.most - 0.4).abs() < 1e-9, "{rough:?}");
@@ -106,16 +106,16 @@
         assert_eq!(spread.connections, 80.0);
         assert_eq!(spread.held.0, 40.0);
         assert_eq!(spread.needless, 0);
-        assert!((spread.left - 1.5).abs() < 1e-9, "two of three zones take the load of three: {spread:?}");
-        assert!(spread.most.0 > 1.0 && spread.deviation > 0.0, "chance does not choose evenly");
+        assert!((spread.left - 1.5).abs() < 1e-9, "two of three zones carry the load of three: {spread:?}");
+        assert!(spread.most.0 > 1.0 && spread.deviation > 0.0, "random choices are not even");
     }
-    // All holders are held already, so that none is to be connected to when a zone goes.
+    // All holders are connected already, so the loss of a zone needs no new connection.
     let all = subset::play(&region, Choice { chosen: 3, own_zone: false }, 1);
     assert_eq!((all.anew, all.deviation < 1e-9), (0.0, true));
     let one = subset::play(&region, Choice { chosen: 1, own_zone: false }, 1);
     let again = subset::play(&region, Choice { chosen: 1, own_zone: false }, 2);
     assert!((8.0..=20.0).contains(&one.anew), "about a third of 40 blocks: {one:?}");
-    assert_ne!(one.most, again.most, "another seed, another draw");
+    assert_ne!(one.most, again.most, "another seed gives another result");
 }
 
 #[test]
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -1,4 +1,5 @@
-//! Series for `docs/measurements/slopes.toml`: what one real aggregator costs, by what it is asked for.
+//! Measures the resource usage of one real aggregator under growing load, as series for
+//! `docs/measurements/slopes.toml`.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
@@ -19,14 +20,14 @@
 use crate::stores::{read_message, Store};
 use crate::Api;
 
-/// What is measured.
+/// The series to measure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum What {
-    /// Processor time by parts a second.
+    /// CPU time by parts a second.
     Parts,
-    /// Processor time of a query by its parts.
+    /// CPU time of a query by its number of parts.
     Query,
-    /// Memory and processor time without load, by run stores in the list.
+    /// Memory and CPU time without load, by run stores in the list.
     Stores,
     /// Memory by parts in flight.
     Flights,
@@ -34,50 +35,53 @@
     Connections,
 }
 
-/// How it is measured.
+/// The options of the `measure` command.
 #[derive(Debug, Args)]
 pub struct Options {
-    /// What is measured.
+    /// The series to measure.
     #[arg(value_enum)]
     what: What,
-    /// The values of x that are measured.
+    /// The values of x to measure.
     #[arg(long, value_delimiter = ',', required = true, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
     at: Vec<u32>,
-    /// Seconds of each.
+    /// The duration of the measurement at each value, in seconds.
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=60))]
     seconds: u64,
-    /// The commit that is measured, as the series names it.
+    /// The commit that is measured, recorded in the series.
     #[arg(long)]
     build: String,
 }
 
-/// Run stores that are up where their number is not what is measured.
+/// The number of run stores where it is not the measured variable.
 const STORES: usize = 60;
-/// Parts of a query, and parts a second, where these are not what is measured.
+/// Parts of a query, where they are not the measured variable.
 const PARTS: u32 = 8;
+/// Parts a second, where they are not the measured variable.
 const RATE: f64 = 2000.0;
-/// Parts of a query that stays out.
+/// Parts of a query that is held open.
 const HELD_PARTS: u32 = 140;
-/// The usual work of a part, and of one that stays out, in milliseconds.
+/// The work time of a part at a run store, in milliseconds.
 const WORK: f64 = 20.0;
+/// The work time of a part of a query that is held open, in milliseconds.
 const HELD: f64 = 60_000.0;
-/// The wanted time, in usual works of a part.
+/// The aim as a multiple of the work time of a part.
 const AIM: f64 = 50.0;
-/// How long each load runs before it is measured.
+/// The warm-up time of each load before it is measured.
 const BEFORE: Duration = Duration::from_secs(2);
-/// The share of queries that has to be answered for a figure to count.
+/// The minimum share of queries that must be answered for a figure to be valid.
 const ANSWERED: f64 = 0.99;
 
-/// Measures, and prints the series.
+/// Measures the series and prints them as TOML.
 ///
 /// # Errors
-/// If it cannot be measured, or not all that was asked for was served.
+/// If a measurement fails, or too many of its queries were not answered.
 pub fn run(options: &Options) -> Result<(), String> {
     let failed = |error: io::Error| error.to_string();
     let (mut first, mut second) = (Vec::new(), Vec::new());
     let mut bed = None;
     for &x in &options.at {
-        // Where the list is what is measured, each point has a process of its own; else what is learned and open stays.
+        // Where memory, the list or connections are measured, each point has its own process. Otherwise the points
+        // share one, which keeps its learned state and open connections.
         let (up, listed, work) = match options.what {
             What::Parts | What::Query => (STORES, STORES, WORK),
             What::Flights => (STORES, STORES, HELD),
@@ -114,9 +118,9 @@
                 first.push([bed.out()?, bed.memory()?]);
             }
             What::Connections => {
-                // What is counted are connections: how their queries end does not matter.
+                // The queries only open connections, so their outcome does not matter.
                 bed.load(20.0, x.min(HELD_PARTS), seconds)?;
-                // The ends of clients' connections are seen meanwhile.
+                // Gives the aggregator time to notice that the clients have closed their connections.
                 thread::sleep(BEFORE);
                 let (connections, descriptors) = bed.descriptors()?;
                 first.push([connections, descriptors]);
@@ -178,22 +182,23 @@
     Ok(())
 }
 
-/// Parts sent, processor time in microseconds and queries, a second each.
+/// Attempts sent, CPU time in microseconds, and queries answered, each per second.
 type Cost = (f64, f64, f64);
 
-/// An aggregator with what it meets.
+/// A test bed: an aggregator with its run stores and discovery.
 struct Bed {
     aggregator: Arc<Aggregator>,
     stores: Vec<Arc<Store>>,
     listed: usize,
-    /// Connections whose queries stay out.
+    /// Client connections whose queries are held open.
     held: Vec<TcpStream>,
-    /// Queries asked, for their names.
+    /// The number of queries sent, which numbers their request ids.
     asked: Arc<AtomicU64>,
     _discovery: Arc<Discovery>,
 }
 
 impl Bed {
+    /// Starts the run stores, discovery and the aggregator, whose list has `listed` run stores of which `up` exist.
     fn new(up: usize, listed: usize, work_ms: f64) -> io::Result<Self> {
         let (clock, checker) = (Clock::new(), Arc::new(Checker::default()));
         let kind = Kind {
@@ -223,16 +228,17 @@
         Ok(Bed { aggregator, stores, listed, held, asked, _discovery: discovery })
     }
 
-    /// What so many queries a second of so many parts cost. What was not served has cost less than an answer: then there is no figure.
+    /// Measures the cost at a rate of queries. Queries that are not answered cost less than answered ones, so the
+    /// figure would be too low: too many of them are an error.
     fn cost(&self, rate: f64, parts: u32, seconds: Duration) -> Result<Cost, String> {
         let (cost, good, bad) = self.load(rate, parts, seconds)?;
         if good < ANSWERED * (good + bad) {
-            return Err(format!("of {} queries at {rate} a second, {bad} were not served", good + bad));
+            return Err(format!("of {} queries at {rate} a second, {bad} were not answered", good + bad));
         }
         Ok(cost)
     }
 
-    /// The same, with the queries that were served and those that were not.
+    /// Runs a load and returns its cost, the number of answered queries and the number of others.
     fn load(&self, rate: f64, parts: u32, seconds: Duration) -> Result<(Cost, f64, f64), String> {
         let clients = (rate * 0.5).clamp(4.0, 400.0) as usize;
         let (over, answered, others) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
@@ -268,7 +274,7 @@
             let (after, took) = (figures(), begun.elapsed().as_secs_f64());
             over.store(true, Ordering::Release);
             let ((tries, cpu, queries), (tries_then, cpu_then, queries_then)) = (after?, before?);
-            // What came while the connections were still coming up is not measured, and not judged.
+            // Queries during the warm-up, while connections are still being opened, do not count.
             let (good, bad) =
                 (queries - queries_then, (others.load(Ordering::Relaxed) - others_before) as f64);
             let cost =
@@ -277,7 +283,7 @@
         })
     }
 
-    /// Asks so many queries, whose parts stay out.
+    /// Sends queries whose parts are held open.
     fn hold(&mut self, queries: u32) -> Result<(), String> {
         for no in 0..queries {
             let asked = TcpStream::connect(self.aggregator.address).and_then(|mut stream| {
@@ -290,23 +296,29 @@
         Ok(())
     }
 
-    /// Attempts written so far.
+    /// Returns the number of attempts sent so far.
     fn tries(&self) -> Result<f64, String> {
         let (_, stats) = self.aggregator.call("GET", "/stats").map_err(|error| error.to_string())?;
         let tries = stats.lines().find_map(|line| line.strip_prefix("aggregator.tries:")?.strip_suffix("|c"));
-        tries.and_then(|tries| tries.parse().ok()).ok_or_else(|| "/stats tells no tries".into())
+        tries
+            .and_then(|tries| tries.parse().ok())
+            .ok_or_else(|| "/stats has no aggregator.tries counter".into())
     }
 
-    /// Parts out, of queries that stay out.
+    /// Returns the number of parts in flight, if all queries are held open.
     fn out(&self) -> Result<f64, String> {
         self.tries()
     }
 
+    /// Returns the `/proc` directory of the aggregator.
     fn process(&self) -> Result<String, String> {
-        self.aggregator.id().map(|id| format!("/proc/{id}")).ok_or_else(|| "it does not run".into())
+        self.aggregator
+            .id()
+            .map(|id| format!("/proc/{id}"))
+            .ok_or_else(|| "the aggregator is not running".into())
     }
 
-    /// Processor time of all its threads so far, in microseconds.
+    /// Returns the CPU time of all threads of the aggregator so far, in microseconds.
     fn cpu(&self) -> Result<f64, String> {
         let failed = |error: io::Error| error.to_string();
         let mut nanos = 0.0;
@@ -318,16 +330,16 @@
         Ok(nanos / 1000.0)
     }
 
-    /// Resident memory in MB.
+    /// Returns the resident memory of the aggregator, in MB.
     fn memory(&self) -> Result<f64, String> {
         let status =
             std::fs::read_to_string(self.process()? + "/status").map_err(|error| error.to_string())?;
         let pages = status.lines().find_map(|line| line.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
         let kib: Option<f64> = pages.and_then(|pages| pages.trim().parse().ok());
-        kib.map(|kib| kib * 1024.0 / 1e6).ok_or_else(|| "the kernel tells no memory".into())
+        kib.map(|kib| kib * 1024.0 / 1e6).ok_or_else(|| "/proc has no VmRSS for the aggregator".into())
     }
 
-    /// Connections to run stores, and descriptors.
+    /// Returns the number of connections to run stores and of open descriptors.
     fn descriptors(&self) -> Result<(f64, f64), String> {
         let failed = |error: io::Error| error.to_string();
         let process = self.process()?;
@@ -337,6 +349,7 @@
     }
 }
 
+/// Returns the settings of the aggregator.
 fn settings(stores: usize, aim: f64) -> Value {
     json!({
         "balancers": 1, "discovery": "subscribe", "tick_ms": 5.0, "zone": "lab",
@@ -350,7 +363,7 @@
     })
 }
 
-/// A query of so many parts, at shards that its number draws.
+/// Returns a query request with `parts` random shards; the query number is the seed.
 fn request(query: u64, parts: u32, shards: u32) -> String {
     let mut random = fastrand::Rng::with_seed(query);
     let mut drawn = BTreeMap::new();
@@ -367,7 +380,7 @@
     )
 }
 
-/// A client that keeps its connection.
+/// An HTTP client with a persistent connection.
 struct Client {
     to: SocketAddr,
     kept: Option<BufReader<TcpStream>>,
@@ -378,8 +391,9 @@
         Client { to, kept: None }
     }
 
+    /// Sends a request and returns the response status.
     fn ask(&mut self, request: &str) -> io::Result<u16> {
-        // One that was kept may have been closed meanwhile.
+        // The kept connection may have been closed; in that case a new one is opened.
         if let Some(status) = self.kept.take().and_then(|kept| self.call(kept, request).ok()) {
             return Ok(status);
         }
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -1,5 +1,8 @@
-//! The scale run: hollow aggregators beside real ones, on loopback, under changes of the list and load, and what each role
-//! uses meanwhile.
+//! The scale run: measures what each role uses while simulated and real aggregators run on loopback under list changes
+//! and query load.
+//!
+//! A simulated aggregator runs the control state and the discovery watch of the program alone, so that thousands fit
+//! into one process. On the command line and in the results it is called `hollow`.
 
 mod bounds;
 mod clients;
@@ -28,54 +31,58 @@
 use crate::aggregators::Aggregator;
 use crate::clock::Clock;
 
-/// The class of all queries, and their tenant.
+/// The request class of all queries.
 const CLASS: &str = "scale";
+/// The tenant of all queries.
 const TENANT: &str = "all";
-/// The wanted time and the give-up time of queries, in milliseconds.
+/// The aim (target latency) of queries, in milliseconds.
 const AIM_MS: f64 = 300.0;
+/// The deadline of queries, in milliseconds.
 const DEADLINE_MS: f64 = 3000.0;
-/// Run stores that hold a shard.
+/// The number of run stores that hold a shard.
 const HOLDERS: usize = 3;
-/// The most parts of a query.
+/// The maximum number of parts of a query.
 const MOST_PARTS: usize = 140;
-/// How long clients ask before anything is measured.
+/// How long clients send queries before the measurement begins.
 const WARM_UP: Duration = Duration::from_millis(1500);
-/// How long all may take to have their first list, and the last changes.
+/// The time limit for all aggregators to receive their first list.
 const FIRST_LISTS: Duration = Duration::from_secs(90);
+/// The time limit, after the measurement, for the last changes to be in force at all aggregators.
 const LAST_CHANGES: Duration = Duration::from_secs(30);
+/// The interval at which waits poll their condition and the end signal.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
-/// How a scale run runs.
+/// The options of a scale run.
 #[derive(Debug, Clone, Args)]
 pub struct Options {
-    /// Lines of the list. One process answers for all run stores that are asked.
+    /// Entries of the run store list. One process answers for all run stores that are queried.
     #[arg(long, default_value_t = 600)]
     run_stores: usize,
-    /// Hollow aggregators: their control state and their watch, without clients, in one process.
+    /// Simulated aggregators: control state and discovery watch without clients, all in one process.
     #[arg(long, default_value_t = 100)]
     hollow: usize,
-    /// Real aggregators: processes of the program, under load.
+    /// Real aggregators: a process of the program each, under query load.
     #[arg(long, default_value_t = 1)]
     real: usize,
-    /// Relays between discovery and the aggregators, each with its share of them; none where aggregators ask discovery.
+    /// Relays between discovery and the aggregators, which are divided among them; with 0, aggregators call discovery.
     #[arg(long, default_value_t = 0)]
     relays: usize,
-    /// Parts that each real aggregator has out at once.
+    /// Parts in flight at each real aggregator.
     #[arg(long, default_value_t = 100)]
     in_flight: usize,
-    /// Run stores that queries go to, the first of the list; the others are lines alone.
+    /// Run stores that receive queries, the first of the list; the others are only listed.
     #[arg(long, default_value_t = 600)]
     asked: usize,
-    /// How long a run store takes for a part, in milliseconds.
+    /// The time that a run store takes for a part, in milliseconds.
     #[arg(long, allow_negative_numbers = true, default_value_t = 20.0)]
     work: f64,
-    /// Changes of the list a second: drains, restarts, run stores that leave and join.
+    /// List changes per second: run stores that drain, restart, leave and join.
     #[arg(long, allow_negative_numbers = true, default_value_t = 1.0)]
     changes: f64,
-    /// How long the list changes and is measured.
+    /// How long the list changes and the run is measured, in seconds.
     #[arg(long, allow_negative_numbers = true, default_value_t = 10.0)]
     seconds: f64,
-    /// The source of chance.
+    /// The seed of the random events and queries.
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Write the results into this file.
@@ -84,23 +91,24 @@
     /// Draw a chart into this SVG file.
     #[arg(long)]
     chart: Option<PathBuf>,
-    /// Run again and again, with one size after the other grown and the rest as named, for slopes.
+    /// Repeat the run with one size growing and the others as given, one size after the other, and derive slopes.
     #[arg(long, value_enum, num_args = 0..=1, default_missing_value = "all")]
     sweep: Option<sweep::Axis>,
-    /// Write the slopes of a sweep into this TOML file, beside those of other sweeps; without it, they are printed.
+    /// Write the slopes of a sweep into this TOML file, which keeps those of other sweeps; without it, print them.
     #[arg(long, requires = "sweep")]
     slopes: Option<PathBuf>,
-    /// What was built, to be noted with slopes.
+    /// The build that is measured, recorded with the slopes.
     #[arg(long, default_value = concat!("ironpaddle-lab ", env!("CARGO_PKG_VERSION")), requires = "sweep")]
     build: String,
 }
 
 impl Options {
+    /// Returns the number of run stores that receive queries.
     fn asked(&self) -> usize {
         self.asked.min(self.run_stores)
     }
 
-    /// Queries that a real aggregator has at once, and parts of each.
+    /// Returns the number of concurrent queries at a real aggregator and the number of parts of each.
     fn queries(&self) -> (usize, usize) {
         let queries = self.in_flight.div_ceil(MOST_PARTS.min(self.asked())).max(1);
         (queries, (self.in_flight / queries).max(1))
@@ -138,7 +146,7 @@
         }
     }
 
-    /// The run's command.
+    /// Returns the command line that repeats this run.
     fn command(&self) -> String {
         format!(
             "ironpaddle-lab scale --run-stores {} --hollow {} --real {} --relays {} --in-flight {} --asked {} --work {} \
@@ -157,10 +165,10 @@
     }
 }
 
-/// Runs it; says whether all was well.
+/// Runs the command and returns whether all checks of the run passed.
 ///
 /// # Errors
-/// If it cannot be run.
+/// If the run cannot be carried out or its results cannot be written.
 pub fn run(options: &Options) -> Result<bool, String> {
     if let Err(why) = bounds::check(options) {
         clap::Error::raw(clap::error::ErrorKind::ValueValidation, format!("{why}\n")).exit();
@@ -181,7 +189,8 @@
     Ok(outcome.is_well())
 }
 
-/// Whether a signal has told the run to end. From now on none ends this process at once, so that it can end what it started.
+/// Returns a flag that the first termination signal sets. From then on no such signal kills this process directly, so
+/// that it can stop the processes that it started.
 fn told_to_end() -> Result<Arc<AtomicBool>, String> {
     let mut signals =
         Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|error| error.to_string())?;
@@ -197,7 +206,8 @@
     Ok(told)
 }
 
-/// All processes of a run. What was started last ends first, run stores and discovery after those that call them.
+/// The processes of a run. Fields are dropped in declaration order: callers stop before the processes that they call,
+/// so run stores and discovery stop last.
 struct Fleet<'a> {
     told_to_end: &'a AtomicBool,
     clients: Option<Process>,
@@ -208,7 +218,7 @@
     stores: Process,
 }
 
-/// What was so at a moment.
+/// Resource usage and traffic counters of all processes at one moment.
 #[derive(Default)]
 struct Sample {
     at: f64,
@@ -251,14 +261,15 @@
         Ok(fleet)
     }
 
+    /// Returns an error once a signal has asked the run to end.
     fn goes_on(&self) -> Result<(), String> {
         if self.told_to_end.load(Ordering::Acquire) {
-            return Err("told to end".to_string());
+            return Err("interrupted by a signal".to_string());
         }
         Ok(())
     }
 
-    /// The processes that tell aggregators the list.
+    /// Returns the processes that serve the list to aggregators: the relays, or discovery if there are none.
     fn told_by(&mut self) -> &mut [Process] {
         if self.relays.is_empty() {
             std::slice::from_mut(&mut self.discovery)
@@ -267,12 +278,12 @@
         }
     }
 
-    /// What is known of when changes were told, and taken in.
+    /// Collects when each change was published and when real aggregators had applied it.
     fn told(&mut self) -> Result<Told, String> {
         let mut told: Told = read(self.discovery.tell(Word::End)?)?;
         for relay in &mut self.relays {
             let theirs: Told = read(relay.tell(Word::End)?)?;
-            // A real aggregator asks one of them alone.
+            // Each real aggregator calls only one relay, so at most one has its times.
             for (known, times) in told.taken.iter_mut().zip(theirs.taken) {
                 if !times.is_empty() {
                     *known = times;
@@ -282,6 +293,7 @@
         Ok(told)
     }
 
+    /// Sleeps for a time, and stops early with an error if a signal asks the run to end.
     fn sleep(&self, span: Duration) -> Result<(), String> {
         let until = Instant::now() + span;
         while Instant::now() < until {
@@ -291,7 +303,7 @@
         Ok(())
     }
 
-    /// Waits until all aggregators have the list of some version in force, or for so long; whether they have.
+    /// Waits until a version of the list is in force at all aggregators, at most for `limit`; returns whether it is.
     fn all_have(&mut self, options: &Options, version: u64, limit: Duration) -> Result<bool, String> {
         let began = Instant::now();
         loop {
@@ -313,6 +325,7 @@
         }
     }
 
+    /// Samples usage and traffic counters of all processes.
     fn sample(&mut self, clock: Clock) -> Result<Sample, String> {
         let failed = |error: std::io::Error| error.to_string();
         let usage_of = |process: &Process| usage(process.id()).map_err(failed);
@@ -324,7 +337,7 @@
             ..Sample::default()
         };
         for aggregator in &self.aggregators {
-            let id = aggregator.id().ok_or("a real aggregator has ended")?;
+            let id = aggregator.id().ok_or("a real aggregator has exited")?;
             sample.real.push(usage(id).map_err(failed)?);
         }
         if let Some(clients) = &mut self.clients {
@@ -343,12 +356,12 @@
     serde_json::from_value(value).map_err(|error| error.to_string())
 }
 
-/// Where the aggregators of this process keep their configurations and logs.
+/// Returns the directory for the configurations and logs of the real aggregators of this run.
 fn folder() -> PathBuf {
     std::env::temp_dir().join(format!("ironpaddle-scale-{}", std::process::id()))
 }
 
-/// One run. Logs are kept where something went wrong.
+/// Carries out one run. The aggregators' logs are kept if it failed or a check did not pass.
 fn play(options: &Options, told_to_end: &AtomicBool) -> Result<Outcome, String> {
     let played = play_through(options, told_to_end);
     if told_to_end.load(Ordering::Acquire) || played.as_ref().is_ok_and(Outcome::is_well) {
@@ -357,7 +370,7 @@
     played
 }
 
-/// From the start of all processes to their end.
+/// Starts all processes, measures, stops them, and evaluates the run.
 fn play_through(options: &Options, told_to_end: &AtomicBool) -> Result<Outcome, String> {
     let clock = Clock::new();
     let drawn = events::draw(options.run_stores, options.changes, options.seconds, options.seed);
@@ -366,7 +379,7 @@
     if !fleet.all_have(options, events::FIRST_INDEX, FIRST_LISTS)? {
         let standing: hollow::Standing = read(fleet.hollow.tell(Word::Mark)?)?;
         return Err(format!(
-            "not all aggregators had their first list within {} s: {} of {} hollow ones had",
+            "not all aggregators received their first list within {} s: {} of {} simulated ones did",
             FIRST_LISTS.as_secs(),
             standing.listed,
             options.hollow
@@ -395,7 +408,7 @@
     let mut ends = None;
     if let Some(clients) = &mut fleet.clients {
         clients.tell(Word::End)?;
-        // Whoever has asked is answered.
+        // Lets the queries in flight be answered.
         fleet.sleep(Duration::from_secs_f64(AIM_MS / 1000.0))?;
     }
     if let Some(clients) = &mut fleet.clients {
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -1,41 +1,52 @@
-//! What a run may take of its machine, checked before anything is started.
+//! Limits on what a run may use of its machine, checked before any process is started.
 
 use rustix::process::{getrlimit, Resource};
 
 use super::{Options, HOLDERS};
 
-/// The most processes that a run may start.
+/// The maximum number of processes that a run may start.
 const MOST_PROCESSES: usize = 300;
-/// The stand-ins: run stores, discovery, hollow aggregators, clients.
+/// The number of stand-in processes: run stores, discovery, simulated aggregators, clients.
 const STAND_INS: usize = 4;
-/// Descriptors of a process that are no connection's.
+/// Descriptors that a process needs besides its connections.
 const OTHER_DESCRIPTORS: usize = 64;
-/// Bytes of a hollow aggregator, and for each line that it knows; measured, rounded up.
+/// Memory of a simulated aggregator without list entries, in bytes (rounded up from measurements).
 const HOLLOW: usize = 96 * 1024;
+/// Memory of a simulated aggregator for each list entry, in bytes (rounded up from measurements).
 const HOLLOW_LINE: usize = 1500;
-/// The same of a real one, and for each part that is out.
+/// Memory of a real aggregator without list entries or load, in bytes (rounded up from measurements).
 const REAL: usize = 16 << 20;
+/// Memory of a real aggregator for each list entry, in bytes (rounded up from measurements).
 const REAL_LINE: usize = 2500;
+/// Memory of a real aggregator for each part in flight, in bytes (rounded up from measurements).
 const REAL_PART: usize = 16 * 1024;
-/// Bytes of a stand-in, and for each line of the list.
+/// Memory of a stand-in without list entries, in bytes.
 const STAND_IN: usize = 16 << 20;
+/// Memory of a stand-in for each list entry, in bytes.
 const STAND_IN_LINE: usize = 1200;
-/// Bytes that two stand-ins and the kernel take for a connection.
+/// Memory that the processes at both ends and the kernel use for a connection, in bytes.
 const CONNECTION: usize = 64 * 1024;
-/// Descriptors of which the program gives a fifth to run stores; so many beside are for clients.
+/// The program gives one in this many of its descriptors to run store connections.
 const SHARE_OF_STORES: usize = 5;
+/// Descriptors of a real aggregator that are added for client connections.
 const FOR_CLIENTS: usize = 512;
 
-/// Descriptors that a real aggregator is configured to use: enough for a connection to each run store that is asked.
+/// Returns the number of descriptors that a real aggregator is configured to use: enough for a connection to each run
+/// store that is queried.
 pub fn sockets(options: &Options) -> usize {
     (stores_asked(options) * SHARE_OF_STORES + FOR_CLIENTS).max(options.queries().0 * 2 + FOR_CLIENTS)
 }
 
+/// Returns the number of run stores that a real aggregator may connect to: those that are queried and the other holders
+/// of their shards.
 fn stores_asked(options: &Options) -> usize {
     (options.asked() + HOLDERS).min(options.run_stores)
 }
 
-/// Says what is wrong with the options, or what the machine lacks for them.
+/// Checks the options against their ranges and the limits of the machine.
+///
+/// # Errors
+/// Names the invalid option, or the limit of processes, descriptors or memory that the run would exceed.
 pub fn check(options: &Options) -> Result<(), String> {
     let wrong = [
         (options.run_stores == 0, "--run-stores must be at least 1"),
@@ -51,7 +62,7 @@
     }
     let processes = options.real + options.relays + STAND_INS;
     if processes > MOST_PROCESSES {
-        return Err(format!("{processes} processes are wanted, and a run may start {MOST_PROCESSES}"));
+        return Err(format!("the run needs {processes} processes, and may start {MOST_PROCESSES}"));
     }
     descriptors(options)?;
     let total = total_memory().ok_or("the memory of the machine cannot be read from /proc/meminfo")?;
@@ -59,7 +70,7 @@
     if wanted > total / 2 {
         let gib = |bytes: usize| bytes as f64 / f64::from(1 << 30);
         return Err(format!(
-            "about {:.1} GiB of memory are wanted, and a run may take half of the machine's {:.1} GiB",
+            "the run needs about {:.1} GiB of memory, and may use half of the machine's {:.1} GiB",
             gib(wanted),
             gib(total)
         ));
@@ -67,30 +78,31 @@
     Ok(())
 }
 
-/// The descriptors of each process against the limit that it will run under.
+/// Checks the descriptors that each process needs against the process limit, which child processes inherit.
 fn descriptors(options: &Options) -> Result<(), String> {
     let limit = getrlimit(Resource::Nofile).current.map_or(usize::MAX, |limit| limit as usize);
     let queries = options.queries().0;
     let told = options.hollow.div_ceil(options.relays.max(1));
-    // Run stores have up to four connections where one falls silent, which none does here.
+    // One connection for each run store suffices: aggregators open up to four only to a run store that stops answering,
+    // which does not happen here.
     let wanted = [
         ("the run stores", options.real * stores_asked(options)),
-        ("who tells the list", told + 2 * options.real + 1),
+        ("the process that serves the list", told + 2 * options.real + 1),
         ("discovery", options.relays + options.real + 1),
-        ("the hollow aggregators", options.hollow),
+        ("the simulated aggregators", options.hollow),
         ("the clients", options.real * queries),
         ("a real aggregator", sockets(options)),
     ];
     for (who, connections) in wanted {
         let wanted = connections + OTHER_DESCRIPTORS;
         if wanted > limit {
-            return Err(format!("{who} would want {wanted} descriptors, and a process may have {limit}"));
+            return Err(format!("{who} would need {wanted} descriptors, and a process may have {limit}"));
         }
     }
     Ok(())
 }
 
-/// The memory that a run takes, in bytes.
+/// Estimates the memory that a run uses, in bytes.
 fn memory(options: &Options) -> usize {
     let lines = options.run_stores;
     let hollow = options.hollow * (HOLLOW + HOLLOW_LINE * lines);
@@ -102,6 +114,7 @@
         + connections * CONNECTION
 }
 
+/// Reads the memory of the machine, in bytes; `None` if `/proc/meminfo` cannot be read.
 fn total_memory() -> Option<usize> {
     let text = std::fs::read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"))?;
--- a/crates/lab/src/scale/clients.rs
+++ b/crates/lab/src/scale/clients.rs
@@ -1,5 +1,5 @@
-//! Clients as the scale run needs them: each asks its next query when the last has its answer, so that as many parts are
-//! out as are wanted.
+//! Closed-loop clients of the scale run: each sends its next query once the last one is answered, which keeps the
+//! number of parts in flight constant.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -24,29 +24,29 @@
 use crate::clients::histogram;
 use crate::stores::value;
 
-/// The largest answer.
+/// The maximum size of a response body, in bytes.
 const MOST_BODY: usize = 1 << 20;
-/// How long a client waits after a refusal or a failure.
+/// How long a client waits after a refused or failed query.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// How queries ended.
+/// Counts of queries by their outcome.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct Ends {
-    /// Asked.
+    /// Queries sent.
     pub asked: u64,
-    /// Answered whole.
+    /// Whole answers.
     pub whole: u64,
-    /// Answered from some parts.
+    /// Partial answers.
     pub partial: u64,
-    /// Refused.
+    /// Queries refused with status 429 or 503.
     pub refused: u64,
-    /// Failed.
+    /// Queries that ended with any other error status.
     pub failed: u64,
-    /// Without any answer.
+    /// Queries that received no response.
     pub lost: u64,
-    /// Answers with a value that no run store gave.
+    /// Answers with a value that no run store returned, or whole answers that lack a part.
     pub wrong: u64,
-    /// Parts in answers.
+    /// Parts contained in answers.
     pub parts: u64,
 }
 
@@ -65,7 +65,7 @@
         self.ends.set(ends);
     }
 
-    /// Asks one query after the other, on a connection that is kept.
+    /// Sends one query after the other to an aggregator over a persistent connection, until the run is over.
     async fn ask_on(self: Rc<Self>, to: SocketAddr, no: u64) {
         let mut random = fastrand::Rng::with_seed(mix(self.setup.seed ^ no << 32));
         let mut wire = None;
@@ -94,6 +94,7 @@
         }
     }
 
+    /// Sends a query and returns the status and the body of its response.
     async fn ask(
         &self,
         wire: &mut Option<Wire>,
@@ -130,6 +131,7 @@
         Ok((status, serde_json::from_slice(&answer.body).unwrap_or(Value::Null)))
     }
 
+    /// Checks an answer and counts it.
     fn answered(&self, id: &str, answer: &Value) {
         let items = answer["items"].as_array().map(Vec::as_slice).unwrap_or_default();
         let right = |item: &Value| {
@@ -147,7 +149,7 @@
     }
 }
 
-/// Starts them, to ask from the first word on. From the next on, times count anew.
+/// Creates the clients. They start at the first `Begin`; each `Mark` reports their counts and resets the latencies.
 pub fn start(setup: &Setup, executor: &Rc<LocalExecutor<'static>>) -> (Vec<SocketAddr>, Attend) {
     let clients = Rc::new(Clients {
         setup: setup.clone(),
--- a/crates/lab/src/scale/discovery.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -1,9 +1,12 @@
-//! Discovery as the scale run needs it: thousands of watches on one thread, each answer made once for all that ask for it.
+//! The discovery service of the scale run: serves thousands of watches on one thread and caches each response for all
+//! watchers at the same version.
 //!
-//! A relay is the same, but learns the list from another: so do machines that stand between discovery and many aggregators.
+//! A relay is the same service, but follows the list of an upstream service, as machines between discovery and many
+//! aggregators would.
 //!
-//! It has an address for hollow aggregators and relays, and one for each real one. Whoever asks for what came after a version has
-//! taken that version in, which is how it is known of real ones.
+//! The service has one address for simulated aggregators and relays together, and one for each real aggregator. A
+//! watcher that requests the changes after a version has applied that version; the separate addresses show which real
+//! aggregator it is.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -28,27 +31,29 @@
 use super::wire::{Count, Wire};
 use crate::clock::Clock;
 
-/// The longest that a watch waits.
+/// The longest wait that a watch may request, in milliseconds.
 const LONGEST_WAIT: u64 = 60_000;
-/// How long a relay has its watch wait, and the longest list that it learns.
+/// The wait that a relay requests for its own watch, in milliseconds.
 const WAIT_MS: u64 = 20_000;
+/// The maximum size of a list that a relay reads, in bytes.
 const MOST_LIST: usize = 64 << 20;
 
+/// The run store list with its change log.
 struct List {
-    /// When the events began.
+    /// The Unix time at which the events began, in milliseconds.
     begin: u64,
-    /// Its version; 0 before there is any.
+    /// The version of the list; 0 before a relay has received one.
     index: u64,
-    /// All lines as they are written.
+    /// The serialized entries, by name.
     lines: BTreeMap<String, String>,
-    /// What was changed since: the version, the name and its line.
+    /// The changes since the first list: version, name and serialized entry.
     changes: Vec<(u64, String, String)>,
-    /// Answers by the version after which is asked, as long as nothing changes.
+    /// Cached responses by the version that the watcher has; cleared by each change.
     answers: HashMap<Option<u64>, Rc<[u8]>>,
 }
 
 impl List {
-    /// A line has changed, or is gone.
+    /// Records a changed or removed entry.
     fn tell(&mut self, index: u64, name: String, gone: bool, line: String) {
         if gone {
             self.lines.remove(&name);
@@ -60,7 +65,7 @@
         self.answers.clear();
     }
 
-    /// The whole response to who asks for what came after a version.
+    /// Returns the serialized HTTP response with the changes after a version, or the whole list for `None`.
     fn answer(&mut self, after: Option<u64>) -> Rc<[u8]> {
         if let Some(known) = self.answers.get(&after) {
             return known.clone();
@@ -69,7 +74,7 @@
             None => self.lines.values().map(String::as_str).collect(),
             Some(after) => {
                 let from = self.changes.partition_point(|(index, _, _)| *index <= after);
-                // Of several changes of a line the last alone counts.
+                // Only the last of several changes of an entry is sent.
                 let newest: BTreeMap<_, _> =
                     self.changes[from..].iter().map(|(_, name, line)| (name, line)).collect();
                 newest.into_values().map(String::as_str).collect()
@@ -87,24 +92,25 @@
     }
 }
 
+/// The state of discovery or a relay.
 struct Discovery {
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
     list: RefCell<List>,
     changed: Bell,
-    /// What passed at each address.
+    /// Traffic at each address.
     counts: Vec<Count>,
-    /// For each version, when it came to be.
+    /// The time at which each change was published.
     told: RefCell<Vec<f64>>,
-    /// The version that each real aggregator has taken in, and when it had taken in each.
+    /// For each real aggregator: the version that it has applied, and the time at which it had applied each change.
     taken: RefCell<Vec<(u64, Vec<f64>)>>,
-    /// The bytes of the whole list as it was last asked for.
+    /// The size of the last whole-list response, in bytes.
     whole: Cell<usize>,
-    /// What passed between a relay and whom it learns from.
+    /// Traffic between a relay and its upstream service.
     up: Count,
 }
 
-/// An answer that a relay learns from.
+/// A response of the upstream service to a relay.
 #[derive(Deserialize)]
 struct Learned {
     index: u64,
@@ -112,7 +118,7 @@
     endpoints: Vec<Box<RawValue>>,
 }
 
-/// What a relay needs to know of a line.
+/// The fields of a list entry that a relay reads.
 #[derive(Deserialize)]
 struct Head {
     name: String,
@@ -123,7 +129,7 @@
     async fn accept(self: Rc<Self>, listener: TcpListener, place: usize) {
         while let Ok((stream, _)) = listener.accept().await {
             let discovery = self.clone();
-            // A caller that leaves is no matter of discovery's.
+            // Errors are ignored: they mean that the caller has disconnected.
             let serving = async move { drop(discovery.serve(stream, place).await) };
             self.executor.spawn(serving).detach();
         }
@@ -164,7 +170,7 @@
         }
     }
 
-    /// Learns the list from another, until that ends.
+    /// Follows the list of the upstream service; returns only with an error.
     async fn follow(&self, from: SocketAddr) -> io::Result<()> {
         let stream = TcpStream::connect(from).await?;
         let mut wire = Wire::new(stream, MessageKind::Response(MOST_LIST), self.up.clone())?;
@@ -182,7 +188,7 @@
                 list.tell(news.index, head.name, head.status == "gone", line.get().to_string());
             }
             if news.snapshot {
-                // Whoever asks from now on gets all of it.
+                // A new watcher receives the whole list anyway.
                 list.changes.clear();
             }
             drop(list);
@@ -190,7 +196,7 @@
         }
     }
 
-    /// The aggregator of an address has taken in a version, and all before.
+    /// Records that the real aggregator of an address has applied a version and all earlier ones.
     fn has_taken(&self, place: usize, version: u64) {
         let mut taken = self.taken.borrow_mut();
         let Some((last, times)) = place.checked_sub(1).and_then(|real| taken.get_mut(real)) else { return };
@@ -198,6 +204,7 @@
         times.resize((*last - FIRST_INDEX) as usize, self.clock.now());
     }
 
+    /// Publishes the events at their times.
     async fn change(self: Rc<Self>, events: Vec<Event>, address: String) {
         let begin = self.list.borrow().begin;
         for event in &events {
@@ -215,7 +222,8 @@
     }
 }
 
-/// Starts it, or a relay, which is there once it has the list; its addresses.
+/// Starts discovery, or a relay if the setup names an upstream address, and returns its addresses. A relay has its
+/// first list by then.
 pub async fn start(
     setup: &Setup,
     executor: &Rc<LocalExecutor<'static>>,
@@ -244,9 +252,9 @@
     if let Some(from) = setup.upstream {
         let relay = discovery.clone();
         let following = async move {
-            // Its aggregators hear no more from then on, which the run notices.
+            // Its aggregators receive no further changes, which makes the run fail.
             if let Err(why) = relay.follow(from).await {
-                eprintln!("a relay has lost {from}: {why}");
+                eprintln!("relay lost its upstream connection to {from}: {why}");
             }
         };
         executor.spawn(following).detach();
--- a/crates/lab/src/scale/events.rs
+++ b/crates/lab/src/scale/events.rs
@@ -1,56 +1,60 @@
-//! What happens to the list of run stores in a run: drawn from a seed alone, before anything is started.
+//! The list changes of a run, generated from the seed alone before any process is started.
 
 use std::collections::BTreeMap;
 
 use ironpaddle::hash::{hash, mix};
 
-/// The index of discovery's list before the first event.
+/// The version of discovery's list before the first event.
 pub const FIRST_INDEX: u64 = 1;
-/// The share of run stores that may be away from the list or draining at once.
+/// The maximum share of run stores that are removed or draining at the same time.
 const MOST_AWAY: f64 = 0.1;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A run store as the list has it.
+/// A run store in the list.
+///
+/// The `Debug` output is part of the digest of events, so field names must not change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// Its cell.
+    /// The cell of the run store.
     pub cell: u32,
-    /// Whether it drains.
+    /// Whether the run store is draining.
     pub draining: bool,
-    /// When it was started, in milliseconds from the begin of the events; `None` for long ago.
+    /// The start time in milliseconds after the begin of the events; `None` if it started long before.
     pub started: Option<u64>,
 }
 
-/// All run stores that are listed, by name.
+/// The listed run stores by name.
 pub type Entries = BTreeMap<String, Entry>;
 
-/// What happens to a run store.
+/// The kind of a list change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Change {
-    /// It is to get nothing new.
+    /// The run store drains: it should receive no new parts.
     Drain,
-    /// Another process of it has started, and is ready.
+    /// A new process of the run store has started and is ready.
     Restart,
-    /// It leaves the list.
+    /// The run store is removed from the list.
     Remove,
-    /// It joins the list, in a cell that another has left.
+    /// A run store joins the list, in the cell of a removed one.
     Add,
 }
 
-/// A change of a line of the list.
+/// A change of one list entry.
+///
+/// The `Debug` output is part of the digest of events, so names of fields and variants must not change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Event {
-    /// When, in milliseconds from the begin.
+    /// The time in milliseconds after the begin of the events.
     pub at: u64,
-    /// What.
+    /// The kind of the change.
     pub change: Change,
-    /// The run store.
+    /// The name of the run store.
     pub name: String,
-    /// Its line from then on; of one that is removed, as it was last.
+    /// The entry after the change; for a removed run store, its last entry.
     pub entry: Entry,
 }
 
-/// The list before any event.
+/// Returns the list before the first event.
 pub fn first_list(run_stores: usize) -> Entries {
     (0..run_stores).map(|no| (name(no), Entry { cell: no as u32, draining: false, started: None })).collect()
 }
@@ -59,7 +63,7 @@
     format!("s-{no:08x}")
 }
 
-/// The events of a run: so many a second, spaced evenly.
+/// Generates the events of a run, evenly spaced.
 pub fn draw(run_stores: usize, per_second: f64, seconds: f64, seed: u64) -> Vec<Event> {
     let mut random = fastrand::Rng::with_seed(mix(seed));
     let mut listed = first_list(run_stores);
@@ -70,7 +74,7 @@
     let mut events = Vec::new();
     for no in 0..(per_second * seconds) as u64 {
         let at = (no as f64 * 1000.0 / per_second) as u64;
-        // Where too many are away already, one of them comes back.
+        // If the maximum number is removed or draining, one of them returns instead.
         let may_go = draining.len() + free.len() < most_away && !names.is_empty();
         let change = match random.u32(0..10) {
             0..=3 if may_go => Change::Drain,
@@ -110,7 +114,7 @@
     events
 }
 
-/// Brings the list up to date with an event.
+/// Applies an event to the list.
 pub fn apply(listed: &mut Entries, event: &Event) {
     if event.change == Change::Remove {
         listed.remove(&event.name);
@@ -119,23 +123,23 @@
     }
 }
 
-/// Events in a number, the same for the same events alone.
+/// Returns a digest of the events.
 pub fn digest(events: &[Event]) -> u64 {
     events.iter().fold(0, |sum, event| mix(sum ^ hash(&format!("{event:?}"))))
 }
 
-/// A list in a number; events began at a time of the clock.
+/// Returns a digest of a list, whose entries are given as name, cell, draining flag and start time.
 pub fn digest_list<'a>(lines: impl Iterator<Item = (&'a str, u32, bool, Option<f64>)>) -> u64 {
     lines.fold(0, |sum, line| mix(sum ^ hash(&format!("{line:?}"))))
 }
 
-/// The same of entries.
+/// Returns the same digest for entries whose start times count from `begin`, in Unix milliseconds.
 pub fn digest_entries(listed: &Entries, begin: u64) -> u64 {
     let started = |entry: &Entry| entry.started.map(|at| (begin + at) as f64);
     digest_list(listed.iter().map(|(name, entry)| (&**name, entry.cell, entry.draining, started(entry))))
 }
 
-/// A line of the list as discovery writes it.
+/// Serializes a list entry as discovery sends it.
 pub fn line(name: &str, entry: &Entry, gone: bool, address: &str, begin: u64) -> String {
     let status = match (gone, entry.draining) {
         (true, _) => "gone",
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow aggregators, thousands in a process: the program's own control state and watch, with real calls to discovery and
-//! no clients.
+//! Simulated aggregators, thousands in a process: the program's own control state and discovery watch, with real calls
+//! to discovery and without clients.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -26,24 +26,24 @@
 use super::roles::{Attend, Setup, Word};
 use crate::clock::Clock;
 
-/// Threads, of which each has its share of the aggregators.
+/// The number of threads among which the aggregators are divided.
 const THREADS: usize = 4;
-/// Aggregators of a thread that may be without a list while the next one starts.
+/// The maximum number of aggregators of a thread that wait for their first list while another one starts.
 const STARTING: usize = 8;
 
-/// How it stands with the aggregators of a process.
+/// The state of the list at the simulated aggregators of a process.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Standing {
-    /// Those that have a list.
+    /// The number of aggregators that have a list.
     pub listed: usize,
-    /// By version, from the first on: how many have it in force, and when the last of them had it.
+    /// By version, from the first on: how many aggregators have it in force, and the time at which the last one had.
     pub in_force: Vec<(usize, f64)>,
-    /// At the end: the lists that are held, in a number, and how many hold each.
+    /// At the end: the number of aggregators that hold each list, by the digest of the list.
     pub lists: BTreeMap<u64, usize>,
 }
 
 impl Standing {
-    /// An aggregator had versions in force from some time on.
+    /// Records that an aggregator has the versions from `from` to `to` in force since a time.
     fn note(&mut self, from: u64, to: u64, at: f64) {
         let place = |version: u64| (version - FIRST_INDEX) as usize;
         let reach = place(to) + 1;
@@ -61,7 +61,7 @@
     standing.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// No connections to run stores: as there are no queries, nothing is to be sent.
+/// A transport without run store connections: as there are no queries, nothing is ever sent.
 struct NoStores;
 
 impl RunStores for NoStores {
@@ -82,13 +82,13 @@
     fn apply_settings(&self, _: &SiteSettings) {}
 }
 
-/// An aggregator, driven until its process ends.
+/// Drives an aggregator until its process ends, and records when versions of the list are in force.
 async fn drive(driver: Rc<Driver>, watch: Rc<Watch>, clock: Clock, standing: Shared) {
     let known = Cell::new(None::<u64>);
     let mut running = pin!(driver.clone().run());
     poll_fn(|context| {
         let polled = running.as_mut().poll(context);
-        // What was told is in force once the step after it is done.
+        // A version is in force once the step that follows its delivery is done.
         let version = Directory::version(&watch).filter(|_| !driver.has_pending_events());
         if let Some(version) = version.filter(|version| known.get().is_none_or(|known| known < *version)) {
             let mut standing = lock(&standing);
@@ -101,7 +101,7 @@
     .await;
 }
 
-/// The list that an aggregator holds, in a number.
+/// Returns the digest of the list that an aggregator holds.
 fn list(driver: &Driver) -> u64 {
     let lines = driver.directory();
     let line = |line: &ironpaddle::core::ListedRunStore| {
@@ -112,7 +112,7 @@
     events::digest_list(lines.iter().map(|(name, cell, drains, started)| (&**name, *cell, *drains, *started)))
 }
 
-/// Starts them. Each is started when few of the last ones wait for their list.
+/// Starts the aggregators. A thread starts the next one only while few of its others wait for their first list.
 pub fn start(setup: &Setup) -> io::Result<(Vec<SocketAddr>, Attend)> {
     let site: SiteSettings = serde_json::from_value(setup.settings.clone())?;
     if setup.discovery.is_empty() {
--- a/crates/lab/src/scale/outcome.rs
+++ b/crates/lab/src/scale/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a run: what each role used, and how soon changes were in force.
+//! The results of a run: what each role used, and how soon changes were in force.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,57 +16,58 @@
 use crate::clients::histogram;
 use crate::report::table;
 
-/// What discovery knows of the changes.
+/// The times of changes as discovery and the relays recorded them.
 #[derive(Debug, Default, Deserialize)]
 pub struct Told {
-    /// When each was told.
+    /// The time at which each change was published.
     pub told: Vec<f64>,
-    /// By real aggregator: when it asked for what came after each.
+    /// For each real aggregator: the time at which it had applied each change.
     pub taken: Vec<Vec<f64>>,
 }
 
-/// What was so at the end.
+/// The state at the end of a run.
 pub struct End {
-    /// How long the start took, in seconds.
+    /// The time until all aggregators had a list, in seconds.
     pub start_s: f64,
-    /// Whether all changes were in force at all aggregators.
+    /// Whether all changes were in force at all aggregators in time.
     pub everywhere: bool,
-    /// Hollow aggregators that held the list that the events lead to.
+    /// The number of simulated aggregators that held the list that results from the events.
     pub equal: usize,
-    /// How it stood with the hollow aggregators.
+    /// The state of the list at the simulated aggregators.
     pub standing: Standing,
-    /// When changes were told and taken in.
+    /// The times at which changes were published and applied.
     pub told: Told,
-    /// How queries ended.
+    /// Counts of queries by their outcome.
     pub ends: Ends,
-    /// Whether all real aggregators ended in good order.
+    /// Whether all real aggregators shut down cleanly.
     pub in_order: bool,
 }
 
-/// What the processes of a role used while it was measured.
+/// The resources that the processes of a role used during the measurement.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Used {
-    /// Its processes, or hollow aggregators.
+    /// The number of processes, or of simulated aggregators.
     pub members: usize,
-    /// Processor time of all of them, in milliseconds a second.
+    /// CPU time of all members, in milliseconds per second.
     pub cpu_ms_per_s: f64,
-    /// Memory of all of them at the end, in bytes.
+    /// Resident memory of all members at the end, in bytes.
     pub memory: u64,
-    /// The most memory of all of them, in bytes.
+    /// Sum of the peak resident memory of the processes, in bytes.
     pub peak_memory: u64,
-    /// Descriptors of all of them at the end.
+    /// Open descriptors of all members at the end.
     pub descriptors: u64,
-    /// Messages a second that came.
+    /// Received messages per second.
     pub messages_in_per_s: f64,
-    /// Messages a second that went.
+    /// Sent messages per second.
     pub messages_out_per_s: f64,
-    /// Bytes a second that came.
+    /// Received bytes per second.
     pub bytes_in_per_s: f64,
-    /// Bytes a second that went.
+    /// Sent bytes per second.
     pub bytes_out_per_s: f64,
 }
 
 impl Used {
+    /// Computes the usage between two samples.
     fn of(members: usize, usage: [&[Usage]; 2], traffic: Traffic, seconds: f64) -> Self {
         let sum = |usage: &[Usage], of: fn(&Usage) -> u64| usage.iter().map(of).sum::<u64>();
         let cpu = |usage: &[Usage]| usage.iter().map(|usage| usage.cpu_ms).sum::<f64>();
@@ -86,18 +87,19 @@
     }
 }
 
-/// Times of changes, in milliseconds.
+/// Quantiles of the times until changes were in force, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Times {
-    /// Half of the changes were in force sooner.
+    /// The median.
     pub p50: f64,
-    /// All but one of a hundred were.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The last of them.
+    /// The maximum.
     pub most: f64,
 }
 
 impl Times {
+    /// Computes the quantiles; `None` if there are no times.
     fn of(times: impl Iterator<Item = f64>) -> Option<Self> {
         let mut histogram = histogram();
         times.for_each(|ms| histogram.saturating_record((ms.max(0.0) * 1000.0) as u64));
@@ -106,64 +108,65 @@
     }
 }
 
-/// How soon changes were in force.
+/// The list changes of a run, and how soon they were in force.
 #[derive(Debug, Serialize)]
 pub struct Changes {
-    /// Their number.
+    /// The number of changes.
     pub count: usize,
-    /// The events in a number: the same for the same seed and sizes.
+    /// The digest of the events; it depends on the seed and the sizes alone.
     pub digest: String,
-    /// Whether every one was in force at every aggregator at the end.
+    /// Whether every change was in force at every aggregator at the end.
     pub everywhere: bool,
-    /// Hollow aggregators that held at the end the very list that the events lead to.
+    /// The number of simulated aggregators that held exactly the list that results from the events.
     pub hollow_equal: usize,
-    /// From being told until the last hollow aggregator had done its step with it.
+    /// Times from publication until the last simulated aggregator had completed its step with the change.
     pub hollow: Option<Times>,
-    /// From being told until the last real aggregator had taken it in and asked for more.
+    /// Times from publication until the last real aggregator had applied the change and requested later ones.
     pub real: Option<Times>,
-    /// Until the last of all.
+    /// Times from publication until the last aggregator of either kind.
     pub all: Option<Times>,
-    /// By change: the time of all, in milliseconds.
+    /// For each change, the time until the last aggregator, in milliseconds.
     pub each: Vec<f64>,
 }
 
-/// How queries went while it was measured.
+/// The queries of a run.
 #[derive(Debug, Serialize)]
 pub struct Queries {
-    /// Their ends, from the first on.
+    /// Counts by outcome, since the first query.
     pub ends: Ends,
-    /// Parts a second that were in answers.
+    /// Parts contained in answers per second.
     pub parts_per_s: f64,
-    /// Times of answers, in milliseconds.
+    /// The median latency of answers, in milliseconds.
     pub p50_ms: f64,
-    /// See `p50_ms`.
+    /// The 99th percentile of the latency of answers, in milliseconds.
     pub p99_ms: f64,
-    /// Processor time of the real aggregators for each part, in microseconds.
+    /// CPU time of the real aggregators per part, in microseconds.
     pub cpu_us_per_part: f64,
 }
 
-/// All that came of a run.
+/// The results of a run.
 #[derive(Debug, Serialize)]
 pub struct Outcome {
-    /// The run's command.
+    /// The command line that repeats the run.
     pub command: String,
-    /// How long was measured, in seconds.
+    /// The duration of the measurement, in seconds.
     pub seconds: f64,
-    /// How long the start took, until all aggregators had a list, in seconds.
+    /// The time until all aggregators had a list, in seconds.
     pub start_s: f64,
-    /// By role.
+    /// Resource usage by role.
     pub roles: BTreeMap<&'static str, Used>,
-    /// The bytes of the whole list, as it was last asked for.
+    /// The size of the last whole-list response, in bytes.
     pub whole_list_bytes: u64,
-    /// Changes of the list.
+    /// The list changes.
     pub changes: Changes,
-    /// Queries, where there were any.
+    /// The queries; `None` without real aggregators.
     pub queries: Option<Queries>,
-    /// Whether all real aggregators ended in good order.
+    /// Whether all real aggregators shut down cleanly.
     pub ended_in_order: bool,
 }
 
 impl Outcome {
+    /// Evaluates a run from the samples before and after the measurement and the state at the end.
     pub(super) fn new(
         options: &Options,
         drawn: &[Event],
@@ -174,7 +177,8 @@
         let traffic = |[before, after]: [&Value; 2]| -> Result<Traffic, String> {
             Ok(read::<Traffic>(after.clone())?.since(&read(before.clone())?))
         };
-        // Aggregators are told by discovery, or by relays; those ask discovery in the hollow aggregators' place.
+        // Aggregators receive the list from discovery, or from relays, which call discovery at the address of the
+        // simulated aggregators.
         let asked = [&before.discovery.1, &after.discovery.1];
         let relays: Vec<_> =
             before.relays.iter().zip(&after.relays).map(|(before, after)| [&before.1, &after.1]).collect();
@@ -242,7 +246,8 @@
         })
     }
 
-    /// Whether every change was in force everywhere, every query that was begun had a right answer or none, and all ended.
+    /// Returns whether every change was in force everywhere, queries were answered without wrong values, and all real
+    /// aggregators shut down cleanly.
     pub fn is_well(&self) -> bool {
         let hollow = self.roles.get("hollow").map_or(0, |used| used.members);
         let answered =
@@ -250,7 +255,7 @@
         self.changes.everywhere && self.changes.hollow_equal == hollow && answered && self.ended_in_order
     }
 
-    /// The tables of a run.
+    /// Formats the results as text tables.
     pub fn tables(&self) -> String {
         let head = [
             "role",
@@ -359,20 +364,20 @@
     }
 }
 
-/// What a panel of a chart is about.
+/// The title and axis labels of a chart panel.
 pub struct Panel<'a> {
-    /// Its title.
+    /// The title.
     pub title: &'a str,
-    /// What is counted from left to right.
+    /// The label of the x axis.
     pub x: &'a str,
-    /// What is counted upwards.
+    /// The label of the y axis.
     pub unit: &'a str,
 }
 
-/// Draws points with a line through them, on plain or logarithmic axes.
+/// Draws points with a line through them, on linear or logarithmic axes.
 ///
 /// # Errors
-/// If it cannot be drawn.
+/// If the drawing backend fails.
 pub fn draw(
     area: &DrawingArea<SVGBackend, plotters::coord::Shift>,
     panel: &Panel,
@@ -413,7 +418,7 @@
     Ok(())
 }
 
-/// A figure in few letters.
+/// Formats a number with a suffix of thousands (`k`, `M`, `G`).
 fn short(figure: f64) -> String {
     let (scaled, letter) = match figure.abs() {
         size if size >= 1e9 => (figure / 1e9, "G"),
--- a/crates/lab/src/scale/roles.rs
+++ b/crates/lab/src/scale/roles.rs
@@ -1,5 +1,6 @@
-//! The processes of a run: stand-ins are the lab itself in a role, told by lines of JSON on their standard input, and
-//! end when that does: whatever becomes of the process that started them, none is left.
+//! The stand-in processes of a run. A stand-in is the lab's own program in a role. It receives commands as lines of
+//! JSON on its standard input and exits when that is closed, so none is left behind even if the process that started it
+//! is killed.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -15,73 +16,73 @@
 
 use super::{clients, discovery, hollow, stores};
 
-/// How long a stand-in may take to end by itself.
+/// The time that a stand-in has to exit before it is killed.
 const END: Duration = Duration::from_secs(2);
 
-/// What a process of the lab stands in for.
+/// The role of a stand-in process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Role {
-    /// Discovery, or a relay of it.
+    /// Discovery, or a relay of the list.
     Discovery,
-    /// All run stores that are asked.
+    /// All run stores that receive queries.
     Stores,
-    /// All hollow aggregators.
+    /// All simulated aggregators.
     Hollow,
     /// All clients of the real aggregators.
     Clients,
 }
 
-/// What every stand-in is told first.
+/// The configuration that every stand-in receives as its first line.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Setup {
-    /// Lines of the list.
+    /// The number of list entries.
     pub run_stores: usize,
-    /// Hollow aggregators.
+    /// The number of simulated aggregators.
     pub hollow: usize,
-    /// Real aggregators.
+    /// The number of real aggregators.
     pub real: usize,
-    /// Changes of the list a second.
+    /// List changes per second.
     pub changes: f64,
-    /// For how long it changes.
+    /// How long the list changes, in seconds.
     pub seconds: f64,
-    /// The source of chance.
+    /// The seed of the random events and queries.
     pub seed: u64,
-    /// Queries at once for each real aggregator, and parts of each.
+    /// The number of concurrent queries at each real aggregator, and the number of parts of each.
     pub queries: (usize, usize),
-    /// Run stores that queries go to.
+    /// The number of run stores that receive queries.
     pub asked: usize,
-    /// How long a run store takes for a part, in milliseconds.
+    /// The time that a run store takes for a part, in milliseconds.
     pub work_ms: f64,
     /// The settings of the aggregators.
     pub settings: Value,
-    /// Where the run stores listen, all of them.
+    /// The address that all run stores share.
     pub stores: Option<SocketAddr>,
-    /// Where a relay learns the list; `None` at discovery itself.
+    /// The address from which a relay receives the list; `None` at discovery itself.
     pub upstream: Option<SocketAddr>,
-    /// Where hollow aggregators are told the list, in turn.
+    /// The addresses from which simulated aggregators receive the list, assigned round-robin.
     pub discovery: Vec<SocketAddr>,
-    /// Where the real aggregators listen.
+    /// The addresses of the real aggregators.
     pub aggregators: Vec<SocketAddr>,
 }
 
-/// What a stand-in is told afterwards. It answers each with a line.
+/// A command to a stand-in, which answers each with one line of JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Word {
-    /// Begin, at a time of the clock in Unix milliseconds.
+    /// Begin at the given Unix time in milliseconds.
     Begin(u64),
-    /// Tell what is so just now.
+    /// Report the current counters.
     Mark,
-    /// Tell what came of all.
+    /// Finish and report the results.
     End,
 }
 
-/// What a role does when it is told something.
+/// The handler of a role: executes a command and returns the answer.
 pub type Attend = Box<dyn FnMut(Word) -> Value>;
 
-/// Plays a role until standard input ends.
+/// Runs a stand-in until standard input is closed.
 ///
 /// # Errors
-/// If it cannot be played.
+/// If the setup cannot be read or the role cannot start or write its answers.
 pub fn play(role: Role) -> Result<bool, String> {
     let failed = |error: &dyn std::fmt::Display| format!("{role:?}: {error}");
     let mut first = String::new();
@@ -114,21 +115,21 @@
     async_io::block_on(executor.run(played)).map(|()| true).map_err(|error| failed(&error))
 }
 
-/// A process that plays a role.
+/// A stand-in process.
 pub struct Process {
     role: Role,
     child: Child,
     told: Option<ChildStdin>,
     says: BufReader<ChildStdout>,
-    /// Where it listens.
+    /// The addresses on which it listens.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl Process {
-    /// Starts it.
+    /// Starts a stand-in and waits for its addresses.
     ///
     /// # Errors
-    /// If it does not come up.
+    /// If the process cannot be started or does not answer.
     pub fn start(role: Role, setup: &Setup) -> Result<Self, String> {
         let failed = |error: &dyn std::fmt::Display| format!("{role:?}: {error}");
         let name = role.to_possible_value().map(|value| value.get_name().to_string()).unwrap_or_default();
@@ -139,30 +140,31 @@
             .spawn()
             .map_err(|error| failed(&error))?;
         let (told, says) = (child.stdin.take(), child.stdout.take());
-        let Some(says) = says else { unreachable!("it was asked for") };
+        let Some(says) = says else { unreachable!("standard output is piped") };
         let mut process = Process { role, child, told, says: BufReader::new(says), addresses: Vec::new() };
         let addresses = process.say(setup)?;
         process.addresses = serde_json::from_value(addresses).map_err(|error| failed(&error))?;
         Ok(process)
     }
 
-    /// Its process.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Tells it something; what it answers.
+    /// Sends a command and returns the answer.
     ///
     /// # Errors
-    /// If it does not answer.
+    /// If the stand-in does not answer.
     pub fn tell(&mut self, word: Word) -> Result<Value, String> {
         self.say(&word)
     }
 
+    /// Writes a line of JSON and reads the answer.
     fn say(&mut self, what: &impl Serialize) -> Result<Value, String> {
         let role = self.role;
         let failed = move |why: &dyn std::fmt::Display| format!("{role:?} does not answer: {why}");
-        let told = self.told.as_mut().ok_or_else(|| failed(&"it has ended"))?;
+        let told = self.told.as_mut().ok_or_else(|| failed(&"it has exited"))?;
         let line = serde_json::to_string(what).map_err(|error| failed(&error))?;
         writeln!(told, "{line}").map_err(|error| failed(&error))?;
         let mut answer = String::new();
@@ -173,40 +175,40 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // The end of its standard input ends it.
+        // The stand-in exits when its standard input is closed.
         self.told = None;
         let began = Instant::now();
         while matches!(self.child.try_wait(), Ok(None)) && began.elapsed() < END {
             thread::sleep(Duration::from_millis(5));
         }
-        // It may have ended by itself.
+        // Fails if it has exited by itself, which is fine.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// What a process uses.
+/// The resource usage of a process.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Usage {
-    /// Processor time of its threads since their start, in milliseconds.
+    /// CPU time of the current threads, in milliseconds.
     pub cpu_ms: f64,
-    /// Memory, in bytes.
+    /// Resident memory, in bytes.
     pub memory: u64,
-    /// The most memory so far.
+    /// Peak resident memory, in bytes.
     pub peak: u64,
-    /// Descriptors.
+    /// The number of open descriptors.
     pub descriptors: u64,
 }
 
-/// What a process uses, as the kernel counts it.
+/// Reads the resource usage of a process from `/proc`.
 ///
 /// # Errors
-/// If there is no such process.
+/// If the process does not exist.
 pub fn usage(process: u32) -> io::Result<Usage> {
     let root = format!("/proc/{process}");
     let mut cpu_ns = 0;
     for task in std::fs::read_dir(format!("{root}/task"))? {
-        // A thread may end meanwhile.
+        // A thread may exit while its directory is read.
         let stat = std::fs::read_to_string(task?.path().join("schedstat")).unwrap_or_default();
         cpu_ns += stat.split(' ').next().and_then(|word| word.parse::<u64>().ok()).unwrap_or(0);
     }
--- a/crates/lab/src/scale/stores.rs
+++ b/crates/lab/src/scale/stores.rs
@@ -1,4 +1,4 @@
-//! Run stores as the scale run needs them: one process answers for all that are asked, each part after the same time.
+//! The run stores of the scale run: one process answers for all run stores, each part after the same fixed time.
 
 use std::cell::Cell;
 use std::io;
@@ -17,6 +17,7 @@
 use super::wire::{add, Count, Traffic};
 use crate::stores::{frame, value};
 
+/// The state shared by all connections.
 struct Stores {
     executor: Rc<LocalExecutor<'static>>,
     work: Duration,
@@ -26,6 +27,7 @@
     parts: Cell<u64>,
 }
 
+/// An answer frame and the time at which it is sent.
 type Due = (Instant, Vec<u8>);
 
 impl Stores {
@@ -34,13 +36,14 @@
             let stores = self.clone();
             let serving = async move {
                 stores.connections.set(stores.connections.get() + 1);
-                // A connection that ends in whatever way is no matter of the run store's.
+                // Errors are ignored: they mean that the aggregator has disconnected.
                 let _ = stores.serve(stream).await;
             };
             self.executor.spawn(serving).detach();
         }
     }
 
+    /// Reads request frames from a connection until it is closed.
     async fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (sender, answers) = async_channel::unbounded();
@@ -66,6 +69,7 @@
         }
     }
 
+    /// Handles a request frame: schedules the answer to a part, a ping or a load query.
     fn take(&self, bytes: &[u8], answers: &Sender<Due>) -> io::Result<()> {
         let now = Instant::now();
         let answer = match bytes.first() {
@@ -79,14 +83,15 @@
             }
             Some(b'3') => (now, frame(b'3', b"S")),
             Some(b'4') => (now, frame(b'4', b"util=0.30,qps=3")),
-            // A part that is given up is answered all the same: its answer may be under way.
+            // A cancelled part is answered all the same, as if its answer were already on the way.
             _ => return Ok(()),
         };
         answers.try_send(answer).map_err(io::Error::other)
     }
 }
 
-/// Writes answers in the order of their parts, each when it is due.
+/// Writes answers in the order of their parts, each at its scheduled time; answers that are ready at the same time
+/// share one write.
 async fn write(mut stream: TcpStream, answers: Receiver<Due>, count: Count) {
     let mut next = answers.recv().await.ok();
     while let Some((due, mut bytes)) = next {
@@ -108,7 +113,7 @@
     }
 }
 
-/// Starts them; their address.
+/// Starts the run stores and returns the address that they share.
 pub async fn start(
     setup: &Setup,
     executor: &Rc<LocalExecutor<'static>>,
--- a/crates/lab/src/scale/sweep.rs
+++ b/crates/lab/src/scale/sweep.rs
@@ -1,4 +1,4 @@
-//! Runs of growing size, one size at a time, and the slopes that they give.
+//! Sweeps: repeats the run with one size growing at a time, and writes the series for `capacity`.
 
 use std::io::ErrorKind;
 use std::path::Path;
@@ -11,24 +11,24 @@
 use super::outcome::{draw, Outcome, Panel, Used};
 use super::{bounds, play, Options};
 
-/// What grows.
+/// The size that a sweep varies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Axis {
-    /// Hollow aggregators.
+    /// Simulated aggregators.
     Hollow,
-    /// Lines of the list.
+    /// Entries of the run store list.
     RunStores,
-    /// Changes a second.
+    /// List changes per second.
     Changes,
-    /// Parts out of each real aggregator.
+    /// Parts in flight at each real aggregator.
     InFlight,
-    /// Relays between discovery and the aggregators, so that each has the fewer.
+    /// Relays between discovery and the aggregators; the more there are, the fewer aggregators each one serves.
     Relays,
-    /// One after the other.
+    /// All sizes, one after the other.
     All,
 }
 
-/// A figure against a size, for a fit.
+/// A measured figure by size, to which `capacity` fits a line.
 #[derive(Debug, Serialize, Deserialize)]
 struct Series {
     name: String,
@@ -40,33 +40,34 @@
     points: Vec<[f64; 2]>,
 }
 
-/// All series, as TOML has them.
+/// All series of a slopes file.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct Slopes {
     #[serde(default)]
     series: Vec<Series>,
 }
 
-/// A figure of a run; `None` where it has none.
+/// Computes a figure of a run; `None` if the run does not have it.
 type Figure = fn(&Options, &Outcome) -> Option<f64>;
 
-/// A figure, its name and its unit.
+/// The name, unit and function of a figure.
 type Named = (&'static str, &'static str, Figure);
 
 fn named(name: &'static str, unit: &'static str, figure: Figure) -> Named {
     (name, unit, figure)
 }
 
+/// Computes a figure from the usage of a role.
 fn role(run: &Outcome, name: &str, of: impl Fn(&Used) -> f64) -> Option<f64> {
     run.roles.get(name).map(of)
 }
 
-/// Of hollow aggregators, for each of them.
+/// Computes a figure per simulated aggregator.
 fn each(run: &Outcome, of: impl Fn(&Used) -> f64) -> Option<f64> {
     role(run, "hollow", |used| of(used) / used.members as f64)
 }
 
-/// The same of relays.
+/// Computes a figure per relay.
 fn relay(run: &Outcome, of: impl Fn(&Used) -> f64) -> Option<f64> {
     role(run, "relays", |used| of(used) / used.members as f64)
 }
@@ -96,6 +97,7 @@
 }
 
 impl Axis {
+    /// Returns what the x axis counts.
     fn x(self) -> &'static str {
         match self {
             Axis::Hollow => "hollow aggregators",
@@ -107,7 +109,7 @@
         }
     }
 
-    /// The end of the names of its series.
+    /// Returns the suffix of the names of the series of this axis.
     fn by(self) -> &'static str {
         match self {
             Axis::Hollow => "by-aggregators",
@@ -119,6 +121,7 @@
         }
     }
 
+    /// Returns the sizes that are run.
     fn sizes(self) -> &'static [f64] {
         match self {
             Axis::Hollow => &[10.0, 30.0, 100.0, 300.0, 1000.0, 3000.0],
@@ -130,6 +133,7 @@
         }
     }
 
+    /// Returns the options with this size set.
     fn sized(self, base: &Options, size: f64) -> Options {
         let mut options = base.clone();
         match self {
@@ -143,7 +147,7 @@
         options
     }
 
-    /// What is counted of a size: as relays are more, each has the fewer aggregators.
+    /// Returns the x value of a size. For relays it is the number of aggregators that each one serves.
     fn count(self, options: &Options, size: f64) -> f64 {
         match self {
             Axis::Relays => (options.hollow + options.real) as f64 / size,
@@ -151,7 +155,7 @@
         }
     }
 
-    /// What is held, in words.
+    /// Describes the sizes that are held fixed.
     fn fixed(self, base: &Options) -> String {
         let all = [
             (Axis::RunStores, format!("{} run stores", base.run_stores)),
@@ -165,6 +169,7 @@
         held.join(", ")
     }
 
+    /// Returns the figures that this axis yields.
     fn figures(self) -> Vec<Named> {
         match self {
             Axis::Hollow => vec![
@@ -246,10 +251,10 @@
     }
 }
 
-/// Runs all sizes of an axis, or of all; says whether all was well.
+/// Runs all sizes of an axis, or of all axes, and returns whether all checks passed.
 ///
 /// # Errors
-/// If slopes or charts cannot be written, or it is told to end.
+/// If the results cannot be written or a signal interrupts the sweep.
 pub fn run(base: &Options, axis: Axis, told_to_end: &AtomicBool) -> Result<bool, String> {
     let axes = match axis {
         Axis::All => vec![Axis::Hollow, Axis::RunStores, Axis::Changes, Axis::InFlight, Axis::Relays],
@@ -318,7 +323,7 @@
     Ok(well)
 }
 
-/// The slopes that a file has from sweeps before: other axes stay, and the chart shows them too.
+/// Reads the series of earlier sweeps from a file; those of other axes are kept and appear in the chart too.
 fn known(path: &Path) -> Result<Slopes, String> {
     match std::fs::read_to_string(path) {
         Ok(text) => toml::from_str(&text).map_err(|error| format!("{}: {error}", path.display())),
@@ -327,11 +332,12 @@
     }
 }
 
+/// Returns the command-line name of an axis.
 fn name_of(axis: Axis) -> String {
     axis.to_possible_value().map(|value| value.get_name().to_string()).unwrap_or_default()
 }
 
-/// Draws all series, a panel each.
+/// Draws all series as an SVG file with a panel for each.
 fn chart(path: &Path, slopes: &Slopes) -> Result<(), String> {
     const COLUMNS: usize = 4;
     let rows = slopes.series.len().div_ceil(COLUMNS).max(1);
--- a/crates/lab/src/scale/wire.rs
+++ b/crates/lab/src/scale/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP on a connection of a stand-in, with all that passes counted.
+//! HTTP connections of stand-ins that count their traffic.
 
 use std::cell::Cell;
 use std::io;
@@ -9,21 +9,21 @@
 use ironpaddle::http::parse::{Message, MessageKind, Parser};
 use serde::{Deserialize, Serialize};
 
-/// What passed between a stand-in and its neighbours of a kind.
+/// Message and byte counts between a stand-in and its peers of one kind.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Messages that came.
+    /// Received messages.
     pub messages_in: u64,
-    /// Messages that went.
+    /// Sent messages.
     pub messages_out: u64,
-    /// Bytes that came.
+    /// Received bytes.
     pub bytes_in: u64,
-    /// Bytes that went.
+    /// Sent bytes.
     pub bytes_out: u64,
 }
 
 impl Traffic {
-    /// What passed since an earlier moment.
+    /// Returns the traffic since an earlier sample.
     pub fn since(&self, earlier: &Traffic) -> Traffic {
         Traffic {
             messages_in: self.messages_in - earlier.messages_in,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The same, as the other side sees it.
+    /// Returns the same traffic from the peer's point of view: sent and received are swapped.
     pub fn turned(&self) -> Traffic {
         Traffic {
             messages_in: self.messages_out,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Both together.
+    /// Returns the sum of both.
     pub fn and(&self, other: &Traffic) -> Traffic {
         Traffic {
             messages_in: self.messages_in + other.messages_in,
@@ -54,15 +54,15 @@
     }
 }
 
-/// Counts that all connections of a kind share.
+/// The counters that all connections of a kind share.
 pub type Count = Rc<Cell<Traffic>>;
 
-/// Counts some more.
+/// Adds traffic to a counter.
 pub fn add(count: &Count, more: Traffic) {
     count.set(count.get().and(&more));
 }
 
-/// A connection.
+/// An HTTP connection that counts its traffic.
 pub struct Wire {
     stream: TcpStream,
     parser: Parser,
@@ -70,15 +70,15 @@
 }
 
 impl Wire {
-    /// A connection on which such messages come.
+    /// Wraps a stream on which messages of the given kind are received.
     pub fn new(stream: TcpStream, kind: MessageKind, count: Count) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Wire { stream, parser: Parser::new(kind), count })
     }
 
-    /// The next message; `None` at the end of the connection.
+    /// Reads the next message; `None` at the end of the connection.
     pub async fn read(&mut self) -> io::Result<Option<Message>> {
-        // Small, as thousands of connections wait here.
+        // The buffer is small because thousands of connections wait here.
         let mut bytes = [0; 2048];
         loop {
             let next = self.parser.next_message();
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The command `capacity`, as it is called: what is at fault is said, with a status of 2.
+//! The commands `capacity` and `measure` on the command line: invalid input exits with status 2 and names the reason.
 
 use std::process::Command;
 
@@ -50,7 +50,7 @@
     let descriptors = &file["series"][0];
     assert_eq!(descriptors["name"].as_str(), Some("descriptors-by-connections"));
     let point = |no: usize, place: usize| descriptors["points"][no][place].as_float().unwrap();
-    // On a slow machine a run store may look silent and get one more.
+    // On a slow machine a run store may seem unresponsive, and the aggregator opens another connection to it.
     assert!(point(0, 0) >= 3.0 && point(1, 0) >= 9.0, "a connection to each run store: {said}");
     let others = [point(0, 1) - point(0, 0), point(1, 1) - point(1, 0)];
     assert_eq!(others[0], others[1], "a descriptor for each connection: {said}");
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -1,12 +1,13 @@
-//! Several processes of the program, with faults between them: links cut, slow, mute and reset, processes killed,
-//! stopped and restarted. What is judged are the rules, with slack for slow machines; nothing is measured.
+//! Runs several aggregator processes under faults: links that are cut, delayed, silenced or reset, and processes that
+//! are killed, stopped or restarted. The tests check that no rule is broken, with slack for slow machines; they measure
+//! nothing.
 
 use std::path::PathBuf;
 use std::process::Command;
 
 use serde_json::Value;
 
-/// Plays a scenario; its results, once no rule was broken and all ended in good order.
+/// Runs a scenario and returns its results, after checking that no rule was broken and all processes shut down cleanly.
 fn play(scenario: &str, more: &[&str]) -> Value {
     let file = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios").join(format!("{scenario}.txt"));
     let folder = std::env::temp_dir().join(format!("ironpaddle-fleet-{}-{scenario}", std::process::id()));
@@ -38,14 +39,14 @@
 #[test]
 fn aggregators_cut_off_from_run_stores_or_from_discovery_break_no_rule() {
     let results = play("cut-off", &["--aggregators", "3", "--stores", "8"]);
-    assert_eq!(sum(&results, "lost"), 0, "all aggregators were there for their clients");
-    assert!(sum(&results, "answered") < sum(&results, "asked"), "one of them could ask nobody");
+    assert_eq!(sum(&results, "lost"), 0, "all aggregators were reachable for their clients");
+    assert!(sum(&results, "answered") < sum(&results, "asked"), "one of them could reach no run store");
 }
 
 #[test]
 fn aggregators_that_die_stand_still_or_restart_answer_all_that_they_live_to_answer() {
     let results = play("crashes", &["--aggregators", "3", "--stores", "8"]);
-    assert!(sum(&results, "lost") > 0, "what a killed process held is lost, and nothing else");
+    assert!(sum(&results, "lost") > 0, "queries of a killed process are lost, and only those");
 }
 
 #[test]
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Small scale runs. What is judged are outcomes, not times: changes are in force everywhere, queries are answered, and
-//! nothing is left running.
+//! Small scale runs. The tests check outcomes, not times: changes are in force everywhere, queries are answered, and no
+//! process is left running.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -38,14 +38,14 @@
     serde_json::from_slice(&std::fs::read(path).unwrap()).unwrap()
 }
 
-/// Processes that another started, and those that they started.
+/// Returns all descendants of a process.
 fn offspring(of: u32) -> Vec<u32> {
     let mut found = Vec::new();
     for process in std::fs::read_dir("/proc").unwrap().filter_map(Result::ok) {
         let Some(id) = process.file_name().to_str().and_then(|name| name.parse::<u32>().ok()) else {
             continue;
         };
-        // One may end while it is looked at.
+        // The process may exit while it is inspected.
         let stat = std::fs::read_to_string(process.path().join("stat")).unwrap_or_default();
         let parent = stat.rsplit(") ").next().and_then(|rest| rest.split(' ').nth(1)?.parse().ok());
         if parent == Some(of) {
@@ -56,7 +56,7 @@
     found
 }
 
-/// Whether a process is there and is no zombie.
+/// Returns whether a process exists and is not a zombie.
 fn runs(id: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     stat.rsplit(") ").next().is_some_and(|rest| !rest.is_empty() && !rest.starts_with('Z'))
@@ -73,7 +73,7 @@
     true
 }
 
-/// Starts a long run; its process and all of its own, once all are there.
+/// Starts a long run and returns its process and all descendants, once all of them have started.
 fn started() -> (Child, Vec<u32>) {
     let long = [&SMALL[..], &["--seconds", "60"]].concat();
     let mut command = scale(&long);
@@ -96,8 +96,11 @@
     let changes = &results["changes"];
     assert_eq!(changes["count"], 24, "{said}");
     assert_eq!(changes["everywhere"], true, "{said}");
-    assert_eq!(changes["hollow_equal"], 12, "each holds the very list that the events lead to: {said}");
-    assert_eq!(changes["each"].as_array().unwrap().len(), 24, "each change has its time: {said}");
+    assert_eq!(
+        changes["hollow_equal"], 12,
+        "each holds exactly the list that results from the events: {said}"
+    );
+    assert_eq!(changes["each"].as_array().unwrap().len(), 24, "each change has a time: {said}");
     let ends = &results["queries"]["ends"];
     assert!(ends["whole"].as_u64() > Some(0), "{said}");
     assert_eq!(ends["wrong"], 0, "{said}");
@@ -124,9 +127,9 @@
     let results = results(&json);
     let (changes, roles) = (&results["changes"], &results["roles"]);
     assert_eq!((&changes["everywhere"], &changes["hollow_equal"]), (&true.into(), &12.into()), "{said}");
-    assert_eq!(changes["each"].as_array().unwrap().len(), 12, "real aggregators are heard of too: {said}");
+    assert_eq!(changes["each"].as_array().unwrap().len(), 12, "the times include real aggregators: {said}");
     assert_eq!(roles["relays"]["members"], 3, "{said}");
-    // Discovery is asked by the relays alone, each change once by each.
+    // Only the relays call discovery, once for each change.
     let of = |role: &str, what: &str| roles[role][what].as_f64().unwrap();
     assert!(of("discovery", "messages_out_per_s") * 2.0 < of("hollow", "messages_in_per_s"), "{said}");
     assert!(of("discovery", "messages_in_per_s") > 0.0, "{said}");
@@ -159,7 +162,7 @@
         assert!(sent.success());
         let code = run.wait().unwrap().code();
         assert_eq!(code, if at_once { None } else { Some(1) }, "{signal}");
-        // Where it could not end them itself, they notice.
+        // If the run could not stop them itself, they exit when their standard input is closed.
         let limit = if at_once { Duration::from_secs(10) } else { Duration::ZERO };
         assert!(wait_until(limit, || !all.iter().any(|id| runs(*id))), "{signal}");
     }
@@ -177,8 +180,8 @@
         (&["--seed", "x"], "--seed"),
         (&["--sweep", "colours"], "--sweep"),
         (&["--slopes", "x.toml"], "--sweep"),
-        (&["--real", "400"], "404 processes are wanted"),
-        (&["--run-stores", "100000000"], "GiB of memory are wanted"),
+        (&["--real", "400"], "the run needs 404 processes"),
+        (&["--run-stores", "100000000"], "GiB of memory, and may use half of the machine's"),
     ] {
         let run = scale(options).output().unwrap();
         let said = String::from_utf8_lossy(&run.stderr);
@@ -197,7 +200,9 @@
     let said = String::from_utf8_lossy(&run.stderr);
     assert_eq!(run.status.code(), Some(2), "{said}");
     assert!(
-        said.contains("who tells the list would want 365 descriptors, and a process may have 200"),
+        said.contains(
+            "the process that serves the list would need 365 descriptors, and a process may have 200"
+        ),
         "{said}"
     );
     assert_eq!(String::from_utf8_lossy(&run.stdout), "200\n");
@@ -216,7 +221,7 @@
     let text = std::fs::read_to_string(&slopes).unwrap();
     let slopes: toml::Table = text.parse().unwrap();
     let series = slopes["series"].as_array().unwrap();
-    assert!(series.iter().any(|series| series["name"].as_str() == Some("other")), "what was there stays");
+    assert!(series.iter().any(|series| series["name"].as_str() == Some("other")), "existing series are kept");
     let control = series.iter().find(|series| series["name"].as_str() == Some("control-messages-by-changes"));
     let control = control.expect("a series of messages");
     assert_eq!(control["x"].as_str(), Some("changes a second"));
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of fixed seeds on both wires, and what the command takes. The long one is run by hand
+//! A short soak with fixed seeds on both protocols, and the arguments of the command. The long soak is run by hand
 //! (`docs/measurements/soak.md`).
 
 use std::process::{Command, Output, Stdio};
@@ -9,7 +9,8 @@
     output.unwrap()
 }
 
-/// Lives in which aggregators end under their clients, with faults of the system among them, and one over an upgrade.
+/// The seeds are chosen for lives in which aggregators exit under load, with injected system call faults, and for one
+/// life with an upgrade.
 #[test]
 fn lives_that_were_drawn_break_no_rule() {
     for seed in ["2", "11"] {
@@ -40,7 +41,7 @@
     }
 }
 
-/// Aggregators that are still there of a soak whose folder of temporary files is this one.
+/// Counts the running aggregators of the soak that keeps its temporary files in this folder.
 fn left(folder: &std::path::Path) -> usize {
     let named = folder.display().to_string();
     let processes = std::fs::read_dir("/proc").unwrap().filter_map(Result::ok);
