--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -18,7 +18,7 @@
 
 use crate::report::table;
 use assumptions::{Assumption, Assumptions};
-use fit::{Figure, Fit, Place, Series, Slopes};
+use fit::{Figure, Fit, Position, Series, Slopes};
 use number::{number, percent};
 use sizes::Sizes;
 
@@ -60,53 +60,53 @@
 /// # Errors
 /// Names the file that cannot be read, parsed or written, and the reason.
 pub fn run(options: &Options) -> Result<(), String> {
-    let at_fault = |path: &Path, why: String| format!("{}: {why}", path.display());
-    let read = |path: &Path| std::fs::read_to_string(path).map_err(|error| at_fault(path, error.to_string()));
-    let slopes = slopes(&read(&options.slopes)?).map_err(|why| at_fault(&options.slopes, why))?;
+    let in_file = |path: &Path, why: String| format!("{}: {why}", path.display());
+    let read = |path: &Path| std::fs::read_to_string(path).map_err(|error| in_file(path, error.to_string()));
+    let slopes = parse_slopes(&read(&options.slopes)?).map_err(|why| in_file(&options.slopes, why))?;
     let (list, assumptions) =
-        assumptions(&read(&options.assumptions)?).map_err(|why| at_fault(&options.assumptions, why))?;
+        parse_assumptions(&read(&options.assumptions)?).map_err(|why| in_file(&options.assumptions, why))?;
     let blocks = blocks(&list, &assumptions, &slopes);
     let Some(page) = &options.page else {
-        blocks.iter().for_each(|block| println!("{}", marked(block)));
+        blocks.iter().for_each(|block| println!("{}", with_markers(block)));
         return Ok(());
     };
-    let text = fill(&read(page)?, &blocks).map_err(|why| at_fault(page, why))?;
-    std::fs::write(page, text).map_err(|error| at_fault(page, error.to_string()))
+    let text = fill_page(&read(page)?, &blocks).map_err(|why| in_file(page, why))?;
+    std::fs::write(page, text).map_err(|error| in_file(page, error.to_string()))
 }
 
 /// Parses a slopes file and fits its series.
-fn slopes(text: &str) -> Result<Slopes, String> {
+fn parse_slopes(text: &str) -> Result<Slopes, String> {
     let file: SlopesFile = toml::from_str(text).map_err(|error| error.to_string())?;
     Slopes::new(file.series)
 }
 
 /// Parses an assumptions file, as its list and by name.
-fn assumptions(text: &str) -> Result<(Vec<Assumption>, Assumptions), String> {
+fn parse_assumptions(text: &str) -> Result<(Vec<Assumption>, Assumptions), String> {
     let file: AssumptionsFile = toml::from_str(text).map_err(|error| error.to_string())?;
-    let known = Assumptions::of(&file.assumption)?;
-    Ok((file.assumption, known))
+    let values = Assumptions::of(&file.assumption)?;
+    Ok((file.assumption, values))
 }
 
 /// Computes all tables.
 fn blocks(list: &[Assumption], assumptions: &Assumptions, slopes: &Slopes) -> Vec<Block> {
     let sizes = Sizes::new(assumptions, slopes);
-    let mut blocks = vec![Block { name: "assumptions", text: assumed(list) }];
+    let mut blocks = vec![Block { name: "assumptions", text: assumption_table(list) }];
     blocks.extend(roles::blocks(&sizes));
     blocks.extend(answers::blocks(&sizes));
     // These come last: they list only the series that the tables above have used.
-    blocks.push(Block { name: "series", text: measured(slopes) });
-    blocks.push(Block { name: "commands", text: commands(slopes) });
+    blocks.push(Block { name: "series", text: series_table(slopes) });
+    blocks.push(Block { name: "commands", text: command_list(slopes) });
     blocks
 }
 
-fn assumed(list: &[Assumption]) -> String {
+fn assumption_table(list: &[Assumption]) -> String {
     let row = |one: &Assumption| {
         vec![format!("`{}`", one.name), number(one.value), one.unit.clone(), one.source.clone()]
     };
     table(&["assumption", "value", "unit", "from"], &list.iter().map(row).collect::<Vec<_>>())
 }
 
-fn measured(slopes: &Slopes) -> String {
+fn series_table(slopes: &Slopes) -> String {
     let head = [
         "series",
         "x",
@@ -120,24 +120,24 @@
         "build",
     ];
     let row = |(series, fit): &(Series, Fit)| {
-        let square = if series.curve == fit::Curve::Square { " (each x squared)" } else { "" };
+        let suffix = if series.curve == fit::Curve::Square { " (each x squared)" } else { "" };
         vec![
             format!("`{}`", series.name),
             series.x.clone(),
             number(fit.range.0),
             number(fit.range.1),
-            format!("{}{square}", number(fit.slope)),
+            format!("{}{suffix}", number(fit.slope)),
             number(fit.intercept),
             series.unit.clone(),
             percent(fit.rms),
-            percent(fit.most),
+            percent(fit.max_error),
             series.build.clone(),
         ]
     };
     table(&head, &slopes.used().into_iter().map(row).collect::<Vec<_>>())
 }
 
-fn commands(slopes: &Slopes) -> String {
+fn command_list(slopes: &Slopes) -> String {
     slopes.used().into_iter().fold(String::new(), |mut text, (series, _)| {
         let points: Vec<_> =
             series.points.iter().map(|[x, y]| format!("{} {}", number(*x), number(*y))).collect();
@@ -158,25 +158,29 @@
     let Some(figure) = figure else {
         return vec![what.to_string(), "not measured".into(), "-".into()];
     };
-    vec![what.to_string(), format!("{} {unit}", number(figure.value)).trim_end().into(), rests_on(figure)]
+    vec![
+        what.to_string(),
+        format!("{} {unit}", number(figure.value)).trim_end().into(),
+        describe_bases(figure),
+    ]
 }
 
 /// Returns a row with a figure that is derived from assumptions alone.
-fn plain(what: &str, value: f64, unit: &str) -> Vec<String> {
-    row(what, Some(&Figure::plain(value)), unit)
+fn assumed_row(what: &str, value: f64, unit: &str) -> Vec<String> {
+    row(what, Some(&Figure::assumed(value)), unit)
 }
 
 /// Describes the series behind a figure and how far they were extrapolated.
-fn rests_on(figure: &Figure) -> String {
+fn describe_bases(figure: &Figure) -> String {
     let one = |basis: &fit::Basis| {
-        let place = match basis.place {
-            Place::Measured => "measured there".to_string(),
-            Place::Inside(rms) => format!("inside, error {}", percent(rms)),
-            Place::Beyond(beyond, rms) => {
+        let position = match basis.position {
+            Position::Measured => "measured there".to_string(),
+            Position::Inside(rms) => format!("inside, error {}", percent(rms)),
+            Position::Beyond(beyond, rms) => {
                 format!("extrapolated {} times, error {}", number(beyond), percent(rms))
             }
         };
-        format!("`{}`, {place}", basis.series)
+        format!("`{}`, {position}", basis.series)
     };
     let mut bases: Vec<String> = figure.bases.iter().map(one).collect();
     bases.dedup();
@@ -187,12 +191,12 @@
 }
 
 /// Returns the markers before and after a table in the page.
-fn marks(name: &str) -> (String, String) {
+fn markers(name: &str) -> (String, String) {
     (format!("<!-- table: {name} -->\n"), format!("<!-- end of {name} -->\n"))
 }
 
-fn marked(block: &Block) -> String {
-    let (begin, end) = marks(block.name);
+fn with_markers(block: &Block) -> String {
+    let (begin, end) = markers(block.name);
     format!("{begin}\n{}\n{end}", block.text)
 }
 
@@ -200,18 +204,18 @@
 ///
 /// # Errors
 /// If a table has no markers, or markers have no table.
-fn fill(page: &str, blocks: &[Block]) -> Result<String, String> {
+fn fill_page(page: &str, blocks: &[Block]) -> Result<String, String> {
     let mut text = page.to_string();
     for block in blocks {
-        let (begin, end) = marks(block.name);
+        let (begin, end) = markers(block.name);
         let found = text.find(&begin).zip(text.find(&end)).filter(|(from, to)| from < to);
         let Some((from, to)) = found else {
             return Err(format!("there are no marks for the table {}", block.name));
         };
-        text.replace_range(from..to + end.len(), &marked(block));
+        text.replace_range(from..to + end.len(), &with_markers(block));
     }
-    let known = |line: &&str| blocks.iter().all(|block| marks(block.name).0.trim_end() != *line);
-    match text.lines().filter(|line| line.starts_with("<!-- table: ")).find(known) {
+    let unknown = |line: &&str| blocks.iter().all(|block| markers(block.name).0.trim_end() != *line);
+    match text.lines().filter(|line| line.starts_with("<!-- table: ")).find(unknown) {
         Some(line) => Err(format!("no table belongs to the mark {line}")),
         None => Ok(text),
     }
--- a/crates/lab/src/capacity/answers.rs
+++ b/crates/lab/src/capacity/answers.rs
@@ -8,48 +8,50 @@
 use super::ramp::{self, Sender};
 use super::roles::PARTS;
 use super::sizes::{whole_list_module, Sizes};
-use super::subset::{self, Choice, Region, Spread};
-use super::{plain, rests_on, row, table, Block};
+use super::subset::{self, Choice, Region, SubsetResult};
+use super::{assumed_row, describe_bases, row, table, Block};
 
 /// The header of a table of figures.
-const HEAD: [&str; 3] = ["what", "figure", "rests on"];
+const HEADER: [&str; 3] = ["what", "figure", "rests on"];
 /// The name of the subset choice that the page proposes.
 const CHOSEN: &str = "chosen holders";
 
 /// Returns the tables.
 pub fn blocks(sizes: &Sizes) -> Vec<Block> {
-    let spreads = spreads(sizes);
-    let ramps = ramps(sizes);
+    let subset_results = subset_results(sizes);
+    let cold_starts = cold_starts(sizes);
     vec![
-        Block { name: "part", text: table(&HEAD, &part(sizes)) },
-        Block { name: "in-flight", text: table(&HEAD, &in_flight(sizes)) },
-        Block { name: "connections", text: table(&HEAD, &connections(sizes)) },
-        Block { name: "subsets", text: subsets(&spreads) },
-        Block { name: "list", text: table(&HEAD, &list(sizes)) },
-        Block { name: "whole-list", text: table(&HEAD, &whole_list(sizes)) },
-        Block { name: "cold", text: cold(sizes, &ramps) },
+        Block { name: "part", text: table(&HEADER, &part(sizes)) },
+        Block { name: "in-flight", text: table(&HEADER, &in_flight(sizes)) },
+        Block { name: "connections", text: table(&HEADER, &connections(sizes)) },
+        Block { name: "subsets", text: subsets(&subset_results) },
+        Block { name: "list", text: table(&HEADER, &list(sizes)) },
+        Block { name: "whole-list", text: table(&HEADER, &whole_list(sizes)) },
+        Block { name: "cold", text: cold(sizes, &cold_starts) },
         Block { name: "faults", text: faults(sizes) },
-        Block { name: "tail", text: table(&HEAD, &tail(sizes)) },
-        Block { name: "missing", text: missing(sizes, &spreads, &ramps) },
+        Block { name: "tail", text: table(&HEADER, &tail(sizes)) },
+        Block { name: "missing", text: missing(sizes, &subset_results, &cold_starts) },
     ]
 }
 
 fn part(s: &Sizes) -> Vec<Vec<String>> {
     let mut rows = vec![
-        plain("parts of an aggregator", s.parts, "a second"),
-        plain("one core for each part", 1e6 / s.parts, "us"),
+        assumed_row("parts of an aggregator", s.parts, "a second"),
+        assumed_row("one core for each part", 1e6 / s.parts, "us"),
     ];
     for (what, series) in PARTS {
         let cores = s.part_cores(series);
         let each = cores.as_ref().map(|cores| cores.times(1e6 / s.parts));
         rows.push(row(&format!("a part at that rate, {what}"), each.as_ref(), "us"));
         rows.push(row("that is, of an aggregator", cores.as_ref(), "cores"));
-        let more = cores.as_ref().map(|cores| cores.times(s.a.aggregators));
+        let more = cores.as_ref().map(|cores| cores.times(s.assumptions.aggregators));
         rows.push(row("aggregators of one thread for the whole load", more.as_ref(), "aggregators"));
     }
     for (what, series) in [("build before", "query-cpu-before"), ("now", "query-cpu-now")] {
-        let query =
-            s.slopes.at(series, s.a.parts_per_query).map(|query| query.times(1.0 / s.a.parts_per_query));
+        let query = s
+            .slopes
+            .at(series, s.assumptions.parts_per_query)
+            .map(|query| query.times(1.0 / s.assumptions.parts_per_query));
         rows.push(row(
             &format!("a part of a query of so many, at 2,000 parts a second, {what}"),
             query.as_ref(),
@@ -57,14 +59,14 @@
         ));
     }
     for (what, series) in [("build before", "part-cpu-by-stores-before"), ("now", "part-cpu-by-stores-now")] {
-        let each = s.slopes.at(series, s.a.run_stores);
+        let each = s.slopes.at(series, s.assumptions.run_stores);
         rows.push(row(
             &format!("a part with all run stores listed, 100 in flight, {what}"),
             each.as_ref(),
             "us",
         ));
     }
-    let before = s.slopes.at("step-before", s.a.run_stores * s.in_flight);
+    let before = s.slopes.at("step-before", s.assumptions.run_stores * s.in_flight);
     rows.push(row(
         "of which the module: a step in which one comes and one ends, build before",
         before.as_ref(),
@@ -76,13 +78,13 @@
 }
 
 fn in_flight(s: &Sizes) -> Vec<Vec<String>> {
-    let most = s.parts * s.a.wanted_ms / 1000.0;
-    let stores = s.a.run_stores;
+    let most = s.parts * s.assumptions.wanted_ms / 1000.0;
+    let stores = s.assumptions.run_stores;
     vec![
-        plain("parts in flight, at the mean time of a part", s.in_flight, "parts"),
-        plain("parts in flight, if each took the wanted time", most, "parts"),
-        plain("open queries, if each takes the wanted time", s.open, "queries"),
-        plain("a tick's share of control", tick_bound(s), "us"),
+        assumed_row("parts in flight, at the mean time of a part", s.in_flight, "parts"),
+        assumed_row("parts in flight, if each took the wanted time", most, "parts"),
+        assumed_row("open queries, if each takes the wanted time", s.open_queries, "queries"),
+        assumed_row("a tick's share of control", tick_limit(s), "us"),
         row("a quiet tick, build before", s.tick_before(stores, s.in_flight).as_ref(), "us"),
         row(
             "a quiet tick, build before, 100 in flight",
@@ -91,7 +93,7 @@
         ),
         row(
             "the region's run stores alone, build before",
-            s.tick_before(s.own_lines, s.in_flight).as_ref(),
+            s.tick_before(s.relevant_entries, s.in_flight).as_ref(),
             "us",
         ),
         row("a quiet tick, now", s.tick_now(s.in_flight).as_ref(), "us"),
@@ -100,43 +102,43 @@
 }
 
 /// Returns the CPU time that a tick may take, in microseconds.
-fn tick_bound(s: &Sizes) -> f64 {
-    s.a.tick_ms * 1000.0 * s.a.control_core
+fn tick_limit(s: &Sizes) -> f64 {
+    s.assumptions.tick_ms * 1000.0 * s.assumptions.control_core
 }
 
 fn connections(s: &Sizes) -> Vec<Vec<String>> {
-    let (a, all) = (s.a, s.a.aggregators * s.a.run_stores);
+    let (a, all) = (s.assumptions, s.assumptions.aggregators * s.assumptions.run_stores);
     let holders = |count: f64| s.blocks * count;
     let memory = |what: &str, count: f64| {
-        let each = s.slopes.each("memory-by-connections", count);
+        let each = s.slopes.slope_of("memory-by-connections", count);
         row(what, each.map(|each| each.times(count)).as_ref(), "MB")
     };
     vec![
-        plain("all to all", all, "connections"),
-        plain("all to all, of an aggregator", a.run_stores, "connections"),
-        plain("all to all, of a run store", a.aggregators, "connections"),
-        plain("by region, of an aggregator", s.region_stores, "connections"),
-        plain("by region, of a run store", s.region_aggregators, "connections"),
-        plain("by region, in all", all / a.regions, "connections"),
-        plain(
+        assumed_row("all to all", all, "connections"),
+        assumed_row("all to all, of an aggregator", a.run_stores, "connections"),
+        assumed_row("all to all, of a run store", a.aggregators, "connections"),
+        assumed_row("by region, of an aggregator", s.region_stores, "connections"),
+        assumed_row("by region, of a run store", s.region_aggregators, "connections"),
+        assumed_row("by region, in all", all / a.regions, "connections"),
+        assumed_row(
             "by zone, of an aggregator (a zone does not hold every block)",
             a.run_stores / a.zones,
             "connections",
         ),
-        plain("one holder of each block, of an aggregator", holders(1.0), "connections"),
-        plain("chosen holders of each block, of an aggregator", s.connections, "connections"),
-        plain("chosen holders of each block, of a run store", s.senders, "connections"),
-        plain("chosen holders of each block, in all", s.connections * a.aggregators, "connections"),
+        assumed_row("one holder of each block, of an aggregator", holders(1.0), "connections"),
+        assumed_row("chosen holders of each block, of an aggregator", s.connections, "connections"),
+        assumed_row("chosen holders of each block, of a run store", s.senders, "connections"),
+        assumed_row("chosen holders of each block, in all", s.connections * a.aggregators, "connections"),
         memory("memory of an aggregator's connections, all to all", a.run_stores),
         memory("the same, chosen holders", s.connections),
     ]
 }
 
 /// A simulated subset choice: its name, the choice, the region and the result.
-type Played = (&'static str, Choice, Region, Spread);
+type SimulatedSubset = (&'static str, Choice, Region, SubsetResult);
 
-fn spreads(s: &Sizes) -> Vec<Played> {
-    let (chosen, holders) = (s.a.chosen_holders, s.a.holders);
+fn subset_results(s: &Sizes) -> Vec<SimulatedSubset> {
+    let (chosen, holders) = (s.assumptions.chosen_holders, s.assumptions.holders);
     let choices = [
         ("one holder", 1.0, false, holders, 2),
         ("one holder, own zone first", 1.0, true, holders, 2),
@@ -145,7 +147,7 @@
         ("all holders", holders, false, holders, 2),
         ("chosen holders, where a block has one more", chosen, false, holders + 1.0, 2),
     ];
-    let play = |(name, chosen, own_zone, holders, zones): (&'static str, f64, bool, f64, usize)| {
+    let simulate = |(name, chosen, own_zone, holders, zones): (&'static str, f64, bool, f64, usize)| {
         let choice = Choice { chosen: chosen as usize, own_zone };
         let region = Region {
             aggregators: s.region_aggregators as usize,
@@ -153,12 +155,12 @@
             holders: holders as usize,
             zones,
         };
-        (name, choice, region, subset::play(&region, choice, s.a.seed as u64))
+        (name, choice, region, subset::simulate(&region, choice, s.assumptions.seed as u64))
     };
-    choices.into_iter().map(play).collect()
+    choices.into_iter().map(simulate).collect()
 }
 
-fn subsets(spreads: &[Played]) -> String {
+fn subsets(subset_results: &[SimulatedSubset]) -> String {
     let head = [
         "each aggregator connects to",
         "of a block's holders",
@@ -173,7 +175,7 @@
         "connections made anew, an aggregator",
         "moved without need",
     ];
-    let row = |(name, choice, region, spread): &Played| {
+    let row = |(name, choice, region, spread): &SimulatedSubset| {
         vec![
             (*name).to_string(),
             format!("{} of {}", choice.chosen, region.holders),
@@ -185,23 +187,23 @@
             number(spread.most.0),
             number(spread.left),
             number(spread.most.1),
-            number(spread.anew),
-            spread.needless.to_string(),
+            number(spread.reconnected),
+            spread.unnecessary.to_string(),
         ]
     };
-    table(&head, &spreads.iter().map(row).collect::<Vec<_>>())
+    table(&head, &subset_results.iter().map(row).collect::<Vec<_>>())
 }
 
 /// Returns the seconds that a transfer takes at the bandwidth of control traffic.
 fn at_control_rate(s: &Sizes, bytes: &Figure) -> Figure {
-    bytes.times(1.0 / (s.a.control_kb_per_s * 1000.0))
+    bytes.times(1.0 / (s.assumptions.control_kb_per_s * 1000.0))
 }
 
 fn list(s: &Sizes) -> Vec<Vec<String>> {
-    let a = s.a;
+    let a = s.assumptions;
     let whole = s.list_bytes(a.run_stores);
     let region = s.list_bytes(s.region_stores);
-    let machine = |bytes: &Figure| bytes.times(s.told_each / a.machine_mb_per_s / 1e6);
+    let machine = |bytes: &Figure| bytes.times(s.aggregators_each / a.machine_mb_per_s / 1e6);
     let of_bound = whole.times(1.0 / a.most_list_bytes);
     let left = a.control_machines - 1.0;
     vec![
@@ -218,34 +220,42 @@
             Some(&at_control_rate(s, &region).times(1.0 / 60.0)),
             "minutes",
         ),
-        plain("lines that change, all", s.changes, "a second"),
-        plain("lines that change, of an aggregator's own region", s.own_changes, "a second"),
-        plain(
+        assumed_row("lines that change, all", s.changes, "a second"),
+        assumed_row("lines that change, of an aggregator's own region", s.relevant_changes, "a second"),
+        assumed_row(
             "what an aggregator's watch takes, all changes",
             s.watch_bytes(s.changes) / 1000.0,
             "KB a second",
         ),
-        plain(
+        assumed_row(
             "what an aggregator's watch takes, own region",
-            s.watch_bytes(s.own_changes) / 1000.0,
+            s.watch_bytes(s.relevant_changes) / 1000.0,
             "KB a second",
         ),
-        plain("aggregators for each control machine", s.told_each, "aggregators"),
-        plain(
+        assumed_row("aggregators for each control machine", s.aggregators_each, "aggregators"),
+        assumed_row(
             "a change told by one of them to all its aggregators",
-            s.told_each * (s.answer_bytes + a.line_bytes) / 1000.0,
+            s.aggregators_each * (s.response_bytes + a.line_bytes) / 1000.0,
             "KB",
         ),
-        plain(
+        assumed_row(
             "the longest way of a change on one leg, whatever fails (`src/asking.rs`)",
             MAX_LIST_DELAY / 1000.0,
             "s",
         ),
-        plain("two legs, discovery to control machine to aggregator", 2.0 * MAX_LIST_DELAY / 1000.0, "s"),
-        plain("a change has to be in force within", a.in_force_s, "s"),
-        plain("one control machine dies: aggregators that lose it", s.told_each, "aggregators"),
-        plain("one dies: more aggregators for each of the others", s.told_each / left, "aggregators"),
-        plain(
+        assumed_row(
+            "two legs, discovery to control machine to aggregator",
+            2.0 * MAX_LIST_DELAY / 1000.0,
+            "s",
+        ),
+        assumed_row("a change has to be in force within", a.in_force_s, "s"),
+        assumed_row("one control machine dies: aggregators that lose it", s.aggregators_each, "aggregators"),
+        assumed_row(
+            "one dies: more aggregators for each of the others",
+            s.aggregators_each / left,
+            "aggregators",
+        ),
+        assumed_row(
             "one dies, each aggregator told by two: aggregators that are not told meanwhile",
             0.0,
             "aggregators",
@@ -255,7 +265,7 @@
         row("the same out of a control machine, for all its aggregators", Some(&machine(&region)), "s"),
         row(
             "bytes that a line may have, to be there in time at the rate of control",
-            Some(&Figure::plain(a.in_force_s * a.control_kb_per_s * 1000.0 / s.region_stores)),
+            Some(&Figure::assumed(a.in_force_s * a.control_kb_per_s * 1000.0 / s.region_stores)),
             "bytes",
         ),
         row(
@@ -268,42 +278,46 @@
 
 fn whole_list(s: &Sizes) -> Vec<Vec<String>> {
     let at = |what: &str, series: &str, by: f64, unit: &str| {
-        let figure = s.slopes.at(series, s.a.run_stores).map(|figure| figure.times(by));
+        let figure = s.slopes.at(series, s.assumptions.run_stores).map(|figure| figure.times(by));
         row(what, figure.as_ref(), unit)
     };
     let mut rows = vec![at("its bytes, in the longest form that is expected", "list-bytes-long", 1e-6, "MB")];
     for (build, flights) in [("before", "100"), ("now", "5,600")] {
-        let told = if build == "before" { "build before" } else { "now" };
+        let build_label = if build == "before" { "build before" } else { "now" };
         for (what, series, by) in [
             ("read and parsed".to_string(), format!("list-parsed-{build}"), 1.0),
             ("handed on by the core, all lines known".into(), format!("list-routed-{build}"), 1.0),
             (format!("taken up by the module, {flights} in flight"), whole_list_module(build).into(), 1e-3),
         ] {
-            rows.push(at(&format!("{what}, {told}"), &series, by, "ms"));
+            rows.push(at(&format!("{what}, {build_label}"), &series, by, "ms"));
         }
-        rows.push(row(&format!("all of it, {told}"), s.taken_in(build).as_ref(), "ms"));
+        rows.push(row(&format!("all of it, {build_label}"), s.list_processing(build).as_ref(), "ms"));
         rows.push(at(
-            &format!("memory beside the input, {told}"),
+            &format!("memory beside the input, {build_label}"),
             &format!("list-memory-{build}"),
             1.0,
             "MB",
         ));
     }
-    rows.push(plain("aim", s.a.whole_list_ms, "ms"));
-    rows.push(plain("parts that come meanwhile, at the aim", s.parts * s.a.whole_list_ms / 1000.0, "parts"));
+    rows.push(assumed_row("aim", s.assumptions.whole_list_ms, "ms"));
+    rows.push(assumed_row(
+        "parts that come meanwhile, at the aim",
+        s.parts * s.assumptions.whole_list_ms / 1000.0,
+        "parts",
+    ));
     rows
 }
 
 /// A simulated cold start: the senders of the run store, the length of their lists, and the result.
-struct Started {
+struct ColdStart {
     name: &'static str,
     senders: f64,
     lines: f64,
     ramp: ramp::Ramp,
 }
 
-fn ramps(s: &Sizes) -> Vec<Started> {
-    let a = s.a;
+fn cold_starts(s: &Sizes) -> Vec<ColdStart> {
+    let a = s.assumptions;
     let rule = ColdStartRule {
         initial_share: a.cold_from,
         warm_within: a.warm_within_ms,
@@ -321,28 +335,32 @@
         (CHOSEN, s.senders, region),
         ("one holder", one, region),
     ];
-    let play = |(name, senders, (lines, routers)): (&'static str, f64, (f64, f64))| {
+    let simulate = |(name, senders, (lines, aggregators)): (&'static str, f64, (f64, f64))| {
         let sender = Sender {
-            stores: lines as usize,
-            routers: routers as u32,
+            run_stores: lines as usize,
+            aggregators: aggregators as u32,
             senders,
             parts: s.store_parts,
-            busy: a.busy,
+            utilization: a.busy,
             queries: s.queries,
             query_parts: a.parts_per_query,
             rule,
         };
-        Started { name, senders, lines, ramp: ramp::play(&sender, a.seed as u64) }
+        ColdStart { name, senders, lines, ramp: ramp::simulate(&sender, a.seed as u64) }
     };
-    cases.into_iter().map(play).collect()
+    cases.into_iter().map(simulate).collect()
 }
 
-fn cold(s: &Sizes, starts: &[Started]) -> String {
-    let restarts = s.a.restarts_per_day / 86_400.0;
+fn cold(s: &Sizes, starts: &[ColdStart]) -> String {
+    let restarts = s.assumptions.restarts_per_day / 86_400.0;
     let rows = [
-        plain("run stores that start, all regions", restarts, "a second"),
-        plain("run stores that are cold, at any time", restarts * s.a.warm_within_ms / 1000.0, "run stores"),
-        plain("what a run store gets from all when it is warm", s.store_parts, "parts a second"),
+        assumed_row("run stores that start, all regions", restarts, "a second"),
+        assumed_row(
+            "run stores that are cold, at any time",
+            restarts * s.assumptions.warm_within_ms / 1000.0,
+            "run stores",
+        ),
+        assumed_row("what a run store gets from all when it is warm", s.store_parts, "parts a second"),
     ];
     let head = [
         "who may send to it",
@@ -353,7 +371,7 @@
         "all together, of what it bears",
         "the most in a second, of that from which it falls",
     ];
-    let row = |start: &Started| {
+    let row = |start: &ColdStart| {
         vec![
             start.name.to_string(),
             number(start.lines),
@@ -364,11 +382,11 @@
             percent(start.ramp.peak),
         ]
     };
-    format!("{}\n{}", table(&HEAD, &rows), table(&head, &starts.iter().map(row).collect::<Vec<_>>()))
+    format!("{}\n{}", table(&HEADER, &rows), table(&head, &starts.iter().map(row).collect::<Vec<_>>()))
 }
 
 fn faults(s: &Sizes) -> String {
-    let a = s.a;
+    let a = s.assumptions;
     let out_at_each = s.store_parts * a.part_ms / 1000.0;
     let earned = a.parts_per_query * a.repeat_ratio;
     let all_parts = a.queries_per_s * a.parts_per_query;
@@ -411,35 +429,36 @@
 }
 
 /// Returns the time after which an unanswered attempt may be retried, in milliseconds after it was sent.
-fn patience(s: &Sizes) -> f64 {
-    (s.a.wanted_ms * s.a.patience_of_aim).max(s.a.part_ms * s.a.patience_of_usual)
+fn attempt_timeout(s: &Sizes) -> f64 {
+    (s.assumptions.wanted_ms * s.assumptions.patience_of_aim)
+        .max(s.assumptions.part_ms * s.assumptions.patience_of_usual)
 }
 
 /// Returns the share of parts that may be late so that the assumed share of queries is served in time.
-fn late(s: &Sizes) -> f64 {
-    1.0 - s.a.served_in_time.powf(1.0 / s.a.parts_per_query)
+fn allowed_late_share(s: &Sizes) -> f64 {
+    1.0 - s.assumptions.served_in_time.powf(1.0 / s.assumptions.parts_per_query)
 }
 
 fn tail(s: &Sizes) -> Vec<Vec<String>> {
-    let late = late(s);
-    let first = |tries: f64| late.powf(1.0 / tries);
+    let allowed_late_share = allowed_late_share(s);
+    let first = |tries: f64| allowed_late_share.powf(1.0 / tries);
     let repeats = |tries: i32| (1..tries).map(|no| first(f64::from(tries)).powi(no)).sum::<f64>();
-    let of = |share: f64| Figure::plain(share * 100.0);
-    let all = s.a.queries_per_s * s.a.parts_per_query;
-    let step = s.a.wanted_ms;
+    let of = |share: f64| Figure::assumed(share * 100.0);
+    let all = s.assumptions.queries_per_s * s.assumptions.parts_per_query;
+    let step = s.assumptions.wanted_ms;
     vec![
         vec![
             "each part has to be there in time".into(),
-            format!("{:.4} % of the time", 100.0 * (1.0 - late)),
+            format!("{:.4} % of the time", 100.0 * (1.0 - allowed_late_share)),
             "assumptions".into(),
         ],
-        plain("parts of an aggregator that may be late", s.parts * late, "a second"),
+        assumed_row("parts of an aggregator that may be late", s.parts * allowed_late_share, "a second"),
         row(
             "one attempt alone: a run store may be later than the wanted time",
-            Some(&of(late)),
+            Some(&of(allowed_late_share)),
             "% of the time",
         ),
-        plain("the same, of an hour", late * 3600.0, "s"),
+        assumed_row("the same, of an hour", allowed_late_share * 3600.0, "s"),
         row(
             &format!("one repeat: each attempt may miss {} ms", number(step / 2.0)),
             Some(&of(first(2.0))),
@@ -452,18 +471,34 @@
         ),
         row("repeats with one, of all parts", Some(&of(repeats(2))), "%"),
         row("repeats with two, of all parts", Some(&of(repeats(3))), "%"),
-        plain("repeats with one, all aggregators", repeats(2) * all, "a second"),
-        plain("repeats with two, all aggregators", repeats(3) * all, "a second"),
-        row("the budget of repeats (`src/repeats.rs`)", Some(&of(s.a.repeat_ratio)), "% of the parts"),
-        plain("the same, all aggregators", s.a.repeat_ratio * all, "a second"),
-        plain("an attempt that says nothing is given up after (`src/decide.rs`)", patience(s), "ms"),
-        plain("what is left to its repeat", (s.a.wanted_ms - patience(s)).max(0.0), "ms"),
-        plain(
+        assumed_row("repeats with one, all aggregators", repeats(2) * all, "a second"),
+        assumed_row("repeats with two, all aggregators", repeats(3) * all, "a second"),
+        row(
+            "the budget of repeats (`src/repeats.rs`)",
+            Some(&of(s.assumptions.repeat_ratio)),
+            "% of the parts",
+        ),
+        assumed_row("the same, all aggregators", s.assumptions.repeat_ratio * all, "a second"),
+        assumed_row(
+            "an attempt that says nothing is given up after (`src/decide.rs`)",
+            attempt_timeout(s),
+            "ms",
+        ),
+        assumed_row(
+            "what is left to its repeat",
+            (s.assumptions.wanted_ms - attempt_timeout(s)).max(0.0),
+            "ms",
+        ),
+        assumed_row(
             "the usual time of a part up to which half of the wanted time is left",
-            step / 2.0 / s.a.patience_of_usual,
+            step / 2.0 / s.assumptions.patience_of_usual,
             "ms",
         ),
-        plain("saved up by an aggregator", (s.a.repeats_saved_by_all / s.a.aggregators).max(1.0), "repeats"),
+        assumed_row(
+            "saved up by an aggregator",
+            (s.assumptions.repeats_saved_by_all / s.assumptions.aggregators).max(1.0),
+            "repeats",
+        ),
     ]
 }
 
@@ -472,103 +507,103 @@
 /// The state of a mechanism that the current build has and the earlier build lacks.
 const BUILT: &str = "built since";
 /// The state of a mechanism that both builds have.
-const CARRIED: &str = "in the program";
+const PRESENT: &str = "in the program";
 
 /// A demand at full size, compared with its limit.
 struct Gap {
     what: String,
-    asks: Option<Figure>,
-    bound: f64,
+    demand: Option<Figure>,
+    limit: f64,
     unit: &'static str,
     state: &'static str,
     mechanism: &'static str,
 }
 
-fn missing(s: &Sizes, spreads: &[Played], ramps: &[Started]) -> String {
-    let a = s.a;
+fn missing(s: &Sizes, subset_results: &[SimulatedSubset], cold_starts: &[ColdStart]) -> String {
+    let a = s.assumptions;
     let stores = a.run_stores;
-    let tick = tick_bound(s);
+    let tick = tick_limit(s);
     let share = |series: String| s.slopes.at(&series, stores).map(|us| us.times(100.0 / 1e6));
     let idle = |build: &str| share(format!("idle-cpu-by-stores-{build}"));
     let changing = |build: &str| share(format!("control-cpu-{build}"));
     let whole = s.list_bytes(stores);
     let region = s.list_bytes(s.region_stores);
-    let two_zones = spreads.iter().find(|(_, choice, region, _)| {
+    let two_zones = subset_results.iter().find(|(_, choice, region, _)| {
         region.zones == 2 && !choice.own_zone && choice.chosen == a.chosen_holders as usize
     });
     let used = |lines: f64| {
-        let start = ramps.iter().find(|start| start.name == CHOSEN && start.lines == lines);
-        start.map(|start| Figure::plain(1.0 / start.ramp.used))
+        let start = cold_starts.iter().find(|start| start.name == CHOSEN && start.lines == lines);
+        start.map(|start| Figure::assumed(1.0 / start.ramp.used))
     };
     let mut gaps = vec![
         Gap {
             what: "a quiet tick, build before".into(),
-            asks: s.tick_before(stores, s.in_flight),
-            bound: tick,
+            demand: s.tick_before(stores, s.in_flight),
+            limit: tick,
             unit: "us",
             state: BUILT,
             mechanism: "a step that costs what it was told and what is due",
         },
         Gap {
             what: "a quiet tick, now".into(),
-            asks: s.tick_now(s.in_flight),
-            bound: tick,
+            demand: s.tick_now(s.in_flight),
+            limit: tick,
             unit: "us",
-            state: CARRIED,
+            state: PRESENT,
             mechanism: "`src/decide.rs`",
         },
         Gap {
             what: "a whole list at the rate of control".into(),
-            asks: Some(at_control_rate(s, &whole)),
-            bound: a.in_force_s,
+            demand: Some(at_control_rate(s, &whole)),
+            limit: a.in_force_s,
             unit: "s",
             state: MISSING,
             mechanism: "lists of what concerns an aggregator, kept over a restart, and changes since",
         },
         Gap {
             what: "a whole list taken in, build before".into(),
-            asks: s.taken_in("before"),
-            bound: a.whole_list_ms,
+            demand: s.list_processing("before"),
+            limit: a.whole_list_ms,
             unit: "ms",
             state: BUILT,
             mechanism: "known run stores found by name, and not by a look at all lines",
         },
         Gap {
             what: "a whole list taken in, now".into(),
-            asks: s.taken_in("now"),
-            bound: a.whole_list_ms,
+            demand: s.list_processing("now"),
+            limit: a.whole_list_ms,
             unit: "ms",
-            state: CARRIED,
+            state: PRESENT,
             mechanism: "`src/directory`, `src/core/route.rs`, `src/decide.rs`",
         },
         Gap {
             what: "the return of a region at the rate of control".into(),
-            asks: Some(at_control_rate(s, &region)),
-            bound: a.in_force_s,
+            demand: Some(at_control_rate(s, &region)),
+            limit: a.in_force_s,
             unit: "s",
             state: MISSING,
             mechanism: "a watch that names the regions whose lines it wants",
         },
         Gap {
             what: "connections of an aggregator, all to all".into(),
-            asks: Some(Figure::plain(stores)),
-            bound: a.most_connections,
+            demand: Some(Figure::assumed(stores)),
+            limit: a.most_connections,
             unit: "connections",
             state: MISSING,
             mechanism: "subsets by rendezvous hashing",
         },
         Gap {
             what: "a whole list against the longest that is read".into(),
-            asks: Some(whole.times(1e-6)),
-            bound: a.most_list_bytes / 1e6,
+            demand: Some(whole.times(1e-6)),
+            limit: a.most_list_bytes / 1e6,
             unit: "MB",
             state: BUILT,
             mechanism: "a bound derived from the list",
         },
         Gap {
             what: "what a cold run store bears, of what its chosen senders may send it, whole lists".into(),
-            asks: used(stores),
-            bound: 1.0,
+            demand: used(stores),
+            limit: 1.0,
             unit: "times",
             state: MISSING,
             mechanism:
@@ -577,8 +612,8 @@
         Gap {
             what: "what a cold run store bears, of what its chosen senders may send it, lists of the region"
                 .into(),
-            asks: used(s.region_stores),
-            bound: 1.0,
+            demand: used(s.region_stores),
+            limit: 1.0,
             unit: "times",
             state: MISSING,
             mechanism:
@@ -586,112 +621,114 @@
         },
         Gap {
             what: "the mean load of what is left of a region of two zones, of what run stores bear".into(),
-            asks: two_zones.map(|(.., spread)| Figure::plain(spread.left * a.busy)),
-            bound: 1.0,
+            demand: two_zones.map(|(.., spread)| Figure::assumed(spread.left * a.busy)),
+            limit: 1.0,
             unit: "times",
             state: MISSING,
             mechanism: "parts that spill over to another region",
         },
         Gap {
             what: "a change on two legs, each as long as it may take".into(),
-            asks: Some(Figure::plain(2.0 * MAX_LIST_DELAY / 1000.0)),
-            bound: a.in_force_s,
+            demand: Some(Figure::assumed(2.0 * MAX_LIST_DELAY / 1000.0)),
+            limit: a.in_force_s,
             unit: "s",
             state: MISSING,
             mechanism: "control machines, two for each aggregator",
         },
         Gap {
             what: "repeats for the tail, two a part, of all parts".into(),
-            asks: Some(Figure::plain(late(s).powf(1.0 / 3.0) + late(s).powf(2.0 / 3.0))),
-            bound: a.repeat_ratio,
+            demand: Some(Figure::assumed(
+                allowed_late_share(s).powf(1.0 / 3.0) + allowed_late_share(s).powf(2.0 / 3.0),
+            )),
+            limit: a.repeat_ratio,
             unit: "of the parts",
-            state: CARRIED,
+            state: PRESENT,
             mechanism: "`src/repeats.rs`",
         },
         Gap {
             what: "a part repeated after silence, at the mean time of a part".into(),
-            asks: Some(Figure::plain(patience(s) + a.part_ms)),
-            bound: a.wanted_ms,
+            demand: Some(Figure::assumed(attempt_timeout(s) + a.part_ms)),
+            limit: a.wanted_ms,
             unit: "ms",
             state: MISSING,
             mechanism: "patience by the spread of parts' times, and not by three times the usual one",
         },
         Gap {
             what: "the watch's bytes, all changes".into(),
-            asks: Some(Figure::plain(s.watch_bytes(s.changes) / 1000.0)),
-            bound: a.control_kb_per_s,
+            demand: Some(Figure::assumed(s.watch_bytes(s.changes) / 1000.0)),
+            limit: a.control_kb_per_s,
             unit: "KB a second",
-            state: CARRIED,
+            state: PRESENT,
             mechanism: "`src/directory/watch.rs`",
         },
         Gap {
             what: "memory with the whole list, build before".into(),
-            asks: s.slopes.at("memory-by-stores-before", stores),
-            bound: a.control_mb,
+            demand: s.slopes.at("memory-by-stores-before", stores),
+            limit: a.control_mb,
             unit: "MB",
             state: BUILT,
             mechanism: "smaller records of run stores; lists of the region would do too",
         },
         Gap {
             what: "memory with the whole list, now".into(),
-            asks: s.slopes.at("memory-by-stores-now", stores),
-            bound: a.control_mb,
+            demand: s.slopes.at("memory-by-stores-now", stores),
+            limit: a.control_mb,
             unit: "MB",
-            state: CARRIED,
+            state: PRESENT,
             mechanism: "`src/core`, `src/decide.rs`",
         },
         Gap {
             what: "processor time without queries, build before".into(),
-            asks: idle("before"),
-            bound: a.control_core * 100.0,
+            demand: idle("before"),
+            limit: a.control_core * 100.0,
             unit: "% of a core",
             state: BUILT,
             mechanism: "a step that costs what it was told and what is due",
         },
         Gap {
             what: "processor time with a change a second, build before".into(),
-            asks: changing("before"),
-            bound: a.control_core * 100.0,
+            demand: changing("before"),
+            limit: a.control_core * 100.0,
             unit: "% of a core",
             state: BUILT,
             mechanism: "a step that costs what it was told and what is due",
         },
         Gap {
             what: "processor time with a change a second, now".into(),
-            asks: changing("now"),
-            bound: a.control_core * 100.0,
+            demand: changing("now"),
+            limit: a.control_core * 100.0,
             unit: "% of a core",
-            state: CARRIED,
+            state: PRESENT,
             mechanism: "`src/decide.rs`",
         },
         Gap {
             what: "processor time without queries, now".into(),
-            asks: idle("now"),
-            bound: a.control_core * 100.0,
+            demand: idle("now"),
+            limit: a.control_core * 100.0,
             unit: "% of a core",
-            state: CARRIED,
+            state: PRESENT,
             mechanism: "`src/decide.rs`",
         },
     ];
     gaps.extend(PARTS.map(|(what, series)| Gap {
         what: format!("processor time of parts, {what}"),
-        asks: s.part_cores(series),
-        bound: 1.0,
+        demand: s.part_cores(series),
+        limit: 1.0,
         unit: "cores",
         state: MISSING,
         mechanism: "more than one serving thread, or more than one process an aggregator",
     }));
-    let factor = |gap: &Gap| gap.asks.as_ref().map_or(f64::NEG_INFINITY, |asks| asks.value / gap.bound);
+    let factor = |gap: &Gap| gap.demand.as_ref().map_or(f64::NEG_INFINITY, |demand| demand.value / gap.limit);
     gaps.sort_by(|a, b| factor(b).total_cmp(&factor(a)));
     let row = |(no, gap): (usize, &Gap)| {
-        let asks = gap.asks.as_ref();
+        let demand = gap.demand.as_ref();
         vec![
             (no + 1).to_string(),
             gap.what.clone(),
-            asks.map_or("not measured".into(), |asks| format!("{} {}", number(asks.value), gap.unit)),
-            format!("{} {}", number(gap.bound), gap.unit),
-            asks.map_or("-".into(), |_| number(factor(gap))),
-            asks.map_or("-".into(), rests_on),
+            demand.map_or("not measured".into(), |demand| format!("{} {}", number(demand.value), gap.unit)),
+            format!("{} {}", number(gap.limit), gap.unit),
+            demand.map_or("-".into(), |_| number(factor(gap))),
+            demand.map_or("-".into(), describe_bases),
             gap.state.to_string(),
             gap.mechanism.to_string(),
         ]
--- a/crates/lab/src/capacity/fit.rs
+++ b/crates/lab/src/capacity/fit.rs
@@ -50,7 +50,7 @@
     /// The root mean square of the relative residuals.
     pub rms: f64,
     /// The largest relative residual.
-    pub most: f64,
+    pub max_error: f64,
     /// The range of `x` that was measured.
     pub range: (f64, f64),
     curve: Curve,
@@ -62,15 +62,15 @@
     /// # Errors
     /// If a point is out of range or all points share one `x`.
     pub fn fit(&self) -> Result<Fit, String> {
-        let at_fault = |why: &str| Err(format!("series {}: {why}", self.name));
-        let sound = |[x, y]: &[f64; 2]| x.is_finite() && y.is_finite() && *x >= 0.0 && *y > 0.0;
-        if !self.points.iter().all(sound) {
-            return at_fault("each x must be 0 or more, and each y more than 0");
+        let invalid = |why: &str| Err(format!("series {}: {why}", self.name));
+        let is_valid = |[x, y]: &[f64; 2]| x.is_finite() && y.is_finite() && *x >= 0.0 && *y > 0.0;
+        if !self.points.iter().all(is_valid) {
+            return invalid("each x must be 0 or more, and each y more than 0");
         }
         let xs = || self.points.iter().map(|[x, _]| *x);
         let range = (xs().fold(f64::INFINITY, f64::min), xs().fold(0.0, f64::max));
         if range.0 >= range.1 {
-            return at_fault("a line needs points at two values of x or more");
+            return invalid("a line needs points at two values of x or more");
         }
         let form = |x: f64| match self.curve {
             Curve::Line => x,
@@ -85,7 +85,14 @@
         let (intercept, slope) = ((u * vv - v * uv) / determinant, (v * uu - u * uv) / determinant);
         let residuals = || rows().map(|(u, v)| (u * intercept + v * slope - 1.0).abs());
         let rms = (residuals().map(|one| one * one).sum::<f64>() / self.points.len() as f64).sqrt();
-        Ok(Fit { slope, intercept, rms, most: residuals().fold(0.0, f64::max), range, curve: self.curve })
+        Ok(Fit {
+            slope,
+            intercept,
+            rms,
+            max_error: residuals().fold(0.0, f64::max),
+            range,
+            curve: self.curve,
+        })
     }
 }
 
@@ -101,15 +108,15 @@
     }
 
     /// Returns the factor by which `x` lies beyond the measured range; 1 inside it.
-    pub fn beyond(&self, x: f64) -> f64 {
-        let (least, most) = self.range;
-        (x / most).max(least / x.max(f64::MIN_POSITIVE)).max(1.0)
+    pub fn extrapolation(&self, x: f64) -> f64 {
+        let (least, greatest) = self.range;
+        (x / greatest).max(least / x.max(f64::MIN_POSITIVE)).max(1.0)
     }
 }
 
 /// The position of a figure relative to the measured range, with the error of the fit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Place {
+pub enum Position {
     /// A measured point.
     Measured,
     /// Inside the range, with the root mean square error.
@@ -124,7 +131,7 @@
     /// The name of the series.
     pub series: String,
     /// The position relative to the measured range.
-    pub place: Place,
+    pub position: Position,
 }
 
 /// A figure and the series behind it; without series it is derived from assumptions alone.
@@ -138,7 +145,7 @@
 
 impl Figure {
     /// Returns a figure that is derived from assumptions alone.
-    pub fn plain(value: f64) -> Self {
+    pub fn assumed(value: f64) -> Self {
         Figure { value, bases: Vec::new() }
     }
 
@@ -184,33 +191,33 @@
     }
 
     /// Finds a series by name and marks it as used.
-    fn named(&self, name: &str) -> Option<&(Series, Fit)> {
+    fn find(&self, name: &str) -> Option<&(Series, Fit)> {
         let found = self.all.iter().find(|(series, _)| series.name == name)?;
         self.used.borrow_mut().insert(name.to_string());
         Some(found)
     }
 
     /// Returns the value of a series at `x`: the mean of the points measured there, else the fit; `None` if there is no
-    /// such series.
+    /// series of that name.
     pub fn at(&self, name: &str, x: f64) -> Option<Figure> {
-        let (series, fit) = self.named(name)?;
-        let there: Vec<f64> =
+        let (series, fit) = self.find(name)?;
+        let measured: Vec<f64> =
             series.points.iter().filter(|point| point[0] == x).map(|point| point[1]).collect();
-        let (value, place) = match there.len() {
-            0 if fit.beyond(x) > 1.0 => (fit.at(x), Place::Beyond(fit.beyond(x), fit.rms)),
-            0 => (fit.at(x), Place::Inside(fit.rms)),
-            count => (there.iter().sum::<f64>() / count as f64, Place::Measured),
+        let (value, position) = match measured.len() {
+            0 if fit.extrapolation(x) > 1.0 => (fit.at(x), Position::Beyond(fit.extrapolation(x), fit.rms)),
+            0 => (fit.at(x), Position::Inside(fit.rms)),
+            count => (measured.iter().sum::<f64>() / count as f64, Position::Measured),
         };
-        Some(Figure { value, bases: vec![Basis { series: name.to_string(), place }] })
+        Some(Figure { value, bases: vec![Basis { series: name.to_string(), position }] })
     }
 
     /// Returns the slope of a series, with its position relative to the measured range at `x`.
-    pub fn each(&self, name: &str, x: f64) -> Option<Figure> {
-        let (_, fit) = self.named(name)?;
-        let place = match fit.beyond(x) {
-            beyond if beyond > 1.0 => Place::Beyond(beyond, fit.rms),
-            _ => Place::Inside(fit.rms),
+    pub fn slope_of(&self, name: &str, x: f64) -> Option<Figure> {
+        let (_, fit) = self.find(name)?;
+        let position = match fit.extrapolation(x) {
+            extrapolation if extrapolation > 1.0 => Position::Beyond(extrapolation, fit.rms),
+            _ => Position::Inside(fit.rms),
         };
-        Some(Figure { value: fit.slope, bases: vec![Basis { series: name.to_string(), place }] })
+        Some(Figure { value: fit.slope, bases: vec![Basis { series: name.to_string(), position }] })
     }
 }
--- a/crates/lab/src/capacity/number.rs
+++ b/crates/lab/src/capacity/number.rs
@@ -9,26 +9,26 @@
     }
     for (unit, name) in [(1e12, "million million"), (1e9, "thousand million"), (1e6, "million")] {
         if size >= unit * 0.9995 {
-            return format!("{} {name}", small(value / unit));
+            return format!("{} {name}", below_thousand(value / unit));
         }
     }
     if size < 999.5 {
-        return small(value);
+        return below_thousand(value);
     }
     let step = 10f64.powf(size.log10().floor() - 2.0).max(1.0);
     let digits = format!("{:.0}", (value / step).round() * step);
-    let mut parted = String::new();
+    let mut grouped = String::new();
     for (place, digit) in digits.char_indices() {
         if place > 0 && digits[..place].chars().any(char::is_numeric) && (digits.len() - place) % 3 == 0 {
-            parted.push(',');
+            grouped.push(',');
         }
-        parted.push(digit);
+        grouped.push(digit);
     }
-    parted
+    grouped
 }
 
 /// Formats a number below one thousand.
-fn small(value: f64) -> String {
+fn below_thousand(value: f64) -> String {
     // The decimal exponent of the first significant digit, after rounding.
     let first = format!("{:.2e}", value.abs());
     let first = first.rsplit('e').next().and_then(|power| power.parse::<i32>().ok()).unwrap_or(0);
--- a/crates/lab/src/capacity/roles.rs
+++ b/crates/lab/src/capacity/roles.rs
@@ -3,7 +3,7 @@
 
 use super::fit::Figure;
 use super::sizes::Sizes;
-use super::{plain, row, table, Block};
+use super::{assumed_row, row, table, Block};
 
 /// The prefix of the `carried by` column where the mechanism is not implemented.
 const MISSING: &str = "**missing**: ";
@@ -27,19 +27,19 @@
         Role { name, rows: Vec::new() }
     }
 
-    fn push(&mut self, mut row: Vec<String>, carried: &str) {
-        row.push(carried.to_string());
+    fn push(&mut self, mut row: Vec<String>, implemented_by: &str) {
+        row.push(implemented_by.to_string());
         self.rows.push(row);
     }
 
     /// Adds a row with a figure from a series, which may be missing.
-    fn measured(&mut self, what: &str, figure: Option<Figure>, unit: &str, carried: &str) {
-        self.push(row(what, figure.as_ref(), unit), carried);
+    fn measured(&mut self, what: &str, figure: Option<Figure>, unit: &str, implemented_by: &str) {
+        self.push(row(what, figure.as_ref(), unit), implemented_by);
     }
 
     /// Adds a row with a figure that follows from the assumptions.
-    fn assumed(&mut self, what: &str, value: f64, unit: &str, carried: &str) {
-        self.push(plain(what, value, unit), carried);
+    fn assumed(&mut self, what: &str, value: f64, unit: &str, implemented_by: &str) {
+        self.push(assumed_row(what, value, unit), implemented_by);
     }
 
     fn block(self) -> Block {
@@ -64,9 +64,14 @@
 
 fn serving(s: &Sizes) -> Block {
     let mut role = Role::new("aggregator-serving");
-    let (stores, flights) = (s.a.run_stores, s.in_flight);
+    let (stores, flights) = (s.assumptions.run_stores, s.in_flight);
     let at = |series: &str, x: f64| s.slopes.at(series, x);
-    role.assumed("queries open, if each takes the wanted time", s.open, "queries", "`src/core/ledger.rs`");
+    role.assumed(
+        "queries open, if each takes the wanted time",
+        s.open_queries,
+        "queries",
+        "`src/core/ledger.rs`",
+    );
     role.assumed("parts in flight", flights, "parts", "`src/decide.rs` (`flights`)");
     role.assumed("queries", s.queries, "a second", "`src/front`");
     role.assumed("messages, to and from run stores", s.parts * 2.0, "a second", "`src/transport`");
@@ -78,11 +83,11 @@
     }
     role.measured(
         "processor time of quiet ticks, build before",
-        s.tick_before(stores, flights).map(|tick| s.of_core(&tick)),
+        s.tick_before(stores, flights).map(|tick| s.core_share(&tick)),
         "cores",
         "nothing: `src/decide.rs` walked all run stores and parts",
     );
-    let ticks = s.tick_now(flights).map(|tick| s.of_core(&tick));
+    let ticks = s.tick_now(flights).map(|tick| s.core_share(&tick));
     role.measured("processor time of quiet ticks, now", ticks, "cores", "`src/decide.rs`");
     let memory = at("memory-by-flights-before", flights);
     role.measured(
@@ -114,7 +119,7 @@
 
 fn control(s: &Sizes) -> Block {
     let mut role = Role::new("aggregator-control");
-    let (stores, own) = (s.a.run_stores, s.own_lines);
+    let (stores, own) = (s.assumptions.run_stores, s.relevant_entries);
     let at = |series: &str, x: f64| s.slopes.at(series, x);
     let subset = format!("{MISSING}a list of what concerns the aggregator");
     role.assumed("lines held, whole list", stores, "lines", "`src/core/ledger.rs`, `src/decide.rs`");
@@ -137,7 +142,7 @@
     role.measured("bytes of the watch, all changes", bytes, "KB a second", "`src/directory/watch.rs`");
     role.assumed(
         "bytes of the watch, own region",
-        s.watch_bytes(s.own_changes) / 1e3,
+        s.watch_bytes(s.relevant_changes) / 1e3,
         "KB a second",
         &subset,
     );
@@ -166,13 +171,13 @@
 fn run_store(s: &Sizes) -> Block {
     let mut role = Role::new("run-store");
     role.assumed("parts, from all aggregators", s.store_parts, "a second", "`src/decide.rs` (least finish)");
-    role.assumed("parts out there", s.store_parts * s.a.part_ms / 1000.0, "parts", "`src/pace.rs`");
+    role.assumed("parts out there", s.store_parts * s.assumptions.part_ms / 1000.0, "parts", "`src/pace.rs`");
     role.assumed("messages in and out", s.store_parts * 2.0, "a second", "`src/transport`");
     let bytes = s.slopes.at("part-bytes", s.in_flight).map(|each| each.times(s.store_parts / 1e6));
     role.measured("bytes in and out", bytes, "MB a second", "`src/transport`");
     role.assumed(
         "connections and descriptors, all to all",
-        s.a.aggregators,
+        s.assumptions.aggregators,
         "connections",
         "`src/transport`",
     );
@@ -181,7 +186,7 @@
     let each = |senders: f64| s.store_parts / senders;
     role.assumed(
         "parts on each connection, all to all",
-        each(s.a.aggregators),
+        each(s.assumptions.aggregators),
         "a second",
         "`src/transport`",
     );
@@ -192,19 +197,19 @@
 
 fn discovery(s: &Sizes) -> Block {
     let mut role = Role::new("discovery");
-    let (all, few) = (s.a.aggregators, s.a.control_machines);
+    let (all, few) = (s.assumptions.aggregators, s.assumptions.control_machines);
     let tree = format!("{MISSING}a tier of control machines that watch for the aggregators");
-    role.assumed("lines held", s.a.run_stores, "lines", "the platform's");
-    let whole = s.list_bytes(s.a.run_stores).times(1e-6);
+    role.assumed("lines held", s.assumptions.run_stores, "lines", "the platform's");
+    let whole = s.list_bytes(s.assumptions.run_stores).times(1e-6);
     role.measured("a whole list", Some(whole), "MB", "the platform's");
     role.assumed("lines that change", s.changes, "a second", "the platform's");
     // The series by number of watchers were measured at one change a second.
     let at =
         |series: &str, watchers: f64, by: f64| s.slopes.at(series, watchers).map(|figure| figure.times(by));
-    for (how, watchers, carried) in
+    for (how, watchers, implemented_by) in
         [("today", all, "`src/directory/watch.rs`"), ("through control machines", few, tree.as_str())]
     {
-        role.assumed(&format!("watchers, {how}"), watchers, "connections", carried);
+        role.assumed(&format!("watchers, {how}"), watchers, "connections", implemented_by);
         for (what, series, by, unit) in [
             ("calls at a change a second", "discovery-calls", 1.0, "a second"),
             ("bytes out at a change a second", "discovery-bytes", 1e-3, "KB a second"),
@@ -212,15 +217,15 @@
             ("memory, few lines", "discovery-memory", 1.0, "MB"),
             ("descriptors", "discovery-descriptors", 1.0, "descriptors"),
         ] {
-            role.measured(&format!("{what}, {how}"), at(series, watchers, by), unit, carried);
+            role.measured(&format!("{what}, {how}"), at(series, watchers, by), unit, implemented_by);
         }
     }
-    let lines = s.slopes.at("discovery-memory-by-lines", s.a.run_stores);
+    let lines = s.slopes.at("discovery-memory-by-lines", s.assumptions.run_stores);
     role.measured("memory with the whole list, few watchers", lines, "MB", "the platform's");
-    let told = s.slopes.at("change-in-force", all);
+    let delay = s.slopes.at("change-in-force", all);
     role.measured(
         "a change in force at the last aggregator, p99, nothing fails",
-        told,
+        delay,
         "ms",
         "`src/directory/watch.rs`",
     );
@@ -230,13 +235,15 @@
 fn control_machine(s: &Sizes) -> Block {
     let mut role = Role::new("control-machine");
     let tree = format!("{MISSING}in the lab alone (`crates/lab/src/scale`)");
-    let whole = s.list_bytes(s.a.run_stores).times(1e-6);
+    let whole = s.list_bytes(s.assumptions.run_stores).times(1e-6);
     role.measured("state: a whole list", Some(whole), "MB", &tree);
     role.assumed("changes, all", s.changes, "a second", &tree);
-    for (told, watchers) in [("each aggregator told by one", s.told_each), ("by two", s.told_each * 2.0)] {
-        role.assumed(&format!("connections, {told}"), watchers, "connections", &tree);
+    for (served_by, watchers) in
+        [("each aggregator told by one", s.aggregators_each), ("by two", s.aggregators_each * 2.0)]
+    {
+        role.assumed(&format!("connections, {served_by}"), watchers, "connections", &tree);
         let messages = s.slopes.at("watch-messages", s.changes).map(|each| each.times(watchers));
-        role.measured(&format!("messages, {told}"), messages, "a second", &tree);
+        role.measured(&format!("messages, {served_by}"), messages, "a second", &tree);
         // These were measured at one change a second.
         for (what, series, by, unit) in [
             ("bytes at a change a second", "relay-bytes", 1e-3, "KB a second"),
@@ -245,11 +252,11 @@
             ("descriptors", "relay-descriptors", 1.0, "descriptors"),
         ] {
             let figure = s.slopes.at(series, watchers).map(|figure| figure.times(by));
-            role.measured(&format!("{what}, {told}"), figure, unit, &tree);
+            role.measured(&format!("{what}, {served_by}"), figure, unit, &tree);
         }
     }
-    let told = s.slopes.at("relay-in-force", s.told_each);
-    role.measured("a change in force at the last aggregator of all, p99, nothing fails", told, "ms", &tree);
+    let delay = s.slopes.at("relay-in-force", s.aggregators_each);
+    role.measured("a change in force at the last aggregator of all, p99, nothing fails", delay, "ms", &tree);
     role.block()
 }
 
@@ -257,21 +264,21 @@
     let mut role = Role::new("operators-tools");
     role.assumed(
         "readings of figures, all aggregators",
-        s.a.aggregators / s.a.scrape_s,
+        s.assumptions.aggregators / s.assumptions.scrape_s,
         "a second",
         "`GET /stats` (`src/operator`)",
     );
     role.assumed(
         "bytes of figures, all aggregators",
-        s.a.aggregators / s.a.scrape_s * s.a.scrape_bytes / 1e6,
+        s.assumptions.aggregators / s.assumptions.scrape_s * s.assumptions.scrape_bytes / 1e6,
         "MB a second",
         "`src/counters.rs`",
     );
-    let recorded = s.parts * s.a.trace_bytes_per_part;
+    let recorded = s.parts * s.assumptions.trace_bytes_per_part;
     role.assumed("a recording, an aggregator", recorded / 1e6, "MB a second", "`src/trace`");
     role.assumed(
         "a recording that is kept lasts",
-        s.a.trace_keep_mb * 1_048_576.0 / recorded / 60.0,
+        s.assumptions.trace_keep_mb * 1_048_576.0 / recorded / 60.0,
         "minutes",
         &format!("`trace.keep_mb`; {MISSING}sampling"),
     );
--- a/crates/lab/src/capacity/sizes.rs
+++ b/crates/lab/src/capacity/sizes.rs
@@ -7,15 +7,16 @@
 use super::fit::{Figure, Slopes};
 
 /// Seconds of a day.
-const DAY: f64 = 86_400.0;
+const DAY_S: f64 = 86_400.0;
 /// A watch response without entries, including its head.
-const EMPTY_ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 45\r\n\r\n\
+const EMPTY_RESPONSE: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 45\r\n\r\n\
     {\"index\":1234567,\"snapshot\":false,\"endpoints\":[]}";
 
 /// Counts and rates at full size; rates are per second.
 pub struct Sizes<'a> {
     /// The assumptions.
-    pub a: &'a Assumptions,
+    pub assumptions: &'a Assumptions,
     /// The measured series.
     pub slopes: &'a Slopes,
     /// Queries of an aggregator.
@@ -25,7 +26,7 @@
     /// Parts in flight at an aggregator, by Little's law.
     pub in_flight: f64,
     /// Open queries of an aggregator, by Little's law.
-    pub open: f64,
+    pub open_queries: f64,
     /// Parts that a run store receives from all aggregators.
     pub store_parts: f64,
     /// Aggregators of a region.
@@ -41,74 +42,76 @@
     /// Changes of list entries.
     pub changes: f64,
     /// Changes of list entries that are relevant to an aggregator.
-    pub own_changes: f64,
+    pub relevant_changes: f64,
     /// List entries that are relevant to an aggregator.
-    pub own_lines: f64,
+    pub relevant_entries: f64,
     /// The number of aggregators that each control machine serves.
-    pub told_each: f64,
+    pub aggregators_each: f64,
     /// Requests of a watch while nothing changes.
     pub watch_calls: f64,
     /// Bytes of a watch request.
     pub call_bytes: f64,
     /// Bytes of a watch response without entries.
-    pub answer_bytes: f64,
+    pub response_bytes: f64,
 }
 
 impl<'a> Sizes<'a> {
     /// Computes the counts and rates.
-    pub fn new(a: &'a Assumptions, slopes: &'a Slopes) -> Self {
-        let queries = a.queries_per_s / a.aggregators;
-        let parts = queries * a.parts_per_query;
-        let (region_aggregators, region_stores) = (a.aggregators / a.regions, a.run_stores / a.regions);
-        let blocks = region_stores / a.holders;
-        let connections = blocks * a.chosen_holders;
-        let changes =
-            (a.changes_per_day + (a.restarts_per_day + a.failures_per_day) * a.lines_per_restart) / DAY;
+    pub fn new(assumptions: &'a Assumptions, slopes: &'a Slopes) -> Self {
+        let queries = assumptions.queries_per_s / assumptions.aggregators;
+        let parts = queries * assumptions.parts_per_query;
+        let (region_aggregators, region_stores) =
+            (assumptions.aggregators / assumptions.regions, assumptions.run_stores / assumptions.regions);
+        let blocks = region_stores / assumptions.holders;
+        let connections = blocks * assumptions.chosen_holders;
+        let changes = (assumptions.changes_per_day
+            + (assumptions.restarts_per_day + assumptions.failures_per_day) * assumptions.lines_per_restart)
+            / DAY_S;
         let request =
             write::request("GET", "/v1/servers?after=1234567&wait_ms=3000", "10.1.0.18:8080", &[], &[]);
         Sizes {
-            a,
+            assumptions,
             slopes,
             queries,
             parts,
-            in_flight: parts * a.part_ms / 1000.0,
-            open: queries * a.wanted_ms / 1000.0,
-            store_parts: a.queries_per_s * a.parts_per_query / a.run_stores,
+            in_flight: parts * assumptions.part_ms / 1000.0,
+            open_queries: queries * assumptions.wanted_ms / 1000.0,
+            store_parts: assumptions.queries_per_s * assumptions.parts_per_query / assumptions.run_stores,
             region_aggregators,
             region_stores,
             blocks,
             connections,
             senders: connections * region_aggregators / region_stores,
             changes,
-            own_changes: changes * a.line_regions / a.regions,
-            own_lines: a.run_stores * a.line_regions / a.regions,
-            told_each: a.aggregators / a.control_machines,
+            relevant_changes: changes * assumptions.line_regions / assumptions.regions,
+            relevant_entries: assumptions.run_stores * assumptions.line_regions / assumptions.regions,
+            aggregators_each: assumptions.aggregators / assumptions.control_machines,
             watch_calls: 1000.0 / WATCH_WAIT,
             call_bytes: request.len() as f64,
-            answer_bytes: EMPTY_ANSWER.len() as f64,
+            response_bytes: EMPTY_RESPONSE.len() as f64,
         }
     }
 
     /// Returns the size of a whole list, in bytes.
     pub fn list_bytes(&self, lines: f64) -> Figure {
-        self.slopes.at("list-bytes", lines).unwrap_or(Figure::plain(lines * self.a.line_bytes))
+        self.slopes.at("list-bytes", lines).unwrap_or(Figure::assumed(lines * self.assumptions.line_bytes))
     }
 
     /// Returns the CPU time of a tick without events in the earlier build, in microseconds, by run stores and parts in
     /// flight.
-    pub fn tick_before(&self, stores: f64, flights: f64) -> Option<Figure> {
-        self.slopes.at("quiet-tick-before", stores * flights)
+    pub fn tick_before(&self, stores: f64, in_flight: f64) -> Option<Figure> {
+        self.slopes.at("quiet-tick-before", stores * in_flight)
     }
 
     /// Returns the CPU time of a tick without events in the current build, in microseconds, by parts in flight with all
     /// run stores listed.
-    pub fn tick_now(&self, flights: f64) -> Option<Figure> {
-        self.slopes.at("module_quiet_tick_by_in_flight_at_57000", flights)
+    pub fn tick_now(&self, in_flight: f64) -> Option<Figure> {
+        self.slopes.at("module_quiet_tick_by_in_flight_at_57000", in_flight)
     }
 
     /// Returns the share of a core that ticks take, from the CPU time of one in microseconds.
-    pub fn of_core(&self, tick_us: &Figure) -> Figure {
-        tick_us.times(1.0 / (self.a.tick_ms * 1000.0))
+    pub fn core_share(&self, tick_us: &Figure) -> Figure {
+        tick_us.times(1.0 / (self.assumptions.tick_ms * 1000.0))
     }
 
     /// Returns the cores that all parts of an aggregator take, by a series of CPU time by parts a second.
@@ -118,15 +121,16 @@
 
     /// Returns the time to process a whole list of known entries, in milliseconds: parsing it, routing it through the
     /// core and applying it in the decision module.
-    pub fn taken_in(&self, build: &str) -> Option<Figure> {
-        let of = |series: &str| self.slopes.at(series, self.a.run_stores);
+    pub fn list_processing(&self, build: &str) -> Option<Figure> {
+        let of = |series: &str| self.slopes.at(series, self.assumptions.run_stores);
         let (parsed, routed) = (of(&format!("list-parsed-{build}"))?, of(&format!("list-routed-{build}"))?);
         Some(parsed.plus(&routed).plus(&of(whole_list_module(build))?.times(1e-3)))
     }
 
     /// Returns the bytes that a watch transfers per second at a rate of changed entries.
     pub fn watch_bytes(&self, changes: f64) -> f64 {
-        (self.watch_calls + changes) * (self.call_bytes + self.answer_bytes) + changes * self.a.line_bytes
+        (self.watch_calls + changes) * (self.call_bytes + self.response_bytes)
+            + changes * self.assumptions.line_bytes
     }
 }
 
--- a/crates/lab/src/capacity/subset.rs
+++ b/crates/lab/src/capacity/subset.rs
@@ -27,7 +27,7 @@
 
 /// The result. Loads are relative to the mean load of all run stores of the region before the loss of a zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Spread {
+pub struct SubsetResult {
     /// The mean number of connections of an aggregator to run stores.
     pub connections: f64,
     /// The mean and the maximum number of connections of a run store.
@@ -39,10 +39,10 @@
     /// The mean load of the remaining run stores after the loss.
     pub left: f64,
     /// The mean number of connections that a remaining aggregator opens after the loss.
-    pub anew: f64,
+    pub reconnected: f64,
     /// The number of connections, over all aggregators, that were dropped after the loss although their run store
     /// remains.
-    pub needless: usize,
+    pub unnecessary: usize,
 }
 
 /// The rank of a holder at an aggregator: whether its zone is preferred, its weight, its zone, and its number.
@@ -65,14 +65,14 @@
 
 /// Simulates the choices of all aggregators of a region, before and after its first zone is lost. All blocks are
 /// queried equally, and each aggregator distributes its queries evenly over its chosen holders of a block.
-pub fn play(region: &Region, choice: Choice, seed: u64) -> Spread {
+pub fn simulate(region: &Region, choice: Choice, seed: u64) -> SubsetResult {
     let stores = region.blocks * region.holders;
     let (mut load, mut after, mut held) = (vec![0.0; stores], vec![0.0; stores], vec![0u32; stores]);
-    let (mut anew, mut needless) = (0usize, 0usize);
-    let stands = |aggregator: usize| !aggregator.is_multiple_of(region.zones);
-    let standing = (0..region.aggregators).filter(|one| stands(*one)).count();
+    let (mut reconnected, mut unnecessary) = (0usize, 0usize);
+    let survives = |aggregator: usize| !aggregator.is_multiple_of(region.zones);
+    let surviving = (0..region.aggregators).filter(|one| survives(*one)).count();
     // The clients of lost aggregators move to the remaining ones.
-    let more = region.aggregators as f64 / standing.max(1) as f64;
+    let more = region.aggregators as f64 / surviving.max(1) as f64;
     for aggregator in 0..region.aggregators {
         for block in 0..region.blocks {
             let ranked = rank(region, choice, (aggregator, block), seed);
@@ -81,31 +81,31 @@
                 load[*store] += 1.0 / chosen as f64;
                 held[*store] += 1;
             }
-            if !stands(aggregator) {
+            if !survives(aggregator) {
                 continue;
             }
             // Chooses the highest-ranked holders that remain; those that were not chosen before need a new connection.
-            let standing = || ranked.iter().enumerate().filter(|(_, (_, _, zone, _))| *zone != 0);
-            let left = standing().count().min(choice.chosen);
-            for (place, (.., store)) in standing().take(left) {
+            let surviving = || ranked.iter().enumerate().filter(|(_, (_, _, zone, _))| *zone != 0);
+            let left = surviving().count().min(choice.chosen);
+            for (place, (.., store)) in surviving().take(left) {
                 after[*store] += more / left as f64;
-                anew += usize::from(place >= chosen);
+                reconnected += usize::from(place >= chosen);
             }
-            needless += standing().skip(left).filter(|(place, _)| *place < chosen).count();
+            unnecessary += surviving().skip(left).filter(|(place, _)| *place < chosen).count();
         }
     }
     let mean = load.iter().sum::<f64>() / stores as f64;
     let most = |loads: &[f64]| loads.iter().copied().fold(0.0, f64::max) / mean;
     let variance = load.iter().map(|one| (one / mean - 1.0).powi(2)).sum::<f64>() / stores as f64;
-    let there = after.iter().filter(|one| **one > 0.0).count();
+    let loaded = after.iter().filter(|one| **one > 0.0).count();
     let connections: u32 = held.iter().sum();
-    Spread {
+    SubsetResult {
         connections: f64::from(connections) / region.aggregators as f64,
         held: (f64::from(connections) / stores as f64, f64::from(held.iter().copied().max().unwrap_or(0))),
         deviation: variance.sqrt(),
         most: (most(&load), most(&after)),
-        left: after.iter().sum::<f64>() / there.max(1) as f64 / mean,
-        anew: anew as f64 / standing.max(1) as f64,
-        needless,
+        left: after.iter().sum::<f64>() / loaded.max(1) as f64 / mean,
+        reconnected: reconnected as f64 / surviving.max(1) as f64,
+        unnecessary,
     }
 }
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -22,7 +22,7 @@
 
 /// The series to measure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum What {
+pub enum Quantity {
     /// CPU time by parts a second.
     Parts,
     /// CPU time of a query by its number of parts.
@@ -40,7 +40,7 @@
 pub struct Options {
     /// The series to measure.
     #[arg(value_enum)]
-    what: What,
+    what: Quantity,
     /// The values of x to measure.
     #[arg(long, value_delimiter = ',', required = true, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
     at: Vec<u32>,
@@ -53,23 +53,23 @@
 }
 
 /// The number of run stores where it is not the measured variable.
-const STORES: usize = 60;
+const RUN_STORES: usize = 60;
 /// Parts of a query, where they are not the measured variable.
-const PARTS: u32 = 8;
+const PARTS_PER_QUERY: u32 = 8;
 /// Parts a second, where they are not the measured variable.
-const RATE: f64 = 2000.0;
+const PARTS_PER_SECOND: f64 = 2000.0;
 /// Parts of a query that is held open.
-const HELD_PARTS: u32 = 140;
+const HELD_PARTS_PER_QUERY: u32 = 140;
 /// The work time of a part at a run store, in milliseconds.
-const WORK: f64 = 20.0;
+const WORK_MS: f64 = 20.0;
 /// The work time of a part of a query that is held open, in milliseconds.
-const HELD: f64 = 60_000.0;
+const HELD_WORK_MS: f64 = 60_000.0;
 /// The aim as a multiple of the work time of a part.
-const AIM: f64 = 50.0;
+const AIM_MULTIPLE: f64 = 50.0;
 /// The warm-up time of each load before it is measured.
-const BEFORE: Duration = Duration::from_secs(2);
+const WARM_UP: Duration = Duration::from_secs(2);
 /// The minimum share of queries that must be answered for a figure to be valid.
-const ANSWERED: f64 = 0.99;
+const MIN_ANSWERED_SHARE: f64 = 0.99;
 
 /// Measures the series and prints them as TOML.
 ///
@@ -82,46 +82,47 @@
     for &x in &options.at {
         // Where memory, the list or connections are measured, each point has its own process. Otherwise the points
         // share one, which keeps its learned state and open connections.
-        let (up, listed, work) = match options.what {
-            What::Parts | What::Query => (STORES, STORES, WORK),
-            What::Flights => (STORES, STORES, HELD),
-            What::Stores => (0, x as usize, WORK),
-            What::Connections => (x as usize, x as usize, WORK),
+        let (existing, listed, work) = match options.what {
+            Quantity::Parts | Quantity::Query => (RUN_STORES, RUN_STORES, WORK_MS),
+            Quantity::Flights => (RUN_STORES, RUN_STORES, HELD_WORK_MS),
+            Quantity::Stores => (0, x as usize, WORK_MS),
+            Quantity::Connections => (x as usize, x as usize, WORK_MS),
         };
-        let fresh = bed.is_none() || !matches!(options.what, What::Parts | What::Query);
+        let new_process = bed.is_none() || !matches!(options.what, Quantity::Parts | Quantity::Query);
         let bed = match &mut bed {
-            Some(bed) if !fresh => bed,
+            Some(bed) if !new_process => bed,
             place => {
                 *place = None;
-                place.insert(Bed::new(up, listed, work).map_err(failed)?)
+                place.insert(TestBed::new(existing, listed, work).map_err(failed)?)
             }
         };
         let seconds = Duration::from_secs(options.seconds);
         match options.what {
-            What::Parts => {
-                let (parts, cpu, _) = bed.cost(f64::from(x) / f64::from(PARTS), PARTS, seconds)?;
+            Quantity::Parts => {
+                let (parts, cpu, _) =
+                    bed.cost(f64::from(x) / f64::from(PARTS_PER_QUERY), PARTS_PER_QUERY, seconds)?;
                 first.push([parts, cpu]);
             }
-            What::Query => {
-                let (parts, cpu, queries) = bed.cost(RATE / f64::from(x), x, seconds)?;
+            Quantity::Query => {
+                let (parts, cpu, queries) = bed.cost(PARTS_PER_SECOND / f64::from(x), x, seconds)?;
                 first.push([parts / queries, cpu / queries]);
             }
-            What::Stores => {
-                thread::sleep(BEFORE);
-                let (begun, before) = (Instant::now(), bed.cpu()?);
+            Quantity::Stores => {
+                thread::sleep(WARM_UP);
+                let (began, before) = (Instant::now(), bed.cpu()?);
                 thread::sleep(seconds);
                 first.push([f64::from(x), bed.memory()?]);
-                second.push([f64::from(x), (bed.cpu()? - before) / begun.elapsed().as_secs_f64()]);
+                second.push([f64::from(x), (bed.cpu()? - before) / began.elapsed().as_secs_f64()]);
             }
-            What::Flights => {
-                bed.hold(x.div_ceil(HELD_PARTS))?;
-                first.push([bed.out()?, bed.memory()?]);
+            Quantity::Flights => {
+                bed.hold_queries(x.div_ceil(HELD_PARTS_PER_QUERY))?;
+                first.push([bed.parts_in_flight()?, bed.memory()?]);
             }
-            What::Connections => {
+            Quantity::Connections => {
                 // The queries only open connections, so their outcome does not matter.
-                bed.load(20.0, x.min(HELD_PARTS), seconds)?;
+                bed.load(20.0, x.min(HELD_PARTS_PER_QUERY), seconds)?;
                 // Gives the aggregator time to notice that the clients have closed their connections.
-                thread::sleep(BEFORE);
+                thread::sleep(WARM_UP);
                 let (connections, descriptors) = bed.descriptors()?;
                 first.push([connections, descriptors]);
                 second.push([connections, bed.memory()?]);
@@ -134,15 +135,25 @@
         "cargo run --release -p ironpaddle-lab -- measure {what} --at {at} --seconds {} --build COMMIT",
         options.seconds
     );
-    let held = format!("one aggregator, {STORES} run stores on loopback, {WORK} ms a part");
+    let held = format!("one aggregator, {RUN_STORES} run stores on loopback, {WORK_MS} ms a part");
     let kinds: &[(&str, &str, &str, String)] = &match options.what {
-        What::Parts => {
-            vec![("part-cpu", "parts a second", "us a second", format!("{held}, {PARTS} parts a query"))]
+        Quantity::Parts => {
+            vec![(
+                "part-cpu",
+                "parts a second",
+                "us a second",
+                format!("{held}, {PARTS_PER_QUERY} parts a query"),
+            )]
         }
-        What::Query => {
-            vec![("query-cpu", "parts of a query", "us", format!("{held}, {RATE} parts a second"))]
+        Quantity::Query => {
+            vec![(
+                "query-cpu",
+                "parts of a query",
+                "us",
+                format!("{held}, {PARTS_PER_SECOND} parts a second"),
+            )]
         }
-        What::Stores => vec![
+        Quantity::Stores => vec![
             (
                 "memory-by-stores",
                 "run stores in the list",
@@ -151,13 +162,15 @@
             ),
             ("idle-cpu-by-stores", "run stores in the list", "us a second", "no queries".into()),
         ],
-        What::Flights => vec![(
+        Quantity::Flights => vec![(
             "memory-by-flights",
             "parts in flight",
             "MB",
-            format!("resident, {STORES} run stores that don't answer, {HELD_PARTS} parts a query"),
+            format!(
+                "resident, {RUN_STORES} run stores that don't answer, {HELD_PARTS_PER_QUERY} parts a query"
+            ),
         )],
-        What::Connections => vec![
+        Quantity::Connections => vec![
             (
                 "descriptors-by-connections",
                 "connections to run stores",
@@ -186,7 +199,7 @@
 type Cost = (f64, f64, f64);
 
 /// A test bed: an aggregator with its run stores and discovery.
-struct Bed {
+struct TestBed {
     aggregator: Arc<Aggregator>,
     stores: Vec<Arc<Store>>,
     listed: usize,
@@ -197,9 +210,9 @@
     _discovery: Arc<Discovery>,
 }
 
-impl Bed {
+impl TestBed {
     /// Starts the run stores, discovery and the aggregator, whose list has `listed` run stores of which `up` exist.
-    fn new(up: usize, listed: usize, work_ms: f64) -> io::Result<Self> {
+    fn new(existing: usize, listed: usize, work_ms: f64) -> io::Result<Self> {
         let (clock, checker) = (Clock::new(), Arc::new(Checker::default()));
         let kind = Kind {
             slots: 100_000,
@@ -211,7 +224,7 @@
             stall_ms: 0.0,
         };
         let start = |no| Store::start(no, kind, Api::Platform, 1, clock, checker.clone());
-        let stores = (0..up).map(start).collect::<Result<Vec<_>, _>>()?;
+        let stores = (0..existing).map(start).collect::<Result<Vec<_>, _>>()?;
         let (discovery, address) = Discovery::start()?;
         let line = |no: usize| {
             let address = stores.get(no).map_or("127.0.0.1:9".into(), |store| store.address.to_string());
@@ -220,20 +233,23 @@
         };
         let lines: Vec<Value> = (0..listed).map(line).collect();
         let config = json!({"name": "measured", "seed": "1", "discovery": address.to_string(),
-            "limits": {"sockets": 16_384}, "settings": settings(listed, work_ms * AIM),
+            "limits": {"sockets": 16_384}, "settings": settings(listed, work_ms * AIM_MULTIPLE),
             "known": {"index": 0, "snapshot": true, "endpoints": lines}});
         let dir = std::env::temp_dir().join(format!("ironpaddle-measure-{}", std::process::id()));
         let aggregator = Arc::new(Aggregator::start(&std::env::current_exe()?, &dir, config)?);
         let (held, asked) = (Vec::new(), Arc::default());
-        Ok(Bed { aggregator, stores, listed, held, asked, _discovery: discovery })
+        Ok(TestBed { aggregator, stores, listed, held, asked, _discovery: discovery })
     }
 
     /// Measures the cost at a rate of queries. Queries that are not answered cost less than answered ones, so the
     /// figure would be too low: too many of them are an error.
     fn cost(&self, rate: f64, parts: u32, seconds: Duration) -> Result<Cost, String> {
-        let (cost, good, bad) = self.load(rate, parts, seconds)?;
-        if good < ANSWERED * (good + bad) {
-            return Err(format!("of {} queries at {rate} a second, {bad} were not answered", good + bad));
+        let (cost, answered_queries, other_queries) = self.load(rate, parts, seconds)?;
+        if answered_queries < MIN_ANSWERED_SHARE * (answered_queries + other_queries) {
+            return Err(format!(
+                "of {} queries at {rate} a second, {other_queries} were not answered",
+                answered_queries + other_queries
+            ));
         }
         Ok(cost)
     }
@@ -241,16 +257,16 @@
     /// Runs a load and returns its cost, the number of answered queries and the number of others.
     fn load(&self, rate: f64, parts: u32, seconds: Duration) -> Result<(Cost, f64, f64), String> {
         let clients = (rate * 0.5).clamp(4.0, 400.0) as usize;
-        let (over, answered, others) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
+        let (stopped, answered, others) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
         let shards = self.listed as u32 * 2;
         thread::scope(|scope| {
             for no in 0..clients {
-                let (over, answered, others) = (&over, &answered, &others);
+                let (stopped, answered, others) = (&stopped, &answered, &others);
                 scope.spawn(move || {
                     let mut client = Client::new(self.aggregator.address);
                     let gap = Duration::from_secs_f64(clients as f64 / rate);
                     let mut next = Instant::now() + gap.mul_f64(no as f64 / clients as f64);
-                    while !over.load(Ordering::Acquire) {
+                    while !stopped.load(Ordering::Acquire) {
                         thread::sleep(next.saturating_duration_since(Instant::now()));
                         next += gap;
                         let query = self.asked.fetch_add(1, Ordering::Relaxed);
@@ -260,54 +276,60 @@
                     }
                 });
             }
-            thread::sleep(BEFORE);
+            thread::sleep(WARM_UP);
             let figures = || -> Result<(f64, f64, f64), String> {
                 Ok((
-                    self.tries()?,
+                    self.attempts()?,
                     self.aggregator.cpu_ms() * 1000.0,
                     answered.load(Ordering::Relaxed) as f64,
                 ))
             };
-            let (begun, before) = (Instant::now(), figures());
+            let (began, before) = (Instant::now(), figures());
             let others_before = others.load(Ordering::Relaxed);
             thread::sleep(seconds);
-            let (after, took) = (figures(), begun.elapsed().as_secs_f64());
-            over.store(true, Ordering::Release);
-            let ((tries, cpu, queries), (tries_then, cpu_then, queries_then)) = (after?, before?);
+            let (after, took) = (figures(), began.elapsed().as_secs_f64());
+            stopped.store(true, Ordering::Release);
+            let ((attempts, cpu, queries), (attempts_before, cpu_before, queries_before)) = (after?, before?);
             // Queries during the warm-up, while connections are still being opened, do not count.
-            let (good, bad) =
-                (queries - queries_then, (others.load(Ordering::Relaxed) - others_before) as f64);
-            let cost =
-                ((tries - tries_then) / took, (cpu - cpu_then) / took, (queries - queries_then) / took);
-            Ok((cost, good, bad))
+            let (answered_queries, other_queries) =
+                (queries - queries_before, (others.load(Ordering::Relaxed) - others_before) as f64);
+            let cost = (
+                (attempts - attempts_before) / took,
+                (cpu - cpu_before) / took,
+                (queries - queries_before) / took,
+            );
+            Ok((cost, answered_queries, other_queries))
         })
     }
 
     /// Sends queries whose parts are held open.
-    fn hold(&mut self, queries: u32) -> Result<(), String> {
+    fn hold_queries(&mut self, queries: u32) -> Result<(), String> {
         for no in 0..queries {
             let asked = TcpStream::connect(self.aggregator.address).and_then(|mut stream| {
-                stream.write_all(request(u64::from(no), HELD_PARTS, self.listed as u32 * 4).as_bytes())?;
+                stream.write_all(
+                    request(u64::from(no), HELD_PARTS_PER_QUERY, self.listed as u32 * 4).as_bytes(),
+                )?;
                 Ok(stream)
             });
             self.held.push(asked.map_err(|error| error.to_string())?);
         }
-        thread::sleep(BEFORE * 2);
+        thread::sleep(WARM_UP * 2);
         Ok(())
     }
 
     /// Returns the number of attempts sent so far.
-    fn tries(&self) -> Result<f64, String> {
+    fn attempts(&self) -> Result<f64, String> {
         let (_, stats) = self.aggregator.call("GET", "/stats").map_err(|error| error.to_string())?;
-        let tries = stats.lines().find_map(|line| line.strip_prefix("aggregator.tries:")?.strip_suffix("|c"));
-        tries
-            .and_then(|tries| tries.parse().ok())
+        let attempts =
+            stats.lines().find_map(|line| line.strip_prefix("aggregator.tries:")?.strip_suffix("|c"));
+        attempts
+            .and_then(|attempts| attempts.parse().ok())
             .ok_or_else(|| "/stats has no aggregator.tries counter".into())
     }
 
     /// Returns the number of parts in flight, if all queries are held open.
-    fn out(&self) -> Result<f64, String> {
-        self.tries()
+    fn parts_in_flight(&self) -> Result<f64, String> {
+        self.attempts()
     }
 
     /// Returns the `/proc` directory of the aggregator.
@@ -375,7 +397,7 @@
     let body = json!({"slices": slices, "filter": "c41e77d0"}).to_string();
     format!(
         "POST /measured HTTP/1.1\r\nHost: lab\r\nX-Request-ID: {query:016x}\r\nX-Priority-Class: measured\r\n\
-         X-Timeout: {HELD}m\r\nContent-Length: {}\r\n\r\n{body}",
+         X-Timeout: {HELD_WORK_MS}m\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -26,8 +26,8 @@
 use futures_lite::StreamExt;
 use serde_json::{json, Value};
 
-use self::outcome::{Outcome, Told};
-use self::roles::{usage, Process, Role, Setup, Usage, Word};
+use self::outcome::{ChangeTimes, Outcome};
+use self::roles::{usage, Process, Role, RoleCommand, Setup, Usage};
 use crate::aggregators::Aggregator;
 use crate::clock::Clock;
 
@@ -42,15 +42,15 @@
 /// The number of run stores that hold a shard.
 const HOLDERS: usize = 3;
 /// The maximum number of parts of a query.
-const MOST_PARTS: usize = 140;
+const MAX_QUERY_PARTS: usize = 140;
 /// How long clients send queries before the measurement begins.
 const WARM_UP: Duration = Duration::from_millis(1500);
 /// The time limit for all aggregators to receive their first list.
-const FIRST_LISTS: Duration = Duration::from_secs(90);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(90);
 /// The time limit, after the measurement, for the last changes to be in force at all aggregators.
-const LAST_CHANGES: Duration = Duration::from_secs(30);
+const LAST_CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The interval at which waits poll their condition and the end signal.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The options of a scale run.
 #[derive(Debug, Clone, Args)]
@@ -59,8 +59,8 @@
     #[arg(long, default_value_t = 600)]
     run_stores: usize,
     /// Simulated aggregators: control state and discovery watch without clients, all in one process.
-    #[arg(long, default_value_t = 100)]
-    hollow: usize,
+    #[arg(id = "hollow", long = "hollow", value_name = "HOLLOW", default_value_t = 100)]
+    simulated: usize,
     /// Real aggregators: a process of the program each, under query load.
     #[arg(long, default_value_t = 1)]
     real: usize,
@@ -71,8 +71,8 @@
     #[arg(long, default_value_t = 100)]
     in_flight: usize,
     /// Run stores that receive queries, the first of the list; the others are only listed.
-    #[arg(long, default_value_t = 600)]
-    asked: usize,
+    #[arg(id = "asked", long = "asked", value_name = "ASKED", default_value_t = 600)]
+    queried: usize,
     /// The time that a run store takes for a part, in milliseconds.
     #[arg(long, allow_negative_numbers = true, default_value_t = 20.0)]
     work: f64,
@@ -104,19 +104,19 @@
 
 impl Options {
     /// Returns the number of run stores that receive queries.
-    fn asked(&self) -> usize {
-        self.asked.min(self.run_stores)
+    fn queried(&self) -> usize {
+        self.queried.min(self.run_stores)
     }
 
     /// Returns the number of concurrent queries at a real aggregator and the number of parts of each.
     fn queries(&self) -> (usize, usize) {
-        let queries = self.in_flight.div_ceil(MOST_PARTS.min(self.asked())).max(1);
+        let queries = self.in_flight.div_ceil(MAX_QUERY_PARTS.min(self.queried())).max(1);
         (queries, (self.in_flight / queries).max(1))
     }
 
     fn settings(&self) -> Value {
         json!({
-            "balancers": self.hollow + self.real, "discovery": "subscribe", "tick_ms": 5.0, "zone": "a",
+            "balancers": self.simulated + self.real, "discovery": "subscribe", "tick_ms": 5.0, "zone": "a",
             "caps": {"connect_timeout_ms": 250.0, "keepalive_ms": 30000.0, "max_attempts": 3,
                 "max_open": 1000 + 2 * self.in_flight, "max_retry_after_ms": 2000.0, "may_cancel": true, "probes": true,
                 "streams_per_conn": 100},
@@ -133,13 +133,13 @@
     fn setup(&self) -> Setup {
         Setup {
             run_stores: self.run_stores,
-            hollow: self.hollow,
+            simulated: self.simulated,
             real: self.real,
             changes: self.changes,
             seconds: self.seconds,
             seed: self.seed,
             queries: self.queries(),
-            asked: self.asked(),
+            queried: self.queried(),
             work_ms: self.work,
             settings: self.settings(),
             ..Setup::default()
@@ -152,11 +152,11 @@
             "ironpaddle-lab scale --run-stores {} --hollow {} --real {} --relays {} --in-flight {} --asked {} --work {} \
              --changes {} --seconds {} --seed {}",
             self.run_stores,
-            self.hollow,
+            self.simulated,
             self.real,
             self.relays,
             self.in_flight,
-            self.asked,
+            self.queried,
             self.work,
             self.changes,
             self.seconds,
@@ -173,11 +173,11 @@
     if let Err(why) = bounds::check(options) {
         clap::Error::raw(clap::error::ErrorKind::ValueValidation, format!("{why}\n")).exit();
     }
-    let told_to_end = told_to_end()?;
+    let stop_requested = watch_stop_signals()?;
     if let Some(axis) = options.sweep {
-        return sweep::run(options, axis, &told_to_end);
+        return sweep::run(options, axis, &stop_requested);
     }
-    let outcome = play(options, &told_to_end)?;
+    let outcome = run_once(options, &stop_requested)?;
     print!("{}", outcome.tables());
     if let Some(path) = &options.json {
         let text = serde_json::to_string_pretty(&outcome).map_err(|error| error.to_string())? + "\n";
@@ -186,33 +186,33 @@
     if let Some(path) = &options.chart {
         outcome.chart(path)?;
     }
-    Ok(outcome.is_well())
+    Ok(outcome.passed())
 }
 
 /// Returns a flag that the first termination signal sets. From then on no such signal kills this process directly, so
 /// that it can stop the processes that it started.
-fn told_to_end() -> Result<Arc<AtomicBool>, String> {
+fn watch_stop_signals() -> Result<Arc<AtomicBool>, String> {
     let mut signals =
         Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|error| error.to_string())?;
-    let told = Arc::new(AtomicBool::new(false));
-    let tell = told.clone();
+    let stop_requested = Arc::new(AtomicBool::new(false));
+    let setter = stop_requested.clone();
     thread::spawn(move || {
         async_io::block_on(async {
             while signals.next().await.is_some() {
-                tell.store(true, Ordering::Release);
+                setter.store(true, Ordering::Release);
             }
         });
     });
-    Ok(told)
+    Ok(stop_requested)
 }
 
 /// The processes of a run. Fields are dropped in declaration order: callers stop before the processes that they call,
 /// so run stores and discovery stop last.
 struct Fleet<'a> {
-    told_to_end: &'a AtomicBool,
+    stop_requested: &'a AtomicBool,
     clients: Option<Process>,
     aggregators: Vec<Aggregator>,
-    hollow: Process,
+    simulated: Process,
     relays: Vec<Process>,
     discovery: Process,
     stores: Process,
@@ -224,36 +224,36 @@
     at: f64,
     stores: (Usage, Value),
     discovery: (Usage, Value),
-    hollow: Usage,
+    simulated: Usage,
     relays: Vec<(Usage, Value)>,
     clients: (Usage, Value),
     real: Vec<Usage>,
 }
 
 impl<'a> Fleet<'a> {
-    fn start(options: &Options, told_to_end: &'a AtomicBool) -> Result<Self, String> {
+    fn start(options: &Options, stop_requested: &'a AtomicBool) -> Result<Self, String> {
         let mut setup = options.setup();
         let stores = Process::start(Role::Stores, &setup)?;
-        setup.stores = stores.addresses.first().copied();
+        setup.run_store_address = stores.addresses.first().copied();
         let discovery = Process::start(Role::Discovery, &setup)?;
         let upstream = discovery.addresses.first().copied();
-        let relayed = Setup { upstream, ..setup.clone() };
-        let relays = (0..options.relays).map(|_| Process::start(Role::Discovery, &relayed));
+        let relay_setup = Setup { upstream, ..setup.clone() };
+        let relays = (0..options.relays).map(|_| Process::start(Role::Discovery, &relay_setup));
         let relays = relays.collect::<Result<Vec<_>, _>>()?;
-        let told_by: Vec<_> = if relays.is_empty() { vec![&discovery] } else { relays.iter().collect() };
-        let listings: Vec<_> = told_by.iter().map(|process| process.addresses.clone()).collect();
-        setup.discovery = listings.iter().filter_map(|addresses| addresses.first().copied()).collect();
-        let hollow = Process::start(Role::Hollow, &setup)?;
+        let list_sources: Vec<_> = if relays.is_empty() { vec![&discovery] } else { relays.iter().collect() };
+        let list_addresses: Vec<_> = list_sources.iter().map(|process| process.addresses.clone()).collect();
+        setup.discovery = list_addresses.iter().filter_map(|addresses| addresses.first().copied()).collect();
+        let simulated = Process::start(Role::Hollow, &setup)?;
         let (clients, aggregators) = (None, Vec::new());
-        let mut fleet = Fleet { told_to_end, clients, aggregators, hollow, relays, discovery, stores };
+        let mut fleet = Fleet { stop_requested, clients, aggregators, simulated, relays, discovery, stores };
         let program = std::env::current_exe().map_err(|error| error.to_string())?;
         for no in 0..options.real {
-            fleet.goes_on()?;
-            let listing = listings[no % listings.len()][no + 1];
+            fleet.check_not_stopped()?;
+            let listing = list_addresses[no % list_addresses.len()][no + 1];
             let config = json!({"name": format!("scale-{}-{no}", std::process::id()),
                 "seed": format!("{:x}", options.seed + no as u64), "discovery": listing.to_string(),
                 "limits": {"sockets": bounds::sockets(options)}, "settings": setup.settings, "api": "platform"});
-            let started = Aggregator::start(&program, &folder().join(format!("n{no}")), config);
+            let started = Aggregator::start(&program, &run_dir().join(format!("n{no}")), config);
             fleet.aggregators.push(started.map_err(|error| error.to_string())?);
         }
         setup.aggregators = fleet.aggregators.iter().map(|aggregator| aggregator.address).collect();
@@ -262,15 +262,15 @@
     }
 
     /// Returns an error once a signal has asked the run to end.
-    fn goes_on(&self) -> Result<(), String> {
-        if self.told_to_end.load(Ordering::Acquire) {
+    fn check_not_stopped(&self) -> Result<(), String> {
+        if self.stop_requested.load(Ordering::Acquire) {
             return Err("interrupted by a signal".to_string());
         }
         Ok(())
     }
 
     /// Returns the processes that serve the list to aggregators: the relays, or discovery if there are none.
-    fn told_by(&mut self) -> &mut [Process] {
+    fn list_sources(&mut self) -> &mut [Process] {
         if self.relays.is_empty() {
             std::slice::from_mut(&mut self.discovery)
         } else {
@@ -279,49 +279,49 @@
     }
 
     /// Collects when each change was published and when real aggregators had applied it.
-    fn told(&mut self) -> Result<Told, String> {
-        let mut told: Told = read(self.discovery.tell(Word::End)?)?;
+    fn change_times(&mut self) -> Result<ChangeTimes, String> {
+        let mut change_times: ChangeTimes = read(self.discovery.send(RoleCommand::End)?)?;
         for relay in &mut self.relays {
-            let theirs: Told = read(relay.tell(Word::End)?)?;
+            let reported: ChangeTimes = read(relay.send(RoleCommand::End)?)?;
             // Each real aggregator calls only one relay, so at most one has its times.
-            for (known, times) in told.taken.iter_mut().zip(theirs.taken) {
+            for (known, times) in change_times.applied.iter_mut().zip(reported.applied) {
                 if !times.is_empty() {
                     *known = times;
                 }
             }
         }
-        Ok(told)
+        Ok(change_times)
     }
 
     /// Sleeps for a time, and stops early with an error if a signal asks the run to end.
     fn sleep(&self, span: Duration) -> Result<(), String> {
         let until = Instant::now() + span;
         while Instant::now() < until {
-            self.goes_on()?;
-            thread::sleep(LOOK_EVERY.min(until - Instant::now().min(until)));
+            self.check_not_stopped()?;
+            thread::sleep(POLL_INTERVAL.min(until - Instant::now().min(until)));
         }
         Ok(())
     }
 
     /// Waits until a version of the list is in force at all aggregators, at most for `limit`; returns whether it is.
-    fn all_have(&mut self, options: &Options, version: u64, limit: Duration) -> Result<bool, String> {
+    fn wait_for_version(&mut self, options: &Options, version: u64, limit: Duration) -> Result<bool, String> {
         let began = Instant::now();
         loop {
-            let standing: hollow::Standing = read(self.hollow.tell(Word::Mark)?)?;
+            let status: hollow::SimulatedStatus = read(self.simulated.send(RoleCommand::Report)?)?;
             let mut taken = vec![0; options.real];
-            for process in self.told_by() {
-                let theirs: Vec<u64> = read(process.tell(Word::Mark)?["taken"].clone())?;
-                taken.iter_mut().zip(theirs).for_each(|(known, version)| *known = version.max(*known));
+            for process in self.list_sources() {
+                let reported: Vec<u64> = read(process.send(RoleCommand::Report)?["taken"].clone())?;
+                taken.iter_mut().zip(reported).for_each(|(known, version)| *known = version.max(*known));
             }
             let place = (version - events::FIRST_INDEX) as usize;
-            let hollow = standing.in_force.get(place).map_or(0, |(count, _)| *count);
-            if hollow == options.hollow && taken.iter().all(|taken| *taken >= version) {
+            let simulated = status.in_force.get(place).map_or(0, |(count, _)| *count);
+            if simulated == options.simulated && taken.iter().all(|taken| *taken >= version) {
                 return Ok(true);
             }
             if began.elapsed() > limit {
                 return Ok(false);
             }
-            self.sleep(LOOK_EVERY)?;
+            self.sleep(POLL_INTERVAL)?;
         }
     }
 
@@ -331,7 +331,7 @@
         let usage_of = |process: &Process| usage(process.id()).map_err(failed);
         let mut sample = Sample {
             at: clock.now(),
-            hollow: usage_of(&self.hollow)?,
+            simulated: usage_of(&self.simulated)?,
             discovery: (usage_of(&self.discovery)?, Value::Null),
             stores: (usage_of(&self.stores)?, Value::Null),
             ..Sample::default()
@@ -341,13 +341,13 @@
             sample.real.push(usage(id).map_err(failed)?);
         }
         if let Some(clients) = &mut self.clients {
-            sample.clients = (usage_of(clients)?, clients.tell(Word::Mark)?);
+            sample.clients = (usage_of(clients)?, clients.send(RoleCommand::Report)?);
         }
         for relay in &mut self.relays {
-            sample.relays.push((usage_of(relay)?, relay.tell(Word::Mark)?));
+            sample.relays.push((usage_of(relay)?, relay.send(RoleCommand::Report)?));
         }
-        sample.discovery.1 = self.discovery.tell(Word::Mark)?;
-        sample.stores.1 = self.stores.tell(Word::Mark)?;
+        sample.discovery.1 = self.discovery.send(RoleCommand::Report)?;
+        sample.stores.1 = self.stores.send(RoleCommand::Report)?;
         Ok(sample)
     }
 }
@@ -357,73 +357,81 @@
 }
 
 /// Returns the directory for the configurations and logs of the real aggregators of this run.
-fn folder() -> PathBuf {
+fn run_dir() -> PathBuf {
     std::env::temp_dir().join(format!("ironpaddle-scale-{}", std::process::id()))
 }
 
 /// Carries out one run. The aggregators' logs are kept if it failed or a check did not pass.
-fn play(options: &Options, told_to_end: &AtomicBool) -> Result<Outcome, String> {
-    let played = play_through(options, told_to_end);
-    if told_to_end.load(Ordering::Acquire) || played.as_ref().is_ok_and(Outcome::is_well) {
-        let _ = std::fs::remove_dir_all(folder());
+fn run_once(options: &Options, stop_requested: &AtomicBool) -> Result<Outcome, String> {
+    let outcome = execute(options, stop_requested);
+    if stop_requested.load(Ordering::Acquire) || outcome.as_ref().is_ok_and(Outcome::passed) {
+        let _ = std::fs::remove_dir_all(run_dir());
     }
-    played
+    outcome
 }
 
 /// Starts all processes, measures, stops them, and evaluates the run.
-fn play_through(options: &Options, told_to_end: &AtomicBool) -> Result<Outcome, String> {
+fn execute(options: &Options, stop_requested: &AtomicBool) -> Result<Outcome, String> {
     let clock = Clock::new();
-    let drawn = events::draw(options.run_stores, options.changes, options.seconds, options.seed);
+    let generated = events::generate(options.run_stores, options.changes, options.seconds, options.seed);
     let began = clock.now();
-    let mut fleet = Fleet::start(options, told_to_end)?;
-    if !fleet.all_have(options, events::FIRST_INDEX, FIRST_LISTS)? {
-        let standing: hollow::Standing = read(fleet.hollow.tell(Word::Mark)?)?;
+    let mut fleet = Fleet::start(options, stop_requested)?;
+    if !fleet.wait_for_version(options, events::FIRST_INDEX, FIRST_LIST_TIMEOUT)? {
+        let status: hollow::SimulatedStatus = read(fleet.simulated.send(RoleCommand::Report)?)?;
         return Err(format!(
             "not all aggregators received their first list within {} s: {} of {} simulated ones did",
-            FIRST_LISTS.as_secs(),
-            standing.listed,
-            options.hollow
+            FIRST_LIST_TIMEOUT.as_secs(),
+            status.listed,
+            options.simulated
         ));
     }
     let start_s = (clock.now() - began) / 1000.0;
     if let Some(clients) = &mut fleet.clients {
-        clients.tell(Word::Begin(0))?;
+        clients.send(RoleCommand::Begin(0))?;
     }
     if options.real > 0 {
         fleet.sleep(WARM_UP)?;
     }
     let before = fleet.sample(clock)?;
     let begin = clock.now() as u64 + 1;
-    fleet.discovery.tell(Word::Begin(begin))?;
+    fleet.discovery.send(RoleCommand::Begin(begin))?;
     fleet.sleep(Duration::from_secs_f64(options.seconds))?;
     let after = fleet.sample(clock)?;
-    let last = events::FIRST_INDEX + drawn.len() as u64;
-    let everywhere = fleet.all_have(options, last, LAST_CHANGES)?;
-    let standing: hollow::Standing = read(fleet.hollow.tell(Word::End)?)?;
-    let told = fleet.told()?;
+    let last = events::FIRST_INDEX + generated.len() as u64;
+    let everywhere = fleet.wait_for_version(options, last, LAST_CHANGE_TIMEOUT)?;
+    let status: hollow::SimulatedStatus = read(fleet.simulated.send(RoleCommand::End)?)?;
+    let change_times = fleet.change_times()?;
     let mut listed = events::first_list(options.run_stores);
-    drawn.iter().for_each(|event| events::apply(&mut listed, event));
-    let wanted = events::digest_entries(&listed, begin);
-    let equal = standing.lists.get(&wanted).copied().unwrap_or(0);
-    let mut ends = None;
+    generated.iter().for_each(|event| events::apply(&mut listed, event));
+    let expected = events::digest_entries(&listed, begin);
+    let equal_lists = status.lists.get(&expected).copied().unwrap_or(0);
+    let mut counts = None;
     if let Some(clients) = &mut fleet.clients {
-        clients.tell(Word::End)?;
+        clients.send(RoleCommand::End)?;
         // Lets the queries in flight be answered.
         fleet.sleep(Duration::from_secs_f64(AIM_MS / 1000.0))?;
     }
     if let Some(clients) = &mut fleet.clients {
-        ends = Some(read(clients.tell(Word::End)?["ends"].clone())?);
+        counts = Some(read(clients.send(RoleCommand::End)?["ends"].clone())?);
     }
-    let mut in_order = true;
+    let mut clean_shutdown = true;
     drop(fleet.clients.take());
     for aggregator in &mut fleet.aggregators {
-        in_order &= aggregator.end().map_err(|error| error.to_string())?;
+        clean_shutdown &= aggregator.end().map_err(|error| error.to_string())?;
     }
     drop(fleet);
     Outcome::new(
         options,
-        &drawn,
+        &generated,
         [&before, &after],
-        outcome::End { start_s, everywhere, equal, standing, told, ends: ends.unwrap_or_default(), in_order },
+        outcome::FinalState {
+            start_s,
+            everywhere,
+            equal_lists,
+            status,
+            change_times,
+            counts: counts.unwrap_or_default(),
+            clean_shutdown,
+        },
     )
 }
--- a/crates/lab/src/scale/discovery.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -18,7 +18,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_net::{TcpListener, TcpStream};
-use event_listener::Event as Bell;
+use event_listener::Event as Notifier;
 use futures_lite::future;
 use ironpaddle::http::parse::MessageKind;
 use ironpaddle::http::write;
@@ -27,16 +27,16 @@
 use serde_json::value::RawValue;
 
 use super::events::{self, Change, Entries, Event, FIRST_INDEX};
-use super::roles::{Attend, Setup, Word};
-use super::wire::{Count, Wire};
+use super::roles::{RoleCommand, RoleHandler, Setup};
+use super::wire::{Connection, TrafficCounter};
 use crate::clock::Clock;
 
 /// The longest wait that a watch may request, in milliseconds.
-const LONGEST_WAIT: u64 = 60_000;
+const MAX_WAIT_MS: u64 = 60_000;
 /// The wait that a relay requests for its own watch, in milliseconds.
 const WAIT_MS: u64 = 20_000;
 /// The maximum size of a list that a relay reads, in bytes.
-const MOST_LIST: usize = 64 << 20;
+const MAX_LIST_BYTES: usize = 64 << 20;
 
 /// The run store list with its change log.
 struct List {
@@ -49,12 +49,12 @@
     /// The changes since the first list: version, name and serialized entry.
     changes: Vec<(u64, String, String)>,
     /// Cached responses by the version that the watcher has; cleared by each change.
-    answers: HashMap<Option<u64>, Rc<[u8]>>,
+    responses: HashMap<Option<u64>, Rc<[u8]>>,
 }
 
 impl List {
     /// Records a changed or removed entry.
-    fn tell(&mut self, index: u64, name: String, gone: bool, line: String) {
+    fn record(&mut self, index: u64, name: String, gone: bool, line: String) {
         if gone {
             self.lines.remove(&name);
         } else {
@@ -62,12 +62,12 @@
         }
         self.index = index;
         self.changes.push((index, name, line));
-        self.answers.clear();
+        self.responses.clear();
     }
 
     /// Returns the serialized HTTP response with the changes after a version, or the whole list for `None`.
-    fn answer(&mut self, after: Option<u64>) -> Rc<[u8]> {
-        if let Some(known) = self.answers.get(&after) {
+    fn response(&mut self, after: Option<u64>) -> Rc<[u8]> {
+        if let Some(known) = self.responses.get(&after) {
             return known.clone();
         }
         let lines: Vec<&str> = match after {
@@ -86,9 +86,9 @@
             "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
-        let answer: Rc<[u8]> = [head, body].concat().into_bytes().into();
-        self.answers.insert(after, answer.clone());
-        answer
+        let response: Rc<[u8]> = [head, body].concat().into_bytes().into();
+        self.responses.insert(after, response.clone());
+        response
     }
 }
 
@@ -97,22 +97,22 @@
     clock: Clock,
     executor: Rc<LocalExecutor<'static>>,
     list: RefCell<List>,
-    changed: Bell,
+    changed: Notifier,
     /// Traffic at each address.
-    counts: Vec<Count>,
+    traffic: Vec<TrafficCounter>,
     /// The time at which each change was published.
-    told: RefCell<Vec<f64>>,
+    published: RefCell<Vec<f64>>,
     /// For each real aggregator: the version that it has applied, and the time at which it had applied each change.
-    taken: RefCell<Vec<(u64, Vec<f64>)>>,
+    applied: RefCell<Vec<(u64, Vec<f64>)>>,
     /// The size of the last whole-list response, in bytes.
-    whole: Cell<usize>,
+    whole_list_bytes: Cell<usize>,
     /// Traffic between a relay and its upstream service.
-    up: Count,
+    upstream_traffic: TrafficCounter,
 }
 
 /// A response of the upstream service to a relay.
 #[derive(Deserialize)]
-struct Learned {
+struct UpstreamResponse {
     index: u64,
     snapshot: bool,
     endpoints: Vec<Box<RawValue>>,
@@ -120,47 +120,48 @@
 
 /// The fields of a list entry that a relay reads.
 #[derive(Deserialize)]
-struct Head {
+struct EntryHeader {
     name: String,
     status: String,
 }
 
 impl Discovery {
-    async fn accept(self: Rc<Self>, listener: TcpListener, place: usize) {
+    async fn accept(self: Rc<Self>, listener: TcpListener, address_index: usize) {
         while let Ok((stream, _)) = listener.accept().await {
             let discovery = self.clone();
             // Errors are ignored: they mean that the caller has disconnected.
-            let serving = async move { drop(discovery.serve(stream, place).await) };
+            let serving = async move { drop(discovery.serve(stream, address_index).await) };
             self.executor.spawn(serving).detach();
         }
     }
 
-    async fn serve(&self, stream: TcpStream, place: usize) -> io::Result<()> {
-        let mut wire = Wire::new(stream, MessageKind::Request, self.counts[place].clone())?;
-        while let Some(request) = wire.read().await? {
+    async fn serve(&self, stream: TcpStream, address_index: usize) -> io::Result<()> {
+        let mut connection =
+            Connection::new(stream, MessageKind::Request, self.traffic[address_index].clone())?;
+        while let Some(request) = connection.read().await? {
             let target = request.start.1;
             let number =
                 |name: &str| -> Option<u64> { target.split(name).nth(1)?.split('&').next()?.parse().ok() };
-            let (after, wait) = (number("after="), number("wait_ms=").unwrap_or(0).min(LONGEST_WAIT));
+            let (after, wait) = (number("after="), number("wait_ms=").unwrap_or(0).min(MAX_WAIT_MS));
             if let Some(after) = after {
-                self.has_taken(place, after);
-                let news = self.newer_than(after);
-                future::or(news, async {
+                self.record_applied(address_index, after);
+                let newer = self.wait_for_newer(after);
+                future::or(newer, async {
                     Timer::after(Duration::from_millis(wait)).await;
                 })
                 .await;
             }
-            let answer = self.list.borrow_mut().answer(after);
+            let response = self.list.borrow_mut().response(after);
             if after.is_none() {
-                self.whole.set(answer.len());
+                self.whole_list_bytes.set(response.len());
             }
-            wire.write(&answer).await?;
+            connection.write(&response).await?;
         }
         Ok(())
     }
 
     /// Waits until the list is newer than a version.
-    async fn newer_than(&self, version: u64) {
+    async fn wait_for_newer(&self, version: u64) {
         loop {
             let changed = self.changed.listen();
             if self.list.borrow().index > version {
@@ -173,21 +174,22 @@
     /// Follows the list of the upstream service; returns only with an error.
     async fn follow(&self, from: SocketAddr) -> io::Result<()> {
         let stream = TcpStream::connect(from).await?;
-        let mut wire = Wire::new(stream, MessageKind::Response(MOST_LIST), self.up.clone())?;
+        let mut connection =
+            Connection::new(stream, MessageKind::Response(MAX_LIST_BYTES), self.upstream_traffic.clone())?;
         loop {
             let target = match self.list.borrow().index {
                 0 => "/v1/servers".to_string(),
                 index => format!("/v1/servers?after={index}&wait_ms={WAIT_MS}"),
             };
-            wire.write(&write::request("GET", &target, &from.to_string(), &[], &[])).await?;
-            let answer = wire.read().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
-            let news: Learned = serde_json::from_slice(&answer.body)?;
+            connection.write(&write::request("GET", &target, &from.to_string(), &[], &[])).await?;
+            let response = connection.read().await?.ok_or(io::ErrorKind::UnexpectedEof)?;
+            let update: UpstreamResponse = serde_json::from_slice(&response.body)?;
             let mut list = self.list.borrow_mut();
-            for line in news.endpoints {
-                let head: Head = serde_json::from_str(line.get())?;
-                list.tell(news.index, head.name, head.status == "gone", line.get().to_string());
+            for line in update.endpoints {
+                let head: EntryHeader = serde_json::from_str(line.get())?;
+                list.record(update.index, head.name, head.status == "gone", line.get().to_string());
             }
-            if news.snapshot {
+            if update.snapshot {
                 // A new watcher receives the whole list anyway.
                 list.changes.clear();
             }
@@ -197,15 +199,17 @@
     }
 
     /// Records that the real aggregator of an address has applied a version and all earlier ones.
-    fn has_taken(&self, place: usize, version: u64) {
-        let mut taken = self.taken.borrow_mut();
-        let Some((last, times)) = place.checked_sub(1).and_then(|real| taken.get_mut(real)) else { return };
+    fn record_applied(&self, address_index: usize, version: u64) {
+        let mut applied = self.applied.borrow_mut();
+        let Some((last, times)) = address_index.checked_sub(1).and_then(|real| applied.get_mut(real)) else {
+            return;
+        };
         *last = version.max(*last);
         times.resize((*last - FIRST_INDEX) as usize, self.clock.now());
     }
 
     /// Publishes the events at their times.
-    async fn change(self: Rc<Self>, events: Vec<Event>, address: String) {
+    async fn publish(self: Rc<Self>, events: Vec<Event>, address: String) {
         let begin = self.list.borrow().begin;
         for event in &events {
             let left = (begin + event.at) as f64 - self.clock.now();
@@ -215,8 +219,8 @@
             let gone = event.change == Change::Remove;
             let line = events::line(&event.name, &event.entry, gone, &address, begin);
             let index = self.list.borrow().index + 1;
-            self.list.borrow_mut().tell(index, event.name.clone(), gone, line);
-            self.told.borrow_mut().push(self.clock.now());
+            self.list.borrow_mut().record(index, event.name.clone(), gone, line);
+            self.published.borrow_mut().push(self.clock.now());
             self.changed.notify(usize::MAX);
         }
     }
@@ -227,10 +231,10 @@
 pub async fn start(
     setup: &Setup,
     executor: &Rc<LocalExecutor<'static>>,
-) -> io::Result<(Vec<SocketAddr>, Attend)> {
-    let address = setup.stores.ok_or(io::ErrorKind::InvalidInput)?.to_string();
+) -> io::Result<(Vec<SocketAddr>, RoleHandler)> {
+    let address = setup.run_store_address.ok_or(io::ErrorKind::InvalidInput)?.to_string();
     let mut list =
-        List { begin: 0, index: 0, lines: BTreeMap::new(), changes: Vec::new(), answers: HashMap::new() };
+        List { begin: 0, index: 0, lines: BTreeMap::new(), changes: Vec::new(), responses: HashMap::new() };
     if setup.upstream.is_none() {
         let first: Entries = events::first_list(setup.run_stores);
         let line =
@@ -242,12 +246,12 @@
         clock: Clock::new(),
         executor: executor.clone(),
         list: RefCell::new(list),
-        changed: Bell::new(),
-        counts: (0..=setup.real).map(|_| Count::default()).collect(),
-        told: RefCell::default(),
-        taken: RefCell::new(vec![(0, Vec::new()); setup.real]),
-        whole: Cell::new(0),
-        up: Count::default(),
+        changed: Notifier::new(),
+        traffic: (0..=setup.real).map(|_| TrafficCounter::default()).collect(),
+        published: RefCell::default(),
+        applied: RefCell::new(vec![(0, Vec::new()); setup.real]),
+        whole_list_bytes: Cell::new(0),
+        upstream_traffic: TrafficCounter::default(),
     });
     if let Some(from) = setup.upstream {
         let relay = discovery.clone();
@@ -258,32 +262,33 @@
             }
         };
         executor.spawn(following).detach();
-        discovery.newer_than(0).await;
+        discovery.wait_for_newer(0).await;
     }
     let mut addresses = Vec::new();
-    for place in 0..=setup.real {
+    for address_index in 0..=setup.real {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         addresses.push(listener.local_addr()?);
-        executor.spawn(discovery.clone().accept(listener, place)).detach();
+        executor.spawn(discovery.clone().accept(listener, address_index)).detach();
     }
-    let mut events = Some(events::draw(setup.run_stores, setup.changes, setup.seconds, setup.seed));
-    let attend = Box::new(move |word| match word {
-        Word::Begin(at) => {
+    let mut events = Some(events::generate(setup.run_stores, setup.changes, setup.seconds, setup.seed));
+    let handler = Box::new(move |command| match command {
+        RoleCommand::Begin(at) => {
             discovery.list.borrow_mut().begin = at;
-            let changing = discovery.clone().change(events.take().unwrap_or_default(), address.clone());
+            let changing = discovery.clone().publish(events.take().unwrap_or_default(), address.clone());
             discovery.executor.spawn(changing).detach();
             json!(true)
         }
-        Word::Mark => {
-            let real: Vec<_> = discovery.counts[1..].iter().map(|count| count.get()).collect();
-            let taken: Vec<u64> = discovery.taken.borrow().iter().map(|(last, _)| *last).collect();
-            json!({"index": discovery.list.borrow().index, "up": discovery.up.get(), "hollow": discovery.counts[0].get(), "real": real,
-                "taken": taken, "whole_list": discovery.whole.get()})
+        RoleCommand::Report => {
+            let real: Vec<_> = discovery.traffic[1..].iter().map(|count| count.get()).collect();
+            let applied: Vec<u64> = discovery.applied.borrow().iter().map(|(last, _)| *last).collect();
+            json!({"index": discovery.list.borrow().index, "up": discovery.upstream_traffic.get(),
+                "hollow": discovery.traffic[0].get(), "real": real,
+                "taken": applied, "whole_list": discovery.whole_list_bytes.get()})
         }
-        Word::End => {
-            let taken: Vec<_> = discovery.taken.borrow().iter().map(|(_, times)| times.clone()).collect();
-            json!({"told": *discovery.told.borrow(), "taken": taken})
+        RoleCommand::End => {
+            let applied: Vec<_> = discovery.applied.borrow().iter().map(|(_, times)| times.clone()).collect();
+            json!({"told": *discovery.published.borrow(), "taken": applied})
         }
     });
-    Ok((addresses, attend))
+    Ok((addresses, handler))
 }
--- a/crates/lab/src/scale/events.rs
+++ b/crates/lab/src/scale/events.rs
@@ -7,7 +7,7 @@
 /// The version of discovery's list before the first event.
 pub const FIRST_INDEX: u64 = 1;
 /// The maximum share of run stores that are removed or draining at the same time.
-const MOST_AWAY: f64 = 0.1;
+const MAX_AWAY_SHARE: f64 = 0.1;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// A run store in the list.
@@ -64,21 +64,21 @@
 }
 
 /// Generates the events of a run, evenly spaced.
-pub fn draw(run_stores: usize, per_second: f64, seconds: f64, seed: u64) -> Vec<Event> {
+pub fn generate(run_stores: usize, per_second: f64, seconds: f64, seed: u64) -> Vec<Event> {
     let mut random = fastrand::Rng::with_seed(mix(seed));
     let mut listed = first_list(run_stores);
     let mut names: Vec<String> = listed.keys().cloned().collect();
     let (mut draining, mut free): (Vec<String>, Vec<u32>) = Default::default();
-    let most_away = ((run_stores as f64 * MOST_AWAY) as usize).max(1);
+    let max_away = ((run_stores as f64 * MAX_AWAY_SHARE) as usize).max(1);
     let mut next = run_stores;
     let mut events = Vec::new();
     for no in 0..(per_second * seconds) as u64 {
         let at = (no as f64 * 1000.0 / per_second) as u64;
         // If the maximum number is removed or draining, one of them returns instead.
-        let may_go = draining.len() + free.len() < most_away && !names.is_empty();
+        let may_leave = draining.len() + free.len() < max_away && !names.is_empty();
         let change = match random.u32(0..10) {
-            0..=3 if may_go => Change::Drain,
-            4..=5 if may_go => Change::Remove,
+            0..=3 if may_leave => Change::Drain,
+            4..=5 if may_leave => Change::Remove,
             6..=7 if !free.is_empty() => Change::Add,
             0..=5 if draining.is_empty() && !free.is_empty() => Change::Add,
             _ if draining.is_empty() && names.is_empty() => Change::Add,
--- a/crates/lab/src/scale/hollow.rs
+++ b/crates/lab/src/scale/hollow.rs
@@ -23,17 +23,17 @@
 use serde_json::json;
 
 use super::events::{self, FIRST_INDEX};
-use super::roles::{Attend, Setup, Word};
+use super::roles::{RoleCommand, RoleHandler, Setup};
 use crate::clock::Clock;
 
 /// The number of threads among which the aggregators are divided.
 const THREADS: usize = 4;
 /// The maximum number of aggregators of a thread that wait for their first list while another one starts.
-const STARTING: usize = 8;
+const MAX_STARTING: usize = 8;
 
 /// The state of the list at the simulated aggregators of a process.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Standing {
+pub struct SimulatedStatus {
     /// The number of aggregators that have a list.
     pub listed: usize,
     /// By version, from the first on: how many aggregators have it in force, and the time at which the last one had.
@@ -42,29 +42,29 @@
     pub lists: BTreeMap<u64, usize>,
 }
 
-impl Standing {
+impl SimulatedStatus {
     /// Records that an aggregator has the versions from `from` to `to` in force since a time.
-    fn note(&mut self, from: u64, to: u64, at: f64) {
+    fn record(&mut self, from: u64, to: u64, at: f64) {
         let place = |version: u64| (version - FIRST_INDEX) as usize;
-        let reach = place(to) + 1;
-        self.in_force.resize(self.in_force.len().max(reach), (0, 0.0));
-        for (count, last) in &mut self.in_force[place(from)..reach] {
+        let end = place(to) + 1;
+        self.in_force.resize(self.in_force.len().max(end), (0, 0.0));
+        for (count, last) in &mut self.in_force[place(from)..end] {
             *count += 1;
             *last = at.max(*last);
         }
     }
 }
 
-type Shared = Arc<Mutex<Standing>>;
+type SharedStatus = Arc<Mutex<SimulatedStatus>>;
 
-fn lock(standing: &Shared) -> MutexGuard<'_, Standing> {
-    standing.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(status: &SharedStatus) -> MutexGuard<'_, SimulatedStatus> {
+    status.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// A transport without run store connections: as there are no queries, nothing is ever sent.
-struct NoStores;
+struct NoRunStores;
 
-impl RunStores for NoStores {
+impl RunStores for NoRunStores {
     fn send(&self, _: Call) {}
     fn abandon(&self, _: &ReplicaId, _: CallNo, _: bool) {}
     fn probe(&self, _: &ReplicaId, _: CallNo) {}
@@ -83,7 +83,7 @@
 }
 
 /// Drives an aggregator until its process ends, and records when versions of the list are in force.
-async fn drive(driver: Rc<Driver>, watch: Rc<Watch>, clock: Clock, standing: Shared) {
+async fn drive(driver: Rc<Driver>, watch: Rc<Watch>, clock: Clock, status: SharedStatus) {
     let known = Cell::new(None::<u64>);
     let mut running = pin!(driver.clone().run());
     poll_fn(|context| {
@@ -91,10 +91,10 @@
         // A version is in force once the step that follows its delivery is done.
         let version = Directory::version(&watch).filter(|_| !driver.has_pending_events());
         if let Some(version) = version.filter(|version| known.get().is_none_or(|known| known < *version)) {
-            let mut standing = lock(&standing);
+            let mut status = lock(&status);
             let from = known.replace(Some(version)).map_or(FIRST_INDEX, |known| known + 1);
-            standing.listed += usize::from(from == FIRST_INDEX);
-            standing.note(from, version, clock.now());
+            status.listed += usize::from(from == FIRST_INDEX);
+            status.record(from, version, clock.now());
         }
         polled
     })
@@ -102,7 +102,7 @@
 }
 
 /// Returns the digest of the list that an aggregator holds.
-fn list(driver: &Driver) -> u64 {
+fn list_digest(driver: &Driver) -> u64 {
     let lines = driver.directory();
     let line = |line: &ironpaddle::core::ListedRunStore| {
         let drains = line.replica.state != ReplicaState::Active;
@@ -113,7 +113,7 @@
 }
 
 /// Starts the aggregators. A thread starts the next one only while few of its others wait for their first list.
-pub fn start(setup: &Setup) -> io::Result<(Vec<SocketAddr>, Attend)> {
+pub fn start(setup: &Setup) -> io::Result<(Vec<SocketAddr>, RoleHandler)> {
     let site: SiteSettings = serde_json::from_value(setup.settings.clone())?;
     if setup.discovery.is_empty() {
         return Err(io::ErrorKind::InvalidInput.into());
@@ -121,30 +121,30 @@
     let clock = Clock::new();
     let mut threads = Vec::new();
     for thread in 0..THREADS {
-        let standing = Shared::default();
-        let (asking, asked) = async_channel::bounded::<()>(1);
+        let status = SharedStatus::default();
+        let (request, requests) = async_channel::bounded::<()>(1);
         let (answers, answer) = std::sync::mpsc::channel();
-        let (site, held) = (site.clone(), standing.clone());
-        let (seed, hollow, discovery) = (setup.seed, setup.hollow, setup.discovery.clone());
+        let (site, thread_status) = (site.clone(), status.clone());
+        let (seed, simulated, discovery) = (setup.seed, setup.simulated, setup.discovery.clone());
         thread::spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
             let mut drivers = Vec::new();
             let all = async {
-                for no in (thread..hollow).step_by(THREADS) {
+                for no in (thread..simulated).step_by(THREADS) {
                     let Ok(core) = Core::new(&site, seed + no as u64) else { return };
                     let driver = Driver::new(core, executor.clone());
                     let watch = Watch::new(driver.clone(), discovery[no % discovery.len()], None);
-                    driver.connect(Rc::new(NoStores), Rc::new(watch.clone()));
+                    driver.connect(Rc::new(NoRunStores), Rc::new(watch.clone()));
                     driver.apply_directory_update(DirectoryUpdate::Cached(Vec::new()));
-                    executor.spawn(drive(driver.clone(), watch, clock, held.clone())).detach();
+                    executor.spawn(drive(driver.clone(), watch, clock, thread_status.clone())).detach();
                     drivers.push(driver);
-                    while lock(&held).listed + STARTING < drivers.len() {
+                    while lock(&thread_status).listed + MAX_STARTING < drivers.len() {
                         Timer::after(Duration::from_millis(2)).await;
                     }
                 }
-                while asked.recv().await.is_ok() {
+                while requests.recv().await.is_ok() {
                     let mut lists = BTreeMap::new();
-                    drivers.iter().for_each(|driver| *lists.entry(list(driver)).or_default() += 1);
+                    drivers.iter().for_each(|driver| *lists.entry(list_digest(driver)).or_default() += 1);
                     if answers.send(lists).is_err() {
                         return;
                     }
@@ -152,13 +152,13 @@
             };
             async_io::block_on(executor.run(all));
         });
-        threads.push((standing, asking, answer));
+        threads.push((status, request, answer));
     }
-    let attend: Attend = Box::new(move |word| {
-        let mut all = Standing::default();
-        for (standing, asking, answer) in &threads {
-            let mut part = lock(standing).clone();
-            if word == Word::End && asking.send_blocking(()).is_ok() {
+    let handler: RoleHandler = Box::new(move |command| {
+        let mut all = SimulatedStatus::default();
+        for (status, request, answer) in &threads {
+            let mut part = lock(status).clone();
+            if command == RoleCommand::End && request.send_blocking(()).is_ok() {
                 part.lists = answer.recv().unwrap_or_default();
             }
             all.listed += part.listed;
@@ -171,5 +171,5 @@
         }
         json!(all)
     });
-    Ok((Vec::new(), attend))
+    Ok((Vec::new(), handler))
 }
--- a/crates/lab/src/scale/outcome.rs
+++ b/crates/lab/src/scale/outcome.rs
@@ -7,9 +7,9 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use super::clients::Ends;
+use super::clients::QueryCounts;
 use super::events::{self, Event};
-use super::hollow::Standing;
+use super::hollow::SimulatedStatus;
 use super::roles::Usage;
 use super::wire::Traffic;
 use super::{read, Options, Sample};
@@ -18,34 +18,36 @@
 
 /// The times of changes as discovery and the relays recorded them.
 #[derive(Debug, Default, Deserialize)]
-pub struct Told {
+pub struct ChangeTimes {
     /// The time at which each change was published.
-    pub told: Vec<f64>,
+    #[serde(rename = "told")]
+    pub published: Vec<f64>,
     /// For each real aggregator: the time at which it had applied each change.
-    pub taken: Vec<Vec<f64>>,
+    #[serde(rename = "taken")]
+    pub applied: Vec<Vec<f64>>,
 }
 
 /// The state at the end of a run.
-pub struct End {
+pub struct FinalState {
     /// The time until all aggregators had a list, in seconds.
     pub start_s: f64,
     /// Whether all changes were in force at all aggregators in time.
     pub everywhere: bool,
     /// The number of simulated aggregators that held the list that results from the events.
-    pub equal: usize,
+    pub equal_lists: usize,
     /// The state of the list at the simulated aggregators.
-    pub standing: Standing,
+    pub status: SimulatedStatus,
     /// The times at which changes were published and applied.
-    pub told: Told,
+    pub change_times: ChangeTimes,
     /// Counts of queries by their outcome.
-    pub ends: Ends,
+    pub counts: QueryCounts,
     /// Whether all real aggregators shut down cleanly.
-    pub in_order: bool,
+    pub clean_shutdown: bool,
 }
 
 /// The resources that the processes of a role used during the measurement.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-pub struct Used {
+pub struct RoleUsage {
     /// The number of processes, or of simulated aggregators.
     pub members: usize,
     /// CPU time of all members, in milliseconds per second.
@@ -66,14 +68,14 @@
     pub bytes_out_per_s: f64,
 }
 
-impl Used {
+impl RoleUsage {
     /// Computes the usage between two samples.
     fn of(members: usize, usage: [&[Usage]; 2], traffic: Traffic, seconds: f64) -> Self {
         let sum = |usage: &[Usage], of: fn(&Usage) -> u64| usage.iter().map(of).sum::<u64>();
         let cpu = |usage: &[Usage]| usage.iter().map(|usage| usage.cpu_ms).sum::<f64>();
         let [before, after] = usage;
         let rate = |count: u64| count as f64 / seconds;
-        Used {
+        RoleUsage {
             members,
             cpu_ms_per_s: (cpu(after) - cpu(before)) / seconds,
             memory: sum(after, |usage| usage.memory),
@@ -95,7 +97,8 @@
     /// The 99th percentile.
     pub p99: f64,
     /// The maximum.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 impl Times {
@@ -104,7 +107,7 @@
         let mut histogram = histogram();
         times.for_each(|ms| histogram.saturating_record((ms.max(0.0) * 1000.0) as u64));
         let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1000.0;
-        (!histogram.is_empty()).then(|| Times { p50: at(0.5), p99: at(0.99), most: at(1.0) })
+        (!histogram.is_empty()).then(|| Times { p50: at(0.5), p99: at(0.99), max: at(1.0) })
     }
 }
 
@@ -118,9 +121,11 @@
     /// Whether every change was in force at every aggregator at the end.
     pub everywhere: bool,
     /// The number of simulated aggregators that held exactly the list that results from the events.
-    pub hollow_equal: usize,
+    #[serde(rename = "hollow_equal")]
+    pub equal_lists: usize,
     /// Times from publication until the last simulated aggregator had completed its step with the change.
-    pub hollow: Option<Times>,
+    #[serde(rename = "hollow")]
+    pub simulated: Option<Times>,
     /// Times from publication until the last real aggregator had applied the change and requested later ones.
     pub real: Option<Times>,
     /// Times from publication until the last aggregator of either kind.
@@ -133,7 +138,8 @@
 #[derive(Debug, Serialize)]
 pub struct Queries {
     /// Counts by outcome, since the first query.
-    pub ends: Ends,
+    #[serde(rename = "ends")]
+    pub counts: QueryCounts,
     /// Parts contained in answers per second.
     pub parts_per_s: f64,
     /// The median latency of answers, in milliseconds.
@@ -154,7 +160,7 @@
     /// The time until all aggregators had a list, in seconds.
     pub start_s: f64,
     /// Resource usage by role.
-    pub roles: BTreeMap<&'static str, Used>,
+    pub roles: BTreeMap<&'static str, RoleUsage>,
     /// The size of the last whole-list response, in bytes.
     pub whole_list_bytes: u64,
     /// The list changes.
@@ -162,16 +168,17 @@
     /// The queries; `None` without real aggregators.
     pub queries: Option<Queries>,
     /// Whether all real aggregators shut down cleanly.
-    pub ended_in_order: bool,
+    #[serde(rename = "ended_in_order")]
+    pub clean_shutdown: bool,
 }
 
 impl Outcome {
     /// Evaluates a run from the samples before and after the measurement and the state at the end.
     pub(super) fn new(
         options: &Options,
-        drawn: &[Event],
+        generated: &[Event],
         [before, after]: [&Sample; 2],
-        end: End,
+        end: FinalState,
     ) -> Result<Self, String> {
         let seconds = (after.at - before.at) / 1000.0;
         let traffic = |[before, after]: [&Value; 2]| -> Result<Traffic, String> {
@@ -179,55 +186,62 @@
         };
         // Aggregators receive the list from discovery, or from relays, which call discovery at the address of the
         // simulated aggregators.
-        let asked = [&before.discovery.1, &after.discovery.1];
+        let discovery_traffic = [&before.discovery.1, &after.discovery.1];
         let relays: Vec<_> =
             before.relays.iter().zip(&after.relays).map(|(before, after)| [&before.1, &after.1]).collect();
-        let told_by = if relays.is_empty() { vec![asked] } else { relays.clone() };
+        let list_sources = if relays.is_empty() { vec![discovery_traffic] } else { relays.clone() };
         let sum = |from: &[[&Value; 2]], of: &dyn Fn(&Value) -> Value| {
             let marks = from.iter().map(|marks| marks.map(of));
             marks.into_iter().try_fold(Traffic::default(), |sum, [before, after]| {
-                traffic([&before, &after]).map(|more| sum.and(&more))
+                traffic([&before, &after]).map(|more| sum.plus(&more))
             })
         };
         let all_real = |from: &[[&Value; 2]]| {
             (0..options.real).try_fold(Traffic::default(), |all, no| {
-                sum(from, &|mark| mark["real"][no].clone()).map(|more| all.and(&more))
+                sum(from, &|mark| mark["real"][no].clone()).map(|more| all.plus(&more))
             })
         };
-        let hollow = sum(&told_by, &|mark| mark["hollow"].clone())?;
-        let real = all_real(&told_by)?;
-        let asked = sum(&[asked], &|mark| mark["hollow"].clone())?.and(&all_real(&[asked])?);
-        let up = sum(&relays, &|mark| mark["up"].clone())?;
+        let simulated = sum(&list_sources, &|mark| mark["hollow"].clone())?;
+        let real = all_real(&list_sources)?;
+        let discovery_traffic =
+            sum(&[discovery_traffic], &|mark| mark["hollow"].clone())?.plus(&all_real(&[discovery_traffic])?);
+        let upstream = sum(&relays, &|mark| mark["up"].clone())?;
         let stores = traffic([&before.stores.1, &after.stores.1].map(|mark| &mark["traffic"]))?;
         let clients = traffic([&before.clients.1, &after.clients.1].map(|mark| &mark["traffic"]))?;
         let one = |of: fn(&Sample) -> Usage| [[of(before)], [of(after)]];
         let used = |members, usage: [[Usage; 1]; 2], traffic| {
-            Used::of(members, [&usage[0], &usage[1]], traffic, seconds)
+            RoleUsage::of(members, [&usage[0], &usage[1]], traffic, seconds)
         };
-        let of_real = real.and(&stores).and(&clients).turned();
+        let real_total = real.plus(&stores).plus(&clients).reversed();
         let mut roles = BTreeMap::from([
-            ("discovery", used(1, one(|sample| sample.discovery.0), asked)),
+            ("discovery", used(1, one(|sample| sample.discovery.0), discovery_traffic)),
             ("run stores", used(1, one(|sample| sample.stores.0), stores)),
             ("clients", used(1, one(|sample| sample.clients.0), clients)),
         ]);
-        if options.hollow > 0 {
-            roles.insert("hollow", used(options.hollow, one(|sample| sample.hollow), hollow.turned()));
+        if options.simulated > 0 {
+            roles.insert(
+                "hollow",
+                used(options.simulated, one(|sample| sample.simulated), simulated.reversed()),
+            );
         }
         if options.relays > 0 {
             let usage = |sample: &Sample| sample.relays.iter().map(|(usage, _)| *usage).collect::<Vec<_>>();
-            let traffic = hollow.and(&real).and(&up);
-            let used = Used::of(options.relays, [&usage(before), &usage(after)], traffic, seconds);
+            let traffic = simulated.plus(&real).plus(&upstream);
+            let used = RoleUsage::of(options.relays, [&usage(before), &usage(after)], traffic, seconds);
             roles.insert("relays", used);
         }
         let mut queries = None;
         if options.real > 0 {
-            let used = Used::of(options.real, [&before.real, &after.real], of_real, seconds);
+            let used = RoleUsage::of(options.real, [&before.real, &after.real], real_total, seconds);
             roles.insert("real", used);
-            roles.insert("real, from discovery", Used::of(options.real, [&[], &[]], real.turned(), seconds));
+            roles.insert(
+                "real, from discovery",
+                RoleUsage::of(options.real, [&[], &[]], real.reversed(), seconds),
+            );
             let parts = |sample: &Sample| sample.clients.1["ends"]["parts"].as_u64().unwrap_or(0);
             let parts_per_s = (parts(after) - parts(before)) as f64 / seconds;
             queries = Some(Queries {
-                ends: end.ends,
+                counts: end.counts,
                 parts_per_s,
                 p50_ms: after.clients.1["p50_ms"].as_f64().unwrap_or(0.0),
                 p99_ms: after.clients.1["p99_ms"].as_f64().unwrap_or(0.0),
@@ -240,19 +254,19 @@
             start_s: end.start_s,
             roles,
             whole_list_bytes: after.discovery.1["whole_list"].as_u64().unwrap_or(0),
-            changes: Changes::new(drawn, &end),
+            changes: Changes::new(generated, &end),
             queries,
-            ended_in_order: end.in_order,
+            clean_shutdown: end.clean_shutdown,
         })
     }
 
     /// Returns whether every change was in force everywhere, queries were answered without wrong values, and all real
     /// aggregators shut down cleanly.
-    pub fn is_well(&self) -> bool {
-        let hollow = self.roles.get("hollow").map_or(0, |used| used.members);
+    pub fn passed(&self) -> bool {
+        let simulated = self.roles.get("hollow").map_or(0, |used| used.members);
         let answered =
-            self.queries.as_ref().is_none_or(|queries| queries.ends.whole > 0 && queries.ends.wrong == 0);
-        self.changes.everywhere && self.changes.hollow_equal == hollow && answered && self.ended_in_order
+            self.queries.as_ref().is_none_or(|queries| queries.counts.whole > 0 && queries.counts.wrong == 0);
+        self.changes.everywhere && self.changes.equal_lists == simulated && answered && self.clean_shutdown
     }
 
     /// Formats the results as text tables.
@@ -269,7 +283,7 @@
             "bytes in/s",
             "out/s",
         ];
-        let row = |(name, used): (&&str, &Used)| {
+        let row = |(name, used): (&&str, &RoleUsage)| {
             let megabytes = |bytes: u64| format!("{:.1}", bytes as f64 / 1e6);
             let mut row =
                 vec![(*name).to_string(), used.members.to_string(), format!("{:.1}", used.cpu_ms_per_s)];
@@ -282,13 +296,13 @@
         let rows: Vec<_> = self.roles.iter().map(row).collect();
         let mut text = format!("{}\n\n{}\n", self.command, table(&head, &rows));
         let changes = &self.changes;
-        let times = [("hollow", &changes.hollow), ("real", &changes.real), ("all", &changes.all)];
+        let times = [("hollow", &changes.simulated), ("real", &changes.real), ("all", &changes.all)];
         let rows: Vec<Vec<String>> = times
             .into_iter()
-            .filter_map(|(who, times)| Some((who, (*times)?)))
-            .map(|(who, times)| {
-                let mut row = vec![who.to_string()];
-                row.extend([times.p50, times.p99, times.most].map(|ms| format!("{ms:.1}")));
+            .filter_map(|(kind, times)| Some((kind, (*times)?)))
+            .map(|(kind, times)| {
+                let mut row = vec![kind.to_string()];
+                row.extend([times.p50, times.p99, times.max].map(|ms| format!("{ms:.1}")));
                 row
             })
             .collect();
@@ -298,19 +312,19 @@
         }
         text += &format!(
             "{} changes, digest {}, in force everywhere: {}; {} hollow aggregators hold the list that they lead to\n",
-            changes.count, changes.digest, changes.everywhere, changes.hollow_equal
+            changes.count, changes.digest, changes.everywhere, changes.equal_lists
         );
         text += &format!(
             "the whole list: {} bytes; the start took {:.1} s\n",
             self.whole_list_bytes, self.start_s
         );
         if let Some(queries) = &self.queries {
-            let ends = queries.ends;
+            let counts = queries.counts;
             text += &format!(
                 "queries: {} asked, {} whole, {} partial, {} refused, {} failed, {} lost, {} wrong; p50 {:.1} ms, p99 \
                  {:.1} ms; {:.0} parts a second, {:.1} us of a core each\n",
-                ends.asked, ends.whole, ends.partial, ends.refused, ends.failed, ends.lost, ends.wrong, queries.p50_ms,
-                queries.p99_ms, queries.parts_per_s, queries.cpu_us_per_part
+                counts.sent, counts.whole, counts.partial, counts.refused, counts.failed, counts.lost, counts.wrong,
+                queries.p50_ms, queries.p99_ms, queries.parts_per_s, queries.cpu_us_per_part
             );
         }
         text
@@ -336,27 +350,37 @@
 }
 
 impl Changes {
-    fn new(drawn: &[Event], end: &End) -> Self {
-        let told = &end.told.told;
-        let hollow: Vec<f64> =
-            end.standing.in_force.iter().skip(1).zip(told).map(|((_, at), told)| at - told).collect();
-        let taken = |no: usize| {
-            let times: Option<Vec<f64>> = end.told.taken.iter().map(|times| times.get(no).copied()).collect();
+    fn new(generated: &[Event], end: &FinalState) -> Self {
+        let published = &end.change_times.published;
+        let simulated: Vec<f64> = end
+            .status
+            .in_force
+            .iter()
+            .skip(1)
+            .zip(published)
+            .map(|((_, at), published)| at - published)
+            .collect();
+        let applied = |no: usize| {
+            let times: Option<Vec<f64>> =
+                end.change_times.applied.iter().map(|times| times.get(no).copied()).collect();
             times?.into_iter().reduce(f64::max)
         };
-        let real: Vec<f64> =
-            told.iter().enumerate().map_while(|(no, told)| Some(taken(no)? - told)).collect();
-        let each: Vec<f64> = match (hollow.is_empty(), real.is_empty()) {
-            (false, false) => hollow.iter().zip(&real).map(|(one, other)| one.max(*other)).collect(),
+        let real: Vec<f64> = published
+            .iter()
+            .enumerate()
+            .map_while(|(no, published)| Some(applied(no)? - published))
+            .collect();
+        let each: Vec<f64> = match (simulated.is_empty(), real.is_empty()) {
+            (false, false) => simulated.iter().zip(&real).map(|(one, other)| one.max(*other)).collect(),
             (true, _) => real.clone(),
-            (_, true) => hollow.clone(),
+            (_, true) => simulated.clone(),
         };
         Changes {
-            count: drawn.len(),
-            digest: format!("{:016x}", events::digest(drawn)),
+            count: generated.len(),
+            digest: format!("{:016x}", events::digest(generated)),
             everywhere: end.everywhere,
-            hollow_equal: end.equal,
-            hollow: Times::of(hollow.iter().copied()),
+            equal_lists: end.equal_lists,
+            simulated: Times::of(simulated.iter().copied()),
             real: Times::of(real.iter().copied()),
             all: Times::of(each.iter().copied()),
             each,
@@ -386,8 +410,8 @@
 ) -> Result<(), String> {
     let failed = |error: &dyn std::fmt::Display| error.to_string();
     area.fill(&WHITE).map_err(|error| failed(&error))?;
-    let most = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).fold(1e-9, f64::max);
-    let (right, top) = (most(|point| point.0) * 1.1, most(|point| point.1) * 1.15);
+    let max = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).fold(1e-9, f64::max);
+    let (right, top) = (max(|point| point.0) * 1.1, max(|point| point.1) * 1.15);
     let mut chart = ChartBuilder::on(area);
     chart.caption(panel.title, ("sans-serif", 15)).margin(8).x_label_area_size(34).y_label_area_size(64);
     let colour = RGBColor(34, 120, 60);
--- a/crates/lab/src/scale/roles.rs
+++ b/crates/lab/src/scale/roles.rs
@@ -26,7 +26,7 @@
     Discovery,
     /// All run stores that receive queries.
     Stores,
-    /// All simulated aggregators.
+    /// All simulated aggregators. Error messages print the name of the variant.
     Hollow,
     /// All clients of the real aggregators.
     Clients,
@@ -38,7 +38,8 @@
     /// The number of list entries.
     pub run_stores: usize,
     /// The number of simulated aggregators.
-    pub hollow: usize,
+    #[serde(rename = "hollow")]
+    pub simulated: usize,
     /// The number of real aggregators.
     pub real: usize,
     /// List changes per second.
@@ -50,13 +51,15 @@
     /// The number of concurrent queries at each real aggregator, and the number of parts of each.
     pub queries: (usize, usize),
     /// The number of run stores that receive queries.
-    pub asked: usize,
+    #[serde(rename = "asked")]
+    pub queried: usize,
     /// The time that a run store takes for a part, in milliseconds.
     pub work_ms: f64,
     /// The settings of the aggregators.
     pub settings: Value,
     /// The address that all run stores share.
-    pub stores: Option<SocketAddr>,
+    #[serde(rename = "stores")]
+    pub run_store_address: Option<SocketAddr>,
     /// The address from which a relay receives the list; `None` at discovery itself.
     pub upstream: Option<SocketAddr>,
     /// The addresses from which simulated aggregators receive the list, assigned round-robin.
@@ -67,17 +70,18 @@
 
 /// A command to a stand-in, which answers each with one line of JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum RoleCommand {
     /// Begin at the given Unix time in milliseconds.
     Begin(u64),
     /// Report the current counters.
-    Mark,
+    #[serde(rename = "Mark")]
+    Report,
     /// Finish and report the results.
     End,
 }
 
 /// The handler of a role: executes a command and returns the answer.
-pub type Attend = Box<dyn FnMut(Word) -> Value>;
+pub type RoleHandler = Box<dyn FnMut(RoleCommand) -> Value>;
 
 /// Runs a stand-in until standard input is closed.
 ///
@@ -89,17 +93,17 @@
     io::stdin().read_line(&mut first).map_err(|error| failed(&error))?;
     let setup: Setup = serde_json::from_str(&first).map_err(|error| failed(&error))?;
     let executor = Rc::new(LocalExecutor::new());
-    let (sender, words) = async_channel::unbounded();
+    let (sender, commands) = async_channel::unbounded();
     thread::spawn(move || {
         for line in io::stdin().lines().map_while(Result::ok) {
-            let Ok(word) = serde_json::from_str::<Word>(&line) else { break };
-            if sender.send_blocking(word).is_err() {
+            let Ok(command) = serde_json::from_str::<RoleCommand>(&line) else { break };
+            if sender.send_blocking(command).is_err() {
                 break;
             }
         }
     });
     let played = async {
-        let (addresses, mut attend) = match role {
+        let (addresses, mut handler) = match role {
             Role::Discovery => discovery::start(&setup, &executor).await,
             Role::Stores => stores::start(&setup, &executor).await,
             Role::Hollow => hollow::start(&setup),
@@ -107,8 +111,8 @@
         }?;
         let mut out = io::stdout();
         writeln!(out, "{}", serde_json::to_string(&addresses)?)?;
-        while let Ok(word) = words.recv().await {
-            writeln!(out, "{}", attend(word))?;
+        while let Ok(command) = commands.recv().await {
+            writeln!(out, "{}", handler(command))?;
         }
         Ok::<(), io::Error>(())
     };
@@ -119,8 +123,8 @@
 pub struct Process {
     role: Role,
     child: Child,
-    told: Option<ChildStdin>,
-    says: BufReader<ChildStdout>,
+    stdin: Option<ChildStdin>,
+    stdout: BufReader<ChildStdout>,
     /// The addresses on which it listens.
     pub addresses: Vec<SocketAddr>,
 }
@@ -139,10 +143,11 @@
             .stdout(Stdio::piped())
             .spawn()
             .map_err(|error| failed(&error))?;
-        let (told, says) = (child.stdin.take(), child.stdout.take());
-        let Some(says) = says else { unreachable!("standard output is piped") };
-        let mut process = Process { role, child, told, says: BufReader::new(says), addresses: Vec::new() };
-        let addresses = process.say(setup)?;
+        let (stdin, stdout) = (child.stdin.take(), child.stdout.take());
+        let Some(stdout) = stdout else { unreachable!("standard output is piped") };
+        let mut process =
+            Process { role, child, stdin, stdout: BufReader::new(stdout), addresses: Vec::new() };
+        let addresses = process.request(setup)?;
         process.addresses = serde_json::from_value(addresses).map_err(|error| failed(&error))?;
         Ok(process)
     }
@@ -156,19 +161,19 @@
     ///
     /// # Errors
     /// If the stand-in does not answer.
-    pub fn tell(&mut self, word: Word) -> Result<Value, String> {
-        self.say(&word)
+    pub fn send(&mut self, command: RoleCommand) -> Result<Value, String> {
+        self.request(&command)
     }
 
     /// Writes a line of JSON and reads the answer.
-    fn say(&mut self, what: &impl Serialize) -> Result<Value, String> {
+    fn request(&mut self, message: &impl Serialize) -> Result<Value, String> {
         let role = self.role;
         let failed = move |why: &dyn std::fmt::Display| format!("{role:?} does not answer: {why}");
-        let told = self.told.as_mut().ok_or_else(|| failed(&"it has exited"))?;
-        let line = serde_json::to_string(what).map_err(|error| failed(&error))?;
-        writeln!(told, "{line}").map_err(|error| failed(&error))?;
+        let stdin = self.stdin.as_mut().ok_or_else(|| failed(&"it has exited"))?;
+        let line = serde_json::to_string(message).map_err(|error| failed(&error))?;
+        writeln!(stdin, "{line}").map_err(|error| failed(&error))?;
         let mut answer = String::new();
-        self.says.read_line(&mut answer).map_err(|error| failed(&error))?;
+        self.stdout.read_line(&mut answer).map_err(|error| failed(&error))?;
         serde_json::from_str(&answer).map_err(|error| failed(&error))
     }
 }
@@ -176,7 +181,7 @@
 impl Drop for Process {
     fn drop(&mut self) {
         // The stand-in exits when its standard input is closed.
-        self.told = None;
+        self.stdin = None;
         let began = Instant::now();
         while matches!(self.child.try_wait(), Ok(None)) && began.elapsed() < END {
             thread::sleep(Duration::from_millis(5));
@@ -210,7 +215,7 @@
     for task in std::fs::read_dir(format!("{root}/task"))? {
         // A thread may exit while its directory is read.
         let stat = std::fs::read_to_string(task?.path().join("schedstat")).unwrap_or_default();
-        cpu_ns += stat.split(' ').next().and_then(|word| word.parse::<u64>().ok()).unwrap_or(0);
+        cpu_ns += stat.split(' ').next().and_then(|first| first.parse::<u64>().ok()).unwrap_or(0);
     }
     let status = std::fs::read_to_string(format!("{root}/status"))?;
     let kilobytes = |key: &str| {
--- a/crates/lab/src/scale/stores.rs
+++ b/crates/lab/src/scale/stores.rs
@@ -13,8 +13,8 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use serde_json::json;
 
-use super::roles::{Attend, Setup, Word};
-use super::wire::{add, Count, Traffic};
+use super::roles::{RoleCommand, RoleHandler, Setup};
+use super::wire::{add, Traffic, TrafficCounter};
 use crate::stores::{frame, value};
 
 /// The state shared by all connections.
@@ -22,13 +22,13 @@
     executor: Rc<LocalExecutor<'static>>,
     work: Duration,
     seed: u64,
-    count: Count,
+    traffic: TrafficCounter,
     connections: Cell<u64>,
     parts: Cell<u64>,
 }
 
 /// An answer frame and the time at which it is sent.
-type Due = (Instant, Vec<u8>);
+type ScheduledAnswer = (Instant, Vec<u8>);
 
 impl Stores {
     async fn accept(self: Rc<Self>, listener: TcpListener) {
@@ -47,22 +47,22 @@
     async fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let (sender, answers) = async_channel::unbounded();
-        self.executor.spawn(write(stream.clone(), answers, self.count.clone())).detach();
+        self.executor.spawn(write(stream.clone(), answers, self.traffic.clone())).detach();
         let (mut buffer, mut bytes) = (Vec::new(), [0; 4096]);
         loop {
             let read = stream.read(&mut bytes).await?;
             if read == 0 {
                 return Ok(());
             }
-            add(&self.count, Traffic { bytes_in: read as u64, ..Traffic::default() });
+            add(&self.traffic, Traffic { bytes_in: read as u64, ..Traffic::default() });
             buffer.extend_from_slice(&bytes[..read]);
             let mut at = 0;
             while let Some(length) =
                 buffer[at..].first_chunk().map(|length| u32::from_le_bytes(*length) as usize)
             {
                 let Some(rest) = buffer.get(at + 4..at + 4 + length) else { break };
-                add(&self.count, Traffic { messages_in: 1, ..Traffic::default() });
-                self.take(rest, &sender)?;
+                add(&self.traffic, Traffic { messages_in: 1, ..Traffic::default() });
+                self.handle_frame(rest, &sender)?;
                 at += 4 + length;
             }
             buffer.drain(..at);
@@ -70,7 +70,7 @@
     }
 
     /// Handles a request frame: schedules the answer to a part, a ping or a load query.
-    fn take(&self, bytes: &[u8], answers: &Sender<Due>) -> io::Result<()> {
+    fn handle_frame(&self, bytes: &[u8], answers: &Sender<ScheduledAnswer>) -> io::Result<()> {
         let now = Instant::now();
         let answer = match bytes.first() {
             Some(b'1') => {
@@ -92,13 +92,13 @@
 
 /// Writes answers in the order of their parts, each at its scheduled time; answers that are ready at the same time
 /// share one write.
-async fn write(mut stream: TcpStream, answers: Receiver<Due>, count: Count) {
+async fn write(mut stream: TcpStream, answers: Receiver<ScheduledAnswer>, traffic: TrafficCounter) {
     let mut next = answers.recv().await.ok();
-    while let Some((due, mut bytes)) = next {
-        Timer::at(due).await;
+    while let Some((send_at, mut bytes)) = next {
+        Timer::at(send_at).await;
         let (mut messages, now) = (1, Instant::now());
         next = answers.try_recv().ok();
-        while let Some((_, more)) = next.take_if(|(due, _)| *due <= now) {
+        while let Some((_, more)) = next.take_if(|(send_at, _)| *send_at <= now) {
             bytes.extend_from_slice(&more);
             messages += 1;
             next = answers.try_recv().ok();
@@ -106,7 +106,10 @@
         if stream.write_all(&bytes).await.is_err() {
             return;
         }
-        add(&count, Traffic { messages_out: messages, bytes_out: bytes.len() as u64, ..Traffic::default() });
+        add(
+            &traffic,
+            Traffic { messages_out: messages, bytes_out: bytes.len() as u64, ..Traffic::default() },
+        );
         if next.is_none() {
             next = answers.recv().await.ok();
         }
@@ -117,23 +120,24 @@
 pub async fn start(
     setup: &Setup,
     executor: &Rc<LocalExecutor<'static>>,
-) -> io::Result<(Vec<SocketAddr>, Attend)> {
+) -> io::Result<(Vec<SocketAddr>, RoleHandler)> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let stores = Rc::new(Stores {
         executor: executor.clone(),
         work: Duration::from_secs_f64(setup.work_ms / 1000.0),
         seed: setup.seed,
-        count: Count::default(),
+        traffic: TrafficCounter::default(),
         connections: Cell::new(0),
         parts: Cell::new(0),
     });
     executor.spawn(stores.clone().accept(listener)).detach();
-    let attend = Box::new(move |word| match word {
-        Word::Begin(_) => json!(true),
-        Word::Mark | Word::End => {
-            json!({"traffic": stores.count.get(), "parts": stores.parts.get(), "connections": stores.connections.get()})
+    let handler = Box::new(move |command| match command {
+        RoleCommand::Begin(_) => json!(true),
+        RoleCommand::Report | RoleCommand::End => {
+            json!({"traffic": stores.traffic.get(), "parts": stores.parts.get(),
+                "connections": stores.connections.get()})
         }
     });
-    Ok((vec![address], attend))
+    Ok((vec![address], handler))
 }
--- a/crates/lab/src/scale/sweep.rs
+++ b/crates/lab/src/scale/sweep.rs
@@ -8,14 +8,15 @@
 use plotters::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use super::outcome::{draw, Outcome, Panel, Used};
-use super::{bounds, play, Options};
+use super::outcome::{draw, Outcome, Panel, RoleUsage};
+use super::{bounds, run_once, Options};
 
 /// The size that a sweep varies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Axis {
     /// Simulated aggregators.
-    Hollow,
+    #[value(name = "hollow")]
+    Simulated,
     /// Entries of the run store list.
     RunStores,
     /// List changes per second.
@@ -51,40 +52,40 @@
 type Figure = fn(&Options, &Outcome) -> Option<f64>;
 
 /// The name, unit and function of a figure.
-type Named = (&'static str, &'static str, Figure);
+type NamedFigure = (&'static str, &'static str, Figure);
 
-fn named(name: &'static str, unit: &'static str, figure: Figure) -> Named {
+fn named(name: &'static str, unit: &'static str, figure: Figure) -> NamedFigure {
     (name, unit, figure)
 }
 
 /// Computes a figure from the usage of a role.
-fn role(run: &Outcome, name: &str, of: impl Fn(&Used) -> f64) -> Option<f64> {
+fn role_figure(run: &Outcome, name: &str, of: impl Fn(&RoleUsage) -> f64) -> Option<f64> {
     run.roles.get(name).map(of)
 }
 
 /// Computes a figure per simulated aggregator.
-fn each(run: &Outcome, of: impl Fn(&Used) -> f64) -> Option<f64> {
-    role(run, "hollow", |used| of(used) / used.members as f64)
+fn per_simulated(run: &Outcome, of: impl Fn(&RoleUsage) -> f64) -> Option<f64> {
+    role_figure(run, "hollow", |used| of(used) / used.members as f64)
 }
 
 /// Computes a figure per relay.
-fn relay(run: &Outcome, of: impl Fn(&Used) -> f64) -> Option<f64> {
-    role(run, "relays", |used| of(used) / used.members as f64)
+fn per_relay(run: &Outcome, of: impl Fn(&RoleUsage) -> f64) -> Option<f64> {
+    role_figure(run, "relays", |used| of(used) / used.members as f64)
 }
 
 fn discovery_cpu(_: &Options, run: &Outcome) -> Option<f64> {
-    role(run, "discovery", |used| used.cpu_ms_per_s)
+    role_figure(run, "discovery", |used| used.cpu_ms_per_s)
 }
 
 fn discovery_memory(_: &Options, run: &Outcome) -> Option<f64> {
-    role(run, "discovery", |used| used.memory as f64)
+    role_figure(run, "discovery", |used| used.memory as f64)
 }
 
 fn control_cpu(_: &Options, run: &Outcome) -> Option<f64> {
-    each(run, |used| used.cpu_ms_per_s * 1000.0)
+    per_simulated(run, |used| used.cpu_ms_per_s * 1000.0)
 }
 
-fn in_force(_: &Options, run: &Outcome) -> Option<f64> {
+fn change_in_force_p99(_: &Options, run: &Outcome) -> Option<f64> {
     run.changes.all.map(|times| times.p99)
 }
 
@@ -93,14 +94,14 @@
 }
 
 fn real_memory(options: &Options, run: &Outcome) -> Option<f64> {
-    role(run, "real", |used| used.memory as f64 / options.real as f64)
+    role_figure(run, "real", |used| used.memory as f64 / options.real as f64)
 }
 
 impl Axis {
     /// Returns what the x axis counts.
-    fn x(self) -> &'static str {
+    fn x_label(self) -> &'static str {
         match self {
-            Axis::Hollow => "hollow aggregators",
+            Axis::Simulated => "hollow aggregators",
             Axis::RunStores => "run stores listed",
             Axis::Changes => "changes a second",
             Axis::InFlight => "parts in flight at an aggregator",
@@ -110,9 +111,9 @@
     }
 
     /// Returns the suffix of the names of the series of this axis.
-    fn by(self) -> &'static str {
+    fn series_suffix(self) -> &'static str {
         match self {
-            Axis::Hollow => "by-aggregators",
+            Axis::Simulated => "by-aggregators",
             Axis::RunStores => "by-run-stores",
             Axis::Changes => "by-changes",
             Axis::InFlight => "by-in-flight",
@@ -124,7 +125,7 @@
     /// Returns the sizes that are run.
     fn sizes(self) -> &'static [f64] {
         match self {
-            Axis::Hollow => &[10.0, 30.0, 100.0, 300.0, 1000.0, 3000.0],
+            Axis::Simulated => &[10.0, 30.0, 100.0, 300.0, 1000.0, 3000.0],
             Axis::RunStores => &[60.0, 200.0, 600.0, 2000.0, 6000.0, 20000.0, 57000.0],
             Axis::Changes => &[0.0, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0],
             Axis::InFlight => &[10.0, 30.0, 100.0, 300.0, 1000.0, 3000.0],
@@ -134,10 +135,10 @@
     }
 
     /// Returns the options with this size set.
-    fn sized(self, base: &Options, size: f64) -> Options {
+    fn with_size(self, base: &Options, size: f64) -> Options {
         let mut options = base.clone();
         match self {
-            Axis::Hollow => options.hollow = size as usize,
+            Axis::Simulated => options.simulated = size as usize,
             Axis::RunStores => options.run_stores = size as usize,
             Axis::Changes => options.changes = size,
             Axis::InFlight => options.in_flight = size as usize,
@@ -148,18 +149,18 @@
     }
 
     /// Returns the x value of a size. For relays it is the number of aggregators that each one serves.
-    fn count(self, options: &Options, size: f64) -> f64 {
+    fn x_value(self, options: &Options, size: f64) -> f64 {
         match self {
-            Axis::Relays => (options.hollow + options.real) as f64 / size,
+            Axis::Relays => (options.simulated + options.real) as f64 / size,
             _ => size,
         }
     }
 
     /// Describes the sizes that are held fixed.
-    fn fixed(self, base: &Options) -> String {
+    fn fixed_sizes(self, base: &Options) -> String {
         let all = [
             (Axis::RunStores, format!("{} run stores", base.run_stores)),
-            (Axis::Hollow, format!("{} hollow aggregators", base.hollow)),
+            (Axis::Simulated, format!("{} hollow aggregators", base.simulated)),
             (Axis::InFlight, format!("{} parts in flight at each of {} real", base.in_flight, base.real)),
             (Axis::Relays, format!("{} relays", base.relays)),
             (Axis::Changes, format!("{} changes a second", base.changes)),
@@ -170,54 +171,56 @@
     }
 
     /// Returns the figures that this axis yields.
-    fn figures(self) -> Vec<Named> {
+    fn figures(self) -> Vec<NamedFigure> {
         match self {
-            Axis::Hollow => vec![
+            Axis::Simulated => vec![
                 named("discovery-cpu", "ms of a core a second", discovery_cpu),
                 named("discovery-calls", "calls a second", |_, run| {
-                    role(run, "discovery", |used| used.messages_in_per_s)
+                    role_figure(run, "discovery", |used| used.messages_in_per_s)
                 }),
                 named("discovery-bytes-out", "bytes a second", |_, run| {
-                    role(run, "discovery", |used| used.bytes_out_per_s)
+                    role_figure(run, "discovery", |used| used.bytes_out_per_s)
                 }),
                 named("discovery-memory", "bytes", discovery_memory),
                 named("discovery-descriptors", "descriptors", |_, run| {
-                    role(run, "discovery", |used| used.descriptors as f64)
+                    role_figure(run, "discovery", |used| used.descriptors as f64)
                 }),
                 named("control-cpu-of-all", "ms of a core a second", |_, run| {
-                    role(run, "hollow", |used| used.cpu_ms_per_s)
+                    role_figure(run, "hollow", |used| used.cpu_ms_per_s)
                 }),
                 named("control-memory-of-all", "bytes", |_, run| {
-                    role(run, "hollow", |used| used.memory as f64)
+                    role_figure(run, "hollow", |used| used.memory as f64)
                 }),
                 named("change-in-force-p50", "ms to the last aggregator", |_, run| {
                     run.changes.all.map(|times| times.p50)
                 }),
-                named("change-in-force-p99", "ms to the last aggregator", in_force),
+                named("change-in-force-p99", "ms to the last aggregator", change_in_force_p99),
             ],
             Axis::RunStores => vec![
                 named("control-cpu", "us of a core a second and aggregator", control_cpu),
-                named("control-memory", "bytes an aggregator", |_, run| each(run, |used| used.memory as f64)),
+                named("control-memory", "bytes an aggregator", |_, run| {
+                    per_simulated(run, |used| used.memory as f64)
+                }),
                 named("whole-list", "bytes", |_, run| Some(run.whole_list_bytes as f64)),
                 named("discovery-memory", "bytes", discovery_memory),
                 named("serving-cpu-per-part", "us of a core a part", cpu_per_part),
                 named("serving-memory", "bytes an aggregator", real_memory),
-                named("change-in-force-p99", "ms to the last aggregator", in_force),
+                named("change-in-force-p99", "ms to the last aggregator", change_in_force_p99),
             ],
             Axis::Changes => vec![
                 named("control-cpu", "us of a core a second and aggregator", control_cpu),
                 named("control-bytes", "bytes a second and aggregator, both ways", |_, run| {
-                    each(run, |used| used.bytes_in_per_s + used.bytes_out_per_s)
+                    per_simulated(run, |used| used.bytes_in_per_s + used.bytes_out_per_s)
                 }),
                 named("control-messages", "messages a second and aggregator, both ways", |_, run| {
-                    each(run, |used| used.messages_in_per_s + used.messages_out_per_s)
+                    per_simulated(run, |used| used.messages_in_per_s + used.messages_out_per_s)
                 }),
                 named("discovery-cpu", "ms of a core a second", discovery_cpu),
-                named("change-in-force-p99", "ms to the last aggregator", in_force),
+                named("change-in-force-p99", "ms to the last aggregator", change_in_force_p99),
             ],
             Axis::InFlight => vec![
                 named("serving-cpu", "ms of a core a second and aggregator", |options, run| {
-                    role(run, "real", |used| used.cpu_ms_per_s / options.real as f64)
+                    role_figure(run, "real", |used| used.cpu_ms_per_s / options.real as f64)
                 }),
                 named("serving-cpu-per-part", "us of a core a part", cpu_per_part),
                 named("serving-parts", "parts a second, all aggregators", |_, run| {
@@ -226,25 +229,27 @@
                 named("serving-latency-p99", "ms", |_, run| Some(run.queries.as_ref()?.p99_ms)),
                 named("serving-memory", "bytes an aggregator", real_memory),
                 named("serving-descriptors", "descriptors an aggregator", |options, run| {
-                    role(run, "real", |used| used.descriptors as f64 / options.real as f64)
+                    role_figure(run, "real", |used| used.descriptors as f64 / options.real as f64)
                 }),
                 named("run-store-bytes-per-part", "bytes a part, both ways", |_, run| {
                     let parts = run.queries.as_ref()?.parts_per_s;
-                    role(run, "run stores", |used| (used.bytes_in_per_s + used.bytes_out_per_s) / parts)
+                    role_figure(run, "run stores", |used| {
+                        (used.bytes_in_per_s + used.bytes_out_per_s) / parts
+                    })
                 }),
             ],
             Axis::Relays => vec![
                 named("relay-cpu", "ms of a core a second and relay", |_, run| {
-                    relay(run, |used| used.cpu_ms_per_s)
+                    per_relay(run, |used| used.cpu_ms_per_s)
                 }),
                 named("relay-bytes", "bytes a second and relay, both ways", |_, run| {
-                    relay(run, |used| used.bytes_in_per_s + used.bytes_out_per_s)
+                    per_relay(run, |used| used.bytes_in_per_s + used.bytes_out_per_s)
                 }),
-                named("relay-memory", "bytes a relay", |_, run| relay(run, |used| used.memory as f64)),
+                named("relay-memory", "bytes a relay", |_, run| per_relay(run, |used| used.memory as f64)),
                 named("relay-descriptors", "descriptors a relay", |_, run| {
-                    relay(run, |used| used.descriptors as f64)
+                    per_relay(run, |used| used.descriptors as f64)
                 }),
-                named("change-in-force-p99", "ms to the last aggregator", in_force),
+                named("change-in-force-p99", "ms to the last aggregator", change_in_force_p99),
             ],
             Axis::All => Vec::new(),
         }
@@ -255,50 +260,50 @@
 ///
 /// # Errors
 /// If the results cannot be written or a signal interrupts the sweep.
-pub fn run(base: &Options, axis: Axis, told_to_end: &AtomicBool) -> Result<bool, String> {
+pub fn run(base: &Options, axis: Axis, stop_requested: &AtomicBool) -> Result<bool, String> {
     let axes = match axis {
-        Axis::All => vec![Axis::Hollow, Axis::RunStores, Axis::Changes, Axis::InFlight, Axis::Relays],
+        Axis::All => vec![Axis::Simulated, Axis::RunStores, Axis::Changes, Axis::InFlight, Axis::Relays],
         one => vec![one],
     };
-    let mut slopes = base.slopes.as_deref().map_or(Ok(Slopes::default()), known)?;
-    let (mut outcomes, mut well) = (Vec::new(), true);
+    let mut slopes = base.slopes.as_deref().map_or(Ok(Slopes::default()), read_slopes)?;
+    let (mut outcomes, mut passed) = (Vec::new(), true);
     for axis in axes {
         let mut runs = Vec::new();
         for &size in axis.sizes() {
-            let options = axis.sized(base, size);
+            let options = axis.with_size(base, size);
             if let Err(why) = bounds::check(&options) {
-                println!("{} {}: not run: {why}\n", size, axis.x());
+                println!("{} {}: not run: {why}\n", size, axis.x_label());
                 continue;
             }
-            match play(&options, told_to_end) {
+            match run_once(&options, stop_requested) {
                 Ok(outcome) => {
                     println!("{}", outcome.tables());
-                    well &= outcome.is_well();
+                    passed &= outcome.passed();
                     runs.push((size, options, outcome));
                 }
-                Err(why) if told_to_end.load(Ordering::Acquire) => return Err(why),
+                Err(why) if stop_requested.load(Ordering::Acquire) => return Err(why),
                 Err(why) => {
-                    println!("{} {}: failed: {why}\n", size, axis.x());
-                    well = false;
+                    println!("{} {}: failed: {why}\n", size, axis.x_label());
+                    passed = false;
                 }
             }
         }
         for (name, unit, figure) in axis.figures() {
             let point = |(size, options, outcome): &(f64, Options, Outcome)| {
-                figure(options, outcome).filter(|y| y.is_finite()).map(|y| [axis.count(options, *size), y])
+                figure(options, outcome).filter(|y| y.is_finite()).map(|y| [axis.x_value(options, *size), y])
             };
             let points: Vec<_> = runs.iter().filter_map(point).collect();
             if points.is_empty() {
                 continue;
             }
-            let name = format!("{name}-{}", axis.by());
+            let name = format!("{name}-{}", axis.series_suffix());
             slopes.series.retain(|series| series.name != name);
             slopes.series.push(Series {
                 name,
-                x: axis.x().to_string(),
+                x: axis.x_label().to_string(),
                 unit: unit.to_string(),
                 command: format!("{} --sweep {}", base.command(), name_of(axis)),
-                fixed: axis.fixed(base),
+                fixed: axis.fixed_sizes(base),
                 build: base.build.clone(),
                 points,
             });
@@ -320,11 +325,11 @@
     if let Some(path) = &base.chart {
         chart(path, &slopes)?;
     }
-    Ok(well)
+    Ok(passed)
 }
 
 /// Reads the series of earlier sweeps from a file; those of other axes are kept and appear in the chart too.
-fn known(path: &Path) -> Result<Slopes, String> {
+fn read_slopes(path: &Path) -> Result<Slopes, String> {
     match std::fs::read_to_string(path) {
         Ok(text) => toml::from_str(&text).map_err(|error| format!("{}: {error}", path.display())),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(Slopes::default()),
--- a/crates/lab/src/scale/wire.rs
+++ b/crates/lab/src/scale/wire.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns the same traffic from the peer's point of view: sent and received are swapped.
-    pub fn turned(&self) -> Traffic {
+    pub fn reversed(&self) -> Traffic {
         Traffic {
             messages_in: self.messages_out,
             messages_out: self.messages_in,
@@ -44,7 +44,7 @@
     }
 
     /// Returns the sum of both.
-    pub fn and(&self, other: &Traffic) -> Traffic {
+    pub fn plus(&self, other: &Traffic) -> Traffic {
         Traffic {
             messages_in: self.messages_in + other.messages_in,
             messages_out: self.messages_out + other.messages_out,
@@ -55,25 +55,25 @@
 }
 
 /// The counters that all connections of a kind share.
-pub type Count = Rc<Cell<Traffic>>;
+pub type TrafficCounter = Rc<Cell<Traffic>>;
 
 /// Adds traffic to a counter.
-pub fn add(count: &Count, more: Traffic) {
-    count.set(count.get().and(&more));
+pub fn add(counter: &TrafficCounter, more: Traffic) {
+    counter.set(counter.get().plus(&more));
 }
 
 /// An HTTP connection that counts its traffic.
-pub struct Wire {
+pub struct Connection {
     stream: TcpStream,
     parser: Parser,
-    count: Count,
+    counter: TrafficCounter,
 }
 
-impl Wire {
+impl Connection {
     /// Wraps a stream on which messages of the given kind are received.
-    pub fn new(stream: TcpStream, kind: MessageKind, count: Count) -> io::Result<Self> {
+    pub fn new(stream: TcpStream, kind: MessageKind, counter: TrafficCounter) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        Ok(Wire { stream, parser: Parser::new(kind), count })
+        Ok(Connection { stream, parser: Parser::new(kind), counter })
     }
 
     /// Reads the next message; `None` at the end of the connection.
@@ -85,13 +85,13 @@
             if let Some(message) =
                 next.map_err(|bad| io::Error::new(io::ErrorKind::InvalidData, bad.to_string()))?
             {
-                add(&self.count, Traffic { messages_in: 1, ..Traffic::default() });
+                add(&self.counter, Traffic { messages_in: 1, ..Traffic::default() });
                 return Ok(Some(message));
             }
             match self.stream.read(&mut bytes).await? {
                 0 => return Ok(None),
                 read => {
-                    add(&self.count, Traffic { bytes_in: read as u64, ..Traffic::default() });
+                    add(&self.counter, Traffic { bytes_in: read as u64, ..Traffic::default() });
                     self.parser.push(&bytes[..read]);
                 }
             }
@@ -101,7 +101,7 @@
     /// Writes a message.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await?;
-        add(&self.count, Traffic { messages_out: 1, bytes_out: bytes.len() as u64, ..Traffic::default() });
+        add(&self.counter, Traffic { messages_out: 1, bytes_out: bytes.len() as u64, ..Traffic::default() });
         Ok(())
     }
 }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -8,12 +8,12 @@
 use serde_json::Value;
 
 /// Runs a scenario and returns its results, after checking that no rule was broken and all processes shut down cleanly.
-fn play(scenario: &str, more: &[&str]) -> Value {
+fn run_scenario(scenario: &str, more: &[&str]) -> Value {
     let file = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("scenarios").join(format!("{scenario}.txt"));
     let folder = std::env::temp_dir().join(format!("ironpaddle-fleet-{}-{scenario}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let results = folder.join("results.json");
-    let played = Command::new(env!("CARGO_BIN_EXE_ironpaddle-lab"))
+    let process = Command::new(env!("CARGO_BIN_EXE_ironpaddle-lab"))
         .arg("fleet")
         .arg(file)
         .args(["--seed", "3", "--slack", "1500", "--seconds", "8", "--json"])
@@ -21,13 +21,13 @@
         .args(more)
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&played.stdout).into_owned();
-    assert!(played.status.success(), "{said}\n{}", String::from_utf8_lossy(&played.stderr));
+    let output = String::from_utf8_lossy(&process.stdout).into_owned();
+    assert!(process.status.success(), "{output}\n{}", String::from_utf8_lossy(&process.stderr));
     let value: Value = serde_json::from_slice(&std::fs::read(&results).unwrap()).unwrap();
     std::fs::remove_dir_all(&folder).unwrap();
-    assert_eq!(value["broken"], serde_json::json!({}), "{said}");
+    assert_eq!(value["broken"], serde_json::json!({}), "{output}");
     for class in ["run-lookup", "run-search", "shift-entry"] {
-        assert!(value["classes"][class]["answered"].as_u64() > Some(0), "{class}: {said}");
+        assert!(value["classes"][class]["answered"].as_u64() > Some(0), "{class}: {output}");
     }
     value
 }
@@ -37,26 +37,26 @@
 }
 
 #[test]
-fn aggregators_cut_off_from_run_stores_or_from_discovery_break_no_rule() {
-    let results = play("cut-off", &["--aggregators", "3", "--stores", "8"]);
+fn aggregators_cut_off_from_run_stores_or_discovery_break_no_rule() {
+    let results = run_scenario("cut-off", &["--aggregators", "3", "--stores", "8"]);
     assert_eq!(sum(&results, "lost"), 0, "all aggregators were reachable for their clients");
     assert!(sum(&results, "answered") < sum(&results, "asked"), "one of them could reach no run store");
 }
 
 #[test]
-fn aggregators_that_die_stand_still_or_restart_answer_all_that_they_live_to_answer() {
-    let results = play("crashes", &["--aggregators", "3", "--stores", "8"]);
+fn crashes_pauses_and_restarts_lose_only_queries_of_killed_aggregators() {
+    let results = run_scenario("crashes", &["--aggregators", "3", "--stores", "8"]);
     assert!(sum(&results, "lost") > 0, "queries of a killed process are lost, and only those");
 }
 
 #[test]
-fn three_times_the_load_while_half_of_the_run_stores_die_breaks_no_rule() {
-    let results = play("overload", &["--aggregators", "3", "--stores", "8", "--rate", "60"]);
+fn triple_load_while_half_of_the_run_stores_die_breaks_no_rule() {
+    let results = run_scenario("overload", &["--aggregators", "3", "--stores", "8", "--rate", "60"]);
     assert_eq!(sum(&results, "lost"), 0);
 }
 
 #[test]
-fn three_aggregators_take_the_clients_of_seven_that_die_at_once() {
-    let results = play("seven-of-ten", &["--aggregators", "10", "--stores", "8"]);
+fn three_aggregators_take_over_the_clients_of_seven_that_die_at_once() {
+    let results = run_scenario("seven-of-ten", &["--aggregators", "10", "--stores", "8"]);
     assert!(sum(&results, "lost") > 0);
 }
