--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -39,7 +39,7 @@
 }
 
 /// Returns all descendants of a process.
-fn offspring(of: u32) -> Vec<u32> {
+fn descendants(of: u32) -> Vec<u32> {
     let mut found = Vec::new();
     for process in std::fs::read_dir("/proc").unwrap().filter_map(Result::ok) {
         let Some(id) = process.file_name().to_str().and_then(|name| name.parse::<u32>().ok()) else {
@@ -50,21 +50,21 @@
         let parent = stat.rsplit(") ").next().and_then(|rest| rest.split(' ').nth(1)?.parse().ok());
         if parent == Some(of) {
             found.push(id);
-            found.extend(offspring(id));
+            found.extend(descendants(id));
         }
     }
     found
 }
 
 /// Returns whether a process exists and is not a zombie.
-fn runs(id: u32) -> bool {
+fn is_running(id: u32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     stat.rsplit(") ").next().is_some_and(|rest| !rest.is_empty() && !rest.starts_with('Z'))
 }
 
-fn wait_until(limit: Duration, is_so: impl Fn() -> bool) -> bool {
+fn wait_until(limit: Duration, condition: impl Fn() -> bool) -> bool {
     let began = Instant::now();
-    while !is_so() {
+    while !condition() {
         if began.elapsed() > limit {
             return false;
         }
@@ -74,41 +74,41 @@
 }
 
 /// Starts a long run and returns its process and all descendants, once all of them have started.
-fn started() -> (Child, Vec<u32>) {
+fn start_long_run() -> (Child, Vec<u32>) {
     let long = [&SMALL[..], &["--seconds", "60"]].concat();
     let mut command = scale(&long);
     let run = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
     // Four stand-ins and two real aggregators.
-    assert!(wait_until(Duration::from_secs(20), || offspring(run.id()).len() == 6));
-    let all = offspring(run.id());
+    assert!(wait_until(Duration::from_secs(20), || descendants(run.id()).len() == 6));
+    let all = descendants(run.id());
     (run, all)
 }
 
 #[test]
-fn every_change_is_in_force_at_all_aggregators_in_the_end() {
+fn every_change_is_eventually_in_force_at_all_aggregators() {
     let folder = folder("small");
     let (json, chart) = (folder.join("results.json"), folder.join("results.svg"));
     let written = ["--seconds", "2", "--json", json.to_str().unwrap(), "--chart", chart.to_str().unwrap()];
     let run = scale(&[&SMALL[..], &written].concat()).output().unwrap();
-    let said = String::from_utf8_lossy(&run.stdout).into_owned();
-    assert!(run.status.success(), "{said}\n{}", String::from_utf8_lossy(&run.stderr));
+    let output = String::from_utf8_lossy(&run.stdout).into_owned();
+    assert!(run.status.success(), "{output}\n{}", String::from_utf8_lossy(&run.stderr));
     let results = results(&json);
     let changes = &results["changes"];
-    assert_eq!(changes["count"], 24, "{said}");
-    assert_eq!(changes["everywhere"], true, "{said}");
+    assert_eq!(changes["count"], 24, "{output}");
+    assert_eq!(changes["everywhere"], true, "{output}");
     assert_eq!(
         changes["hollow_equal"], 12,
-        "each holds exactly the list that results from the events: {said}"
+        "each holds exactly the list that results from the events: {output}"
     );
-    assert_eq!(changes["each"].as_array().unwrap().len(), 24, "each change has a time: {said}");
+    assert_eq!(changes["each"].as_array().unwrap().len(), 24, "each change has a time: {output}");
     let ends = &results["queries"]["ends"];
-    assert!(ends["whole"].as_u64() > Some(0), "{said}");
-    assert_eq!(ends["wrong"], 0, "{said}");
-    assert_eq!(results["ended_in_order"], true, "{said}");
+    assert!(ends["whole"].as_u64() > Some(0), "{output}");
+    assert_eq!(ends["wrong"], 0, "{output}");
+    assert_eq!(results["ended_in_order"], true, "{output}");
     for role in ["discovery", "hollow", "real", "run stores", "clients"] {
         let used = &results["roles"][role];
         for what in ["memory", "descriptors", "messages_in_per_s", "bytes_out_per_s"] {
-            assert!(used[what].as_f64() > Some(0.0), "{role}, {what}: {said}");
+            assert!(used[what].as_f64() > Some(0.0), "{role}, {what}: {output}");
         }
     }
     let chart = std::fs::read_to_string(&chart).unwrap();
@@ -117,27 +117,27 @@
 }
 
 #[test]
-fn changes_reach_hollow_and_real_aggregators_through_relays_alike() {
+fn changes_reach_simulated_and_real_aggregators_through_relays() {
     let folder = folder("relays");
     let json = folder.join("results.json");
     let more = ["--seconds", "1", "--relays", "3", "--json", json.to_str().unwrap()];
     let run = scale(&[&SMALL[..], &more].concat()).output().unwrap();
-    let said = String::from_utf8_lossy(&run.stdout).into_owned();
-    assert!(run.status.success(), "{said}\n{}", String::from_utf8_lossy(&run.stderr));
+    let output = String::from_utf8_lossy(&run.stdout).into_owned();
+    assert!(run.status.success(), "{output}\n{}", String::from_utf8_lossy(&run.stderr));
     let results = results(&json);
     let (changes, roles) = (&results["changes"], &results["roles"]);
-    assert_eq!((&changes["everywhere"], &changes["hollow_equal"]), (&true.into(), &12.into()), "{said}");
-    assert_eq!(changes["each"].as_array().unwrap().len(), 12, "the times include real aggregators: {said}");
-    assert_eq!(roles["relays"]["members"], 3, "{said}");
+    assert_eq!((&changes["everywhere"], &changes["hollow_equal"]), (&true.into(), &12.into()), "{output}");
+    assert_eq!(changes["each"].as_array().unwrap().len(), 12, "the times include real aggregators: {output}");
+    assert_eq!(roles["relays"]["members"], 3, "{output}");
     // Only the relays call discovery, once for each change.
     let of = |role: &str, what: &str| roles[role][what].as_f64().unwrap();
-    assert!(of("discovery", "messages_out_per_s") * 2.0 < of("hollow", "messages_in_per_s"), "{said}");
-    assert!(of("discovery", "messages_in_per_s") > 0.0, "{said}");
+    assert!(of("discovery", "messages_out_per_s") * 2.0 < of("hollow", "messages_in_per_s"), "{output}");
+    assert!(of("discovery", "messages_in_per_s") > 0.0, "{output}");
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
 #[test]
-fn the_same_seed_gives_the_same_events_and_another_gives_others() {
+fn same_seed_gives_same_events_and_another_seed_gives_others() {
     let folder = folder("seeds");
     let digest = |name: &str, seed: &str| {
         let json = folder.join(name);
@@ -155,21 +155,21 @@
 }
 
 #[test]
-fn a_signal_ends_all_that_a_run_has_started() {
-    for (signal, at_once) in [("TERM", false), ("KILL", true)] {
-        let (mut run, all) = started();
+fn signal_stops_all_processes_of_a_run() {
+    for (signal, killed) in [("TERM", false), ("KILL", true)] {
+        let (mut run, all) = start_long_run();
         let sent = Command::new("kill").args(["-s", signal, &run.id().to_string()]).status().unwrap();
         assert!(sent.success());
         let code = run.wait().unwrap().code();
-        assert_eq!(code, if at_once { None } else { Some(1) }, "{signal}");
+        assert_eq!(code, if killed { None } else { Some(1) }, "{signal}");
         // If the run could not stop them itself, they exit when their standard input is closed.
-        let limit = if at_once { Duration::from_secs(10) } else { Duration::ZERO };
-        assert!(wait_until(limit, || !all.iter().any(|id| runs(*id))), "{signal}");
+        let limit = if killed { Duration::from_secs(10) } else { Duration::ZERO };
+        assert!(wait_until(limit, || !all.iter().any(|id| is_running(*id))), "{signal}");
     }
 }
 
 #[test]
-fn what_cannot_be_run_is_refused_with_its_reason() {
+fn invalid_options_are_rejected_with_the_reason() {
     for (options, reason) in [
         (&["--run-stores", "0"][..], "--run-stores must be at least 1"),
         (&["--hollow", "0", "--real", "0"], "together must be at least 1"),
@@ -184,36 +184,36 @@
         (&["--run-stores", "100000000"], "GiB of memory, and may use half of the machine's"),
     ] {
         let run = scale(options).output().unwrap();
-        let said = String::from_utf8_lossy(&run.stderr);
-        assert_eq!(run.status.code(), Some(2), "{options:?}: {said}");
-        assert!(said.contains(reason), "{options:?}: {said}");
+        let output = String::from_utf8_lossy(&run.stderr);
+        assert_eq!(run.status.code(), Some(2), "{options:?}: {output}");
+        assert!(output.contains(reason), "{options:?}: {output}");
     }
 }
 
 #[test]
-fn a_run_that_wants_more_descriptors_than_there_are_is_refused_and_leaves_the_limit_alone() {
+fn run_that_needs_too_many_descriptors_is_rejected_and_keeps_the_limit() {
     let run = Command::new("sh")
         .args(["-c", "ulimit -n 200; \"$0\" scale --hollow 300 --real 0; code=$?; ulimit -n; exit $code"])
         .arg(env!("CARGO_BIN_EXE_ironpaddle-lab"))
         .output()
         .unwrap();
-    let said = String::from_utf8_lossy(&run.stderr);
-    assert_eq!(run.status.code(), Some(2), "{said}");
+    let output = String::from_utf8_lossy(&run.stderr);
+    assert_eq!(run.status.code(), Some(2), "{output}");
     assert!(
-        said.contains(
+        output.contains(
             "the process that serves the list would need 365 descriptors, and a process may have 200"
         ),
-        "{said}"
+        "{output}"
     );
     assert_eq!(String::from_utf8_lossy(&run.stdout), "200\n");
 }
 
 #[test]
-fn a_sweep_gives_the_slopes_of_its_sizes() {
+fn sweep_writes_a_series_over_all_sizes_and_keeps_other_series() {
     let folder = folder("sweep");
     let slopes = folder.join("slopes.toml");
-    let of_others = "[[series]]\nname = \"other\"\nx = \"a\"\nunit = \"b\"\ncommand = \"c\"\nfixed = \"d\"\nbuild = \"e\"\npoints = [[1.0, 2.0]]\n";
-    std::fs::write(&slopes, of_others).unwrap();
+    let existing = "[[series]]\nname = \"other\"\nx = \"a\"\nunit = \"b\"\ncommand = \"c\"\nfixed = \"d\"\nbuild = \"e\"\npoints = [[1.0, 2.0]]\n";
+    std::fs::write(&slopes, existing).unwrap();
     let sizes = ["--run-stores", "20", "--hollow", "2", "--real", "0", "--seconds", "0.5"];
     let more = ["--sweep", "changes", "--slopes", slopes.to_str().unwrap(), "--build", "as tested"];
     let run = scale(&[&sizes[..], &more].concat()).output().unwrap();
--- a/crates/lab/tests/soak.rs
+++ b/crates/lab/tests/soak.rs
@@ -12,21 +12,21 @@
 /// The seeds are chosen for lives in which aggregators exit under load, with injected system call faults, and for one
 /// life with an upgrade.
 #[test]
-fn lives_that_were_drawn_break_no_rule() {
+fn random_lives_break_no_rule() {
     for seed in ["2", "11"] {
-        let played =
+        let process =
             soak(&["--seeds", "1", "--seed", seed, "--seconds", "8", "--slack", "1000", "--api", "both"]);
-        let said = String::from_utf8_lossy(&played.stdout).into_owned();
-        assert!(played.status.success(), "{said}\n{}", String::from_utf8_lossy(&played.stderr));
-        assert!(said.contains("2 lives, a rule was broken in 0"), "{said}");
+        let text = String::from_utf8_lossy(&process.stdout).into_owned();
+        assert!(process.status.success(), "{text}\n{}", String::from_utf8_lossy(&process.stderr));
+        assert!(text.contains("2 lives, a rule was broken in 0"), "{text}");
         let answered = |line: &str| line.split("answered ").nth(1)?.parse::<u64>().ok();
-        let counts: Vec<_> = said.lines().filter_map(answered).collect();
-        assert!(counts.len() == 2 && counts.iter().all(|count| *count > 0), "{said}");
+        let counts: Vec<_> = text.lines().filter_map(answered).collect();
+        assert!(counts.len() == 2 && counts.iter().all(|count| *count > 0), "{text}");
     }
 }
 
 #[test]
-fn arguments_at_fault_end_it_with_2_and_the_reason() {
+fn invalid_arguments_exit_with_2_and_the_reason() {
     for (arguments, why) in [
         (&["--seed", "1"][..], "--seeds"),
         (&["--seeds", "0", "--seed", "1"], "0"),
@@ -34,15 +34,15 @@
         (&["--seeds", "1", "--seed", "1", "--seconds", "1"], "a life lasts"),
         (&["--seeds", "1", "--seed", "1", "--api", "smtp"], "smtp"),
     ] {
-        let ended = soak(arguments);
-        let said = String::from_utf8_lossy(&ended.stderr);
-        assert_eq!(ended.status.code(), Some(2), "{said}");
-        assert!(said.contains(why), "{said}");
+        let process = soak(arguments);
+        let text = String::from_utf8_lossy(&process.stderr);
+        assert_eq!(process.status.code(), Some(2), "{text}");
+        assert!(text.contains(why), "{text}");
     }
 }
 
 /// Counts the running aggregators of the soak that keeps its temporary files in this folder.
-fn left(folder: &std::path::Path) -> usize {
+fn running_aggregators(folder: &std::path::Path) -> usize {
     let named = folder.display().to_string();
     let processes = std::fs::read_dir("/proc").unwrap().filter_map(Result::ok);
     let commands =
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_signal_ends_all_that_a_soak_has_started() {
+fn signal_stops_all_processes_of_a_soak() {
     let folder = std::env::temp_dir().join(format!("ironpaddle-soak-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let mut soak = Command::new(env!("CARGO_BIN_EXE_ironpaddle-lab"))
@@ -67,10 +67,10 @@
             std::thread::sleep(Duration::from_millis(20));
         }
     };
-    until("it starts aggregators", &|| left(&folder) >= 3);
+    until("it starts aggregators", &|| running_aggregators(&folder) >= 3);
     let id = rustix::process::Pid::from_child(&soak);
     rustix::process::kill_process(id, rustix::process::Signal::TERM).unwrap();
     assert_eq!(soak.wait().unwrap().code(), Some(1));
-    until("they end with it", &|| left(&folder) == 0);
+    until("they end with it", &|| running_aggregators(&folder) == 0);
     std::fs::remove_dir_all(&folder).unwrap();
 }
