--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -79,7 +79,7 @@
         Command::Fleet(fleet) => demo::fleet(fleet),
         Command::Soak(options) => soak::run(&options),
         Command::Scale(options) => scale::run(&options),
-        Command::ScaleRole { role } => scale::roles::play(role),
+        Command::ScaleRole { role } => scale::roles::run(role),
         Command::Aggregator { config } => aggregators::be(&config).map(|()| true),
         Command::LogCost { lines } => logs::cost(lines).map(|()| true),
         Command::Measure(options) => measure::run(&options).map(|()| true),
--- a/crates/lab/src/scale/roles.rs
+++ b/crates/lab/src/scale/roles.rs
@@ -87,7 +87,7 @@
 ///
 /// # Errors
 /// If the setup cannot be read or the role cannot start or write its answers.
-pub fn play(role: Role) -> Result<bool, String> {
+pub fn run(role: Role) -> Result<bool, String> {
     let failed = |error: &dyn std::fmt::Display| format!("{role:?}: {error}");
     let mut first = String::new();
     io::stdin().read_line(&mut first).map_err(|error| failed(&error))?;
@@ -102,7 +102,7 @@
             }
         }
     });
-    let played = async {
+    let running = async {
         let (addresses, mut handler) = match role {
             Role::Discovery => discovery::start(&setup, &executor).await,
             Role::Stores => stores::start(&setup, &executor).await,
@@ -116,7 +116,7 @@
         }
         Ok::<(), io::Error>(())
     };
-    async_io::block_on(executor.run(played)).map(|()| true).map_err(|error| failed(&error))
+    async_io::block_on(executor.run(running)).map(|()| true).map_err(|error| failed(&error))
 }
 
 /// A stand-in process.
