--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -308,14 +308,14 @@
         let began = Instant::now();
         loop {
             let status: hollow::SimulatedStatus = read(self.simulated.send(RoleCommand::Report)?)?;
-            let mut taken = vec![0; options.real];
+            let mut applied = vec![0; options.real];
             for process in self.list_sources() {
                 let reported: Vec<u64> = read(process.send(RoleCommand::Report)?["taken"].clone())?;
-                taken.iter_mut().zip(reported).for_each(|(known, version)| *known = version.max(*known));
+                applied.iter_mut().zip(reported).for_each(|(known, version)| *known = version.max(*known));
             }
             let place = (version - events::FIRST_INDEX) as usize;
             let simulated = status.in_force.get(place).map_or(0, |(count, _)| *count);
-            if simulated == options.simulated && taken.iter().all(|taken| *taken >= version) {
+            if simulated == options.simulated && applied.iter().all(|applied| *applied >= version) {
                 return Ok(true);
             }
             if began.elapsed() > limit {
