--- a/crates/lab/src/capacity/number.rs
+++ b/crates/lab/src/capacity/number.rs
@@ -1,35 +1,35 @@
-//! Figures as the page shows them: three digits that count.
+//! Formats figures with three significant digits for the tables.
 
-/// A number with its thousands parted, three digits of it counting.
+/// Formats a number with three significant digits and thousands separators.
 pub fn number(value: f64) -> String {
     let size = value.abs();
-    // What rounding leaves of nothing is nothing.
+    // Rounding errors around zero are shown as zero.
     if size < 1e-9 {
         return "0".into();
     }
     for (unit, name) in [(1e12, "million million"), (1e9, "thousand million"), (1e6, "million")] {
         if size >= unit * 0.9995 {
-            return format!("{} {name}", small(value / unit));
+            return format!("{} {name}", below_thousand(value / unit));
         }
     }
     if size < 999.5 {
-        return small(value);
+        return below_thousand(value);
     }
     let step = 10f64.powf(size.log10().floor() - 2.0).max(1.0);
     let digits = format!("{:.0}", (value / step).round() * step);
-    let mut parted = String::new();
+    let mut grouped = String::new();
     for (place, digit) in digits.char_indices() {
         if place > 0 && digits[..place].chars().any(char::is_numeric) && (digits.len() - place) % 3 == 0 {
-            parted.push(',');
+            grouped.push(',');
         }
-        parted.push(digit);
+        grouped.push(digit);
     }
-    parted
+    grouped
 }
 
-/// A number under a thousand.
-fn small(value: f64) -> String {
-    // The place of the first digit that counts, once the last is rounded.
+/// Formats a number below one thousand.
+fn below_thousand(value: f64) -> String {
+    // The decimal exponent of the first significant digit, after rounding.
     let first = format!("{:.2e}", value.abs());
     let first = first.rsplit('e').next().and_then(|power| power.parse::<i32>().ok()).unwrap_or(0);
     let text = format!("{value:.*}", (2 - first).max(0) as usize);
@@ -40,7 +40,7 @@
     }
 }
 
-/// A share as a percentage.
+/// Formats a share as a percentage.
 pub fn percent(share: f64) -> String {
     format!("{} %", number(share * 100.0))
 }
--- a/crates/lab/src/scale/roles.rs
+++ b/crates/lab/src/scale/roles.rs
@@ -1,5 +1,6 @@
-//! The processes of a run: stand-ins are the lab itself in a role, told by lines of JSON on their standard input, and
-//! end when that does: whatever becomes of the process that started them, none is left.
+//! The stand-in processes of a run. A stand-in is the lab's own program in a role. It receives commands as lines of
+//! JSON on its standard input and exits when that is closed, so none is left behind even if the process that started it
+//! is killed.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -15,90 +16,94 @@
 
 use super::{clients, discovery, hollow, stores};
 
-/// How long a stand-in may take to end by itself.
+/// The time that a stand-in has to exit before it is killed.
 const END: Duration = Duration::from_secs(2);
 
-/// What a process of the lab stands in for.
+/// The role of a stand-in process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Role {
-    /// Discovery, or a relay of it.
+    /// Discovery, or a relay of the list.
     Discovery,
-    /// All run stores that are asked.
+    /// All run stores that receive queries.
     Stores,
-    /// All hollow aggregators.
+    /// All simulated aggregators. Error messages print the name of the variant.
     Hollow,
     /// All clients of the real aggregators.
     Clients,
 }
 
-/// What every stand-in is told first.
+/// The configuration that every stand-in receives as its first line.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Setup {
-    /// Lines of the list.
+    /// The number of list entries.
     pub run_stores: usize,
-    /// Hollow aggregators.
-    pub hollow: usize,
-    /// Real aggregators.
+    /// The number of simulated aggregators.
+    #[serde(rename = "hollow")]
+    pub simulated: usize,
+    /// The number of real aggregators.
     pub real: usize,
-    /// Changes of the list a second.
+    /// List changes per second.
     pub changes: f64,
-    /// For how long it changes.
+    /// How long the list changes, in seconds.
     pub seconds: f64,
-    /// The source of chance.
+    /// The seed of the random events and queries.
     pub seed: u64,
-    /// Queries at once for each real aggregator, and parts of each.
+    /// The number of concurrent queries at each real aggregator, and the number of parts of each.
     pub queries: (usize, usize),
-    /// Run stores that queries go to.
-    pub asked: usize,
-    /// How long a run store takes for a part, in milliseconds.
+    /// The number of run stores that receive queries.
+    #[serde(rename = "asked")]
+    pub queried: usize,
+    /// The time that a run store takes for a part, in milliseconds.
     pub work_ms: f64,
     /// The settings of the aggregators.
     pub settings: Value,
-    /// Where the run stores listen, all of them.
-    pub stores: Option<SocketAddr>,
-    /// Where a relay learns the list; `None` at discovery itself.
+    /// The address that all run stores share.
+    #[serde(rename = "stores")]
+    pub run_store_address: Option<SocketAddr>,
+    /// The address from which a relay receives the list; `None` at discovery itself.
     pub upstream: Option<SocketAddr>,
-    /// Where hollow aggregators are told the list, in turn.
+    /// The addresses from which simulated aggregators receive the list, assigned round-robin.
     pub discovery: Vec<SocketAddr>,
-    /// Where the real aggregators listen.
+    /// The addresses of the real aggregators.
     pub aggregators: Vec<SocketAddr>,
 }
 
-/// What a stand-in is told afterwards. It answers each with a line.
+/// A command to a stand-in, which answers each with one line of JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub enum Word {
-    /// Begin, at a time of the clock in Unix milliseconds.
+pub enum RoleCommand {
+    /// Begin at the given Unix time in milliseconds.
     Begin(u64),
-    /// Tell what is so just now.
-    Mark,
-    /// Tell what came of all.
+    /// Report the current counters.
+    #[serde(rename = "Mark")]
+    Report,
+    /// Finish and report the results.
     End,
 }
 
-/// What a role does when it is told something.
-pub type Attend = Box<dyn FnMut(Word) -> Value>;
+/// The handler of a role: executes a command and returns the answer.
+pub type RoleHandler = Box<dyn FnMut(RoleCommand) -> Value>;
 
-/// Plays a role until standard input ends.
+/// Runs a stand-in until standard input is closed.
 ///
 /// # Errors
-/// If it cannot be played.
-pub fn play(role: Role) -> Result<bool, String> {
+/// If the setup cannot be read or the role cannot start or write its answers.
+pub fn run(role: Role) -> Result<bool, String> {
     let failed = |error: &dyn std::fmt::Display| format!("{role:?}: {error}");
     let mut first = String::new();
     io::stdin().read_line(&mut first).map_err(|error| failed(&error))?;
     let setup: Setup = serde_json::from_str(&first).map_err(|error| failed(&error))?;
     let executor = Rc::new(LocalExecutor::new());
-    let (sender, words) = async_channel::unbounded();
+    let (sender, commands) = async_channel::unbounded();
     thread::spawn(move || {
         for line in io::stdin().lines().map_while(Result::ok) {
-            let Ok(word) = serde_json::from_str::<Word>(&line) else { break };
-            if sender.send_blocking(word).is_err() {
+            let Ok(command) = serde_json::from_str::<RoleCommand>(&line) else { break };
+            if sender.send_blocking(command).is_err() {
                 break;
             }
         }
     });
-    let played = async {
-        let (addresses, mut attend) = match role {
+    let running = async {
+        let (addresses, mut handler) = match role {
             Role::Discovery => discovery::start(&setup, &executor).await,
             Role::Stores => stores::start(&setup, &executor).await,
             Role::Hollow => hollow::start(&setup),
@@ -106,29 +111,29 @@
         }?;
         let mut out = io::stdout();
         writeln!(out, "{}", serde_json::to_string(&addresses)?)?;
-        while let Ok(word) = words.recv().await {
-            writeln!(out, "{}", attend(word))?;
+        while let Ok(command) = commands.recv().await {
+            writeln!(out, "{}", handler(command))?;
         }
         Ok::<(), io::Error>(())
     };
-    async_io::block_on(executor.run(played)).map(|()| true).map_err(|error| failed(&error))
+    async_io::block_on(executor.run(running)).map(|()| true).map_err(|error| failed(&error))
 }
 
-/// A process that plays a role.
+/// A stand-in process.
 pub struct Process {
     role: Role,
     child: Child,
-    told: Option<ChildStdin>,
-    says: BufReader<ChildStdout>,
-    /// Where it listens.
+    stdin: Option<ChildStdin>,
+    stdout: BufReader<ChildStdout>,
+    /// The addresses on which it listens.
     pub addresses: Vec<SocketAddr>,
 }
 
 impl Process {
-    /// Starts it.
+    /// Starts a stand-in and waits for its addresses.
     ///
     /// # Errors
-    /// If it does not come up.
+    /// If the process cannot be started or does not answer.
     pub fn start(role: Role, setup: &Setup) -> Result<Self, String> {
         let failed = |error: &dyn std::fmt::Display| format!("{role:?}: {error}");
         let name = role.to_possible_value().map(|value| value.get_name().to_string()).unwrap_or_default();
@@ -138,77 +143,79 @@
             .stdout(Stdio::piped())
             .spawn()
             .map_err(|error| failed(&error))?;
-        let (told, says) = (child.stdin.take(), child.stdout.take());
-        let Some(says) = says else { unreachable!("it was asked for") };
-        let mut process = Process { role, child, told, says: BufReader::new(says), addresses: Vec::new() };
-        let addresses = process.say(setup)?;
+        let (stdin, stdout) = (child.stdin.take(), child.stdout.take());
+        let Some(stdout) = stdout else { unreachable!("standard output is piped") };
+        let mut process =
+            Process { role, child, stdin, stdout: BufReader::new(stdout), addresses: Vec::new() };
+        let addresses = process.request(setup)?;
         process.addresses = serde_json::from_value(addresses).map_err(|error| failed(&error))?;
         Ok(process)
     }
 
-    /// Its process.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Tells it something; what it answers.
+    /// Sends a command and returns the answer.
     ///
     /// # Errors
-    /// If it does not answer.
-    pub fn tell(&mut self, word: Word) -> Result<Value, String> {
-        self.say(&word)
+    /// If the stand-in does not answer.
+    pub fn send(&mut self, command: RoleCommand) -> Result<Value, String> {
+        self.request(&command)
     }
 
-    fn say(&mut self, what: &impl Serialize) -> Result<Value, String> {
+    /// Writes a line of JSON and reads the answer.
+    fn request(&mut self, message: &impl Serialize) -> Result<Value, String> {
         let role = self.role;
         let failed = move |why: &dyn std::fmt::Display| format!("{role:?} does not answer: {why}");
-        let told = self.told.as_mut().ok_or_else(|| failed(&"it has ended"))?;
-        let line = serde_json::to_string(what).map_err(|error| failed(&error))?;
-        writeln!(told, "{line}").map_err(|error| failed(&error))?;
+        let stdin = self.stdin.as_mut().ok_or_else(|| failed(&"it has exited"))?;
+        let line = serde_json::to_string(message).map_err(|error| failed(&error))?;
+        writeln!(stdin, "{line}").map_err(|error| failed(&error))?;
         let mut answer = String::new();
-        self.says.read_line(&mut answer).map_err(|error| failed(&error))?;
+        self.stdout.read_line(&mut answer).map_err(|error| failed(&error))?;
         serde_json::from_str(&answer).map_err(|error| failed(&error))
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // The end of its standard input ends it.
-        self.told = None;
+        // The stand-in exits when its standard input is closed.
+        self.stdin = None;
         let began = Instant::now();
         while matches!(self.child.try_wait(), Ok(None)) && began.elapsed() < END {
             thread::sleep(Duration::from_millis(5));
         }
-        // It may have ended by itself.
+        // Fails if it has exited by itself, which is fine.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// What a process uses.
+/// The resource usage of a process.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Usage {
-    /// Processor time of its threads since their start, in milliseconds.
+    /// CPU time of the current threads, in milliseconds.
     pub cpu_ms: f64,
-    /// Memory, in bytes.
+    /// Resident memory, in bytes.
     pub memory: u64,
-    /// The most memory so far.
+    /// Peak resident memory, in bytes.
     pub peak: u64,
-    /// Descriptors.
+    /// The number of open descriptors.
     pub descriptors: u64,
 }
 
-/// What a process uses, as the kernel counts it.
+/// Reads the resource usage of a process from `/proc`.
 ///
 /// # Errors
-/// If there is no such process.
+/// If the process does not exist.
 pub fn usage(process: u32) -> io::Result<Usage> {
     let root = format!("/proc/{process}");
     let mut cpu_ns = 0;
     for task in std::fs::read_dir(format!("{root}/task"))? {
-        // A thread may end meanwhile.
+        // A thread may exit while its directory is read.
         let stat = std::fs::read_to_string(task?.path().join("schedstat")).unwrap_or_default();
-        cpu_ns += stat.split(' ').next().and_then(|word| word.parse::<u64>().ok()).unwrap_or(0);
+        cpu_ns += stat.split(' ').next().and_then(|first| first.parse::<u64>().ok()).unwrap_or(0);
     }
     let status = std::fs::read_to_string(format!("{root}/status"))?;
     let kilobytes = |key: &str| {
--- a/crates/lab/src/scale/wire.rs
+++ b/crates/lab/src/scale/wire.rs
@@ -1,4 +1,4 @@
-//! HTTP on a connection of a stand-in, with all that passes counted.
+//! HTTP connections of stand-ins that count their traffic.
 
 use std::cell::Cell;
 use std::io;
@@ -9,21 +9,21 @@
 use ironpaddle::http::parse::{Message, MessageKind, Parser};
 use serde::{Deserialize, Serialize};
 
-/// What passed between a stand-in and its neighbours of a kind.
+/// Message and byte counts between a stand-in and its peers of one kind.
 #[derive(Debug, Clone, Copy, Default, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Messages that came.
+    /// Received messages.
     pub messages_in: u64,
-    /// Messages that went.
+    /// Sent messages.
     pub messages_out: u64,
-    /// Bytes that came.
+    /// Received bytes.
     pub bytes_in: u64,
-    /// Bytes that went.
+    /// Sent bytes.
     pub bytes_out: u64,
 }
 
 impl Traffic {
-    /// What passed since an earlier moment.
+    /// Returns the traffic since an earlier sample.
     pub fn since(&self, earlier: &Traffic) -> Traffic {
         Traffic {
             messages_in: self.messages_in - earlier.messages_in,
@@ -33,8 +33,8 @@
         }
     }
 
-    /// The same, as the other side sees it.
-    pub fn turned(&self) -> Traffic {
+    /// Returns the same traffic from the peer's point of view: sent and received are swapped.
+    pub fn reversed(&self) -> Traffic {
         Traffic {
             messages_in: self.messages_out,
             messages_out: self.messages_in,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Both together.
-    pub fn and(&self, other: &Traffic) -> Traffic {
+    /// Returns the sum of both.
+    pub fn plus(&self, other: &Traffic) -> Traffic {
         Traffic {
             messages_in: self.messages_in + other.messages_in,
             messages_out: self.messages_out + other.messages_out,
@@ -54,44 +54,44 @@
     }
 }
 
-/// Counts that all connections of a kind share.
-pub type Count = Rc<Cell<Traffic>>;
+/// The counters that all connections of a kind share.
+pub type TrafficCounter = Rc<Cell<Traffic>>;
 
-/// Counts some more.
-pub fn add(count: &Count, more: Traffic) {
-    count.set(count.get().and(&more));
+/// Adds traffic to a counter.
+pub fn add(counter: &TrafficCounter, more: Traffic) {
+    counter.set(counter.get().plus(&more));
 }
 
-/// A connection.
-pub struct Wire {
+/// An HTTP connection that counts its traffic.
+pub struct Connection {
     stream: TcpStream,
     parser: Parser,
-    count: Count,
+    counter: TrafficCounter,
 }
 
-impl Wire {
-    /// A connection on which such messages come.
-    pub fn new(stream: TcpStream, kind: MessageKind, count: Count) -> io::Result<Self> {
+impl Connection {
+    /// Wraps a stream on which messages of the given kind are received.
+    pub fn new(stream: TcpStream, kind: MessageKind, counter: TrafficCounter) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        Ok(Wire { stream, parser: Parser::new(kind), count })
+        Ok(Connection { stream, parser: Parser::new(kind), counter })
     }
 
-    /// The next message; `None` at the end of the connection.
+    /// Reads the next message; `None` at the end of the connection.
     pub async fn read(&mut self) -> io::Result<Option<Message>> {
-        // Small, as thousands of connections wait here.
+        // The buffer is small because thousands of connections wait here.
         let mut bytes = [0; 2048];
         loop {
             let next = self.parser.next_message();
             if let Some(message) =
                 next.map_err(|bad| io::Error::new(io::ErrorKind::InvalidData, bad.to_string()))?
             {
-                add(&self.count, Traffic { messages_in: 1, ..Traffic::default() });
+                add(&self.counter, Traffic { messages_in: 1, ..Traffic::default() });
                 return Ok(Some(message));
             }
             match self.stream.read(&mut bytes).await? {
                 0 => return Ok(None),
                 read => {
-                    add(&self.count, Traffic { bytes_in: read as u64, ..Traffic::default() });
+                    add(&self.counter, Traffic { bytes_in: read as u64, ..Traffic::default() });
                     self.parser.push(&bytes[..read]);
                 }
             }
@@ -101,7 +101,7 @@
     /// Writes a message.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await?;
-        add(&self.count, Traffic { messages_out: 1, bytes_out: bytes.len() as u64, ..Traffic::default() });
+        add(&self.counter, Traffic { messages_out: 1, bytes_out: bytes.len() as u64, ..Traffic::default() });
         Ok(())
     }
 }
