--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -224,7 +224,8 @@
         update(&mut self.state.lock().unwrap_or_else(std::sync::PoisonError::into_inner))
     }
 
-    /// Records that all aggregators can know since a time that a run store drains, or that it no longer drains.
+    /// Records the time from which all aggregators that reach discovery can know that a run store drains, or that it no
+    /// longer drains (`None`).
     pub fn set_draining(&self, store: usize, since: Option<f64>) {
         self.with_state(|state| match since {
             Some(at) => drop(state.draining.insert(store, at)),
@@ -252,7 +253,7 @@
         self.with_state(|state| state.routes.get(&from).copied())
     }
 
-    /// Records that an aggregator is partitioned from discovery, or since when it is no longer.
+    /// Records that an aggregator is partitioned from discovery (`None`), or when its partition ended.
     pub fn set_partitioned(&self, aggregator: usize, ended: Option<f64>) {
         self.with_state(|state| state.partitioned.insert(aggregator, ended));
     }
@@ -298,7 +299,10 @@
                 if arrival.at > known_since + DRAIN_GRACE_MS + state.slack_ms {
                     let late = arrival.at - since;
                     state.report_violation("drain", || {
-                        format!("s-{} got {} {late:.0} ms after its drain began", arrival.store, arrival.part)
+                        format!(
+                            "s-{} got {} {late:.0} ms after its drain could be known",
+                            arrival.store, arrival.part
+                        )
                     });
                 }
             }
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -152,7 +152,7 @@
     })
 }
 
-/// All parts of a run.
+/// The run stores, aggregators, network and shared state of a run.
 pub struct World {
     pub clock: Clock,
     pub stores: Vec<Arc<RunStore>>,
@@ -527,7 +527,8 @@
     seconds
 }
 
-/// Shuts the aggregators down, compares the results with the traces and writes them. Returns whether all checks passed.
+/// Shuts the aggregators down, compares the results with the traces, and writes the results. Returns whether all checks
+/// passed.
 fn finish(
     options: &Options,
     world: &World,
@@ -641,8 +642,8 @@
     (0..seconds).map(at).collect()
 }
 
-/// Returns the seconds from the end of the last fault until full service, from which on every second of the run but the
-/// last earned nine tenths of its worth in time.
+/// Returns the seconds from the end of the last fault until full service, or `None` if it was not reached. Full service
+/// begins after the last second, not counting the final one, that earned less than nine tenths of its worth in time.
 fn recovery_seconds(flow: &[Flow], over: f64) -> Option<f64> {
     let poor = |second: &Flow| second.earned < FULL_SERVICE_SHARE * second.worth;
     let last = flow.len().saturating_sub(1);
--- a/crates/lab/src/soak/life.rs
+++ b/crates/lab/src/soak/life.rs
@@ -15,7 +15,7 @@
 use crate::scenario::{self, Fault};
 use crate::{aggregators, Api};
 
-/// Time after the signal to end in which an aggregator still accepts connections, in milliseconds.
+/// Time for which an aggregator still accepts connections after the signal to end, in milliseconds.
 const ACCEPTING_MS: f64 = 400.0;
 /// Time from the signal to end until the platform kills a process: the longest deadline, capped at 3 s, and 0.7 s more.
 const KILLED_AFTER: Duration = Duration::from_millis(3700);
@@ -110,7 +110,7 @@
     Ok(())
 }
 
-/// Waits for the exit of a process that got a signal to end, and kills it as early as the platform may.
+/// Waits for the exit of a process that got a signal to end, and kills it after [`KILLED_AFTER`].
 fn wait_for_exit(world: &World, no: usize, mut child: Child) -> Result<(), String> {
     let signalled = Instant::now();
     loop {
@@ -218,7 +218,9 @@
         Ok(())
     }
 
-    /// Returns the time from which discovery answers after a change at `at`; a watch may have broken before the change.
+    /// Returns when discovery can be reached again after a change at `at`, counting every outage that begins before
+    /// aggregators must know of the change: a watch may have broken before it, so that the change is not yet read when
+    /// the outage begins.
     fn discovery_reachable_from(&self, at: f64) -> f64 {
         let soak_faults = self.draw.soak_faults.iter().filter_map(|(from, soak_fault)| match soak_fault {
             SoakFault::Discovery(_, duration) if *from < at + DISCOVERY_DELAY_MS => Some(from + duration),
--- a/src/bin/ironpaddle-simhost/wire.rs
+++ b/src/bin/ironpaddle-simhost/wire.rs
@@ -27,6 +27,7 @@
 #[derive(Deserialize)]
 #[serde(tag = "type", rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum WireEvent {
+    /// Creates an instance.
     Hello {
         #[serde(rename = "co-ordinator")]
         instance: u64,
@@ -34,10 +35,9 @@
         #[serde(rename = "info")]
         site: Box<SiteSettings>,
     },
-    Register {
-        sheet: u32,
-        members_list: Vec<Member>,
-    },
+    /// Registers a list of run stores under the number `sheet`.
+    Register { sheet: u32, members_list: Vec<Member> },
+    /// An update of an instance's list of run stores, with the lines of the registered list `sheet`.
     Registry {
         #[serde(rename = "co-ordinator")]
         instance: u64,
@@ -45,11 +45,14 @@
         sheet: Option<u32>,
         kind: ListKind,
     },
+    /// A new query, or one part of a query.
     Accept(Box<Accept>),
+    /// Carries nothing for the module; the instance takes a step.
     Heard {
         #[serde(rename = "co-ordinator")]
         instance: u64,
     },
+    /// The end of an attempt.
     ClosedAttempt {
         #[serde(rename = "co-ordinator")]
         instance: u64,
@@ -61,11 +64,13 @@
         #[serde(default)]
         report: Option<Report>,
     },
+    /// The client of a query is gone.
     Lapsed {
         #[serde(rename = "co-ordinator")]
         instance: u64,
         request_id: String,
     },
+    /// The end of a probe.
     Checked {
         #[serde(rename = "co-ordinator")]
         instance: u64,
@@ -74,14 +79,17 @@
         #[serde(default)]
         report: Option<Report>,
     },
+    /// Carries nothing for the module; the instance takes a step.
     First {
         #[serde(rename = "co-ordinator")]
         instance: u64,
     },
+    /// Wakes an instance.
     TickDue {
         #[serde(rename = "co-ordinator")]
         instance: u64,
     },
+    /// Removes an instance.
     Down {
         #[serde(rename = "co-ordinator")]
         instance: u64,
@@ -93,19 +101,29 @@
 pub struct Accept {
     #[serde(rename = "co-ordinator")]
     pub instance: u64,
+    /// The identifier of the query or the part.
     pub request_id: String,
+    /// The name of a query's class; ignored for a part.
     pub grade: String,
+    /// The name of a query's tenant; ignored for a part, or if it is no text or not in the settings.
     #[serde(default)]
     pub user_group: Option<Value>,
+    /// The key of the data that the query or the part concerns.
     #[serde(default)]
     pub partition_key: Option<String>,
+    /// The deadline of a query; ignored for a part.
     pub valid_until_ms: f64,
+    /// The expected work of a part; ignored for a query.
     #[serde(default)]
     pub work_hint_ms: Option<f64>,
+    /// The number of the query, also on its parts.
     pub job_no: u64,
+    /// The shard of a part; negative for a query.
     pub slab: f64,
+    /// The number of parts of a query, or the weight of a part.
     #[serde(default)]
     pub amount: Option<f64>,
+    /// Whether the client marked a query as a retry; ignored for a part.
     #[serde(default)]
     pub repeat: Option<bool>,
 }
@@ -255,7 +273,7 @@
     }
 }
 
-/// Translates a list; returns `None` if the kind needs lines and there are none.
+/// Translates a list; returns `None` if the kind needs a sheet and `members` is `None`.
 pub fn list_update(kind: ListKind, sheet: Option<&Vec<Member>>) -> Option<api::ListUpdate> {
     let lines = || Some(sheet?.iter().map(Member::to_replica).collect());
     Some(match kind {
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -140,8 +140,8 @@
 /// The time span to which a command is limited.
 #[derive(Debug, Args)]
 pub struct Span {
-    /// From this time on: RFC 3339, Unix milliseconds, HH:MM[:SS] of the trace's first day (UTC), or +30s after its
-    /// beginning.
+    /// From this time on: RFC 3339, Unix milliseconds, HH:MM[:SS] of the trace's first day (UTC), or an offset such as
+    /// +30s from the trace's first entry.
     #[arg(long)]
     from: Option<String>,
     /// Up to this time.
@@ -288,7 +288,7 @@
     Ok(set)
 }
 
-/// Prints what could not be read on standard error. A missing index alone does not count as a problem.
+/// Prints on standard error what could not be read. A missing index alone does not count as a problem.
 fn report_troubles(set: &Set) -> Outcome {
     for (path, why) in &set.troubles {
         eprintln!("ironpaddle: {}: {why}", path.display());
@@ -336,7 +336,7 @@
         let header = reader.header().cloned().unwrap_or_default();
         let mut versions: Vec<u8> = Vec::new();
         let mut bad = 0;
-        // Each block has a version; unless all blocks are read, only that of the first one is.
+        // Each block has a version. Without `verify`, only the first block is read, so only its version is listed.
         for no in 0..if verify { blocks.len() } else { blocks.len().min(1) } {
             match reader.block(no) {
                 Ok(block) if !versions.contains(&block.version) => versions.push(block.version),
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -1,7 +1,8 @@
 //! Replays a recording: feeds the recorded events to the decision module again and compares each action.
 //!
-//! Replay begins at a checkpoint and stops at a loss, a gap, or the end; it resumes at the next checkpoint. The module
-//! reads no clock, and its random numbers come from its state, so the actions have to be identical to the bit.
+//! Replay begins at a checkpoint and stops at a gap (unless it runs under other settings), at an unusable checkpoint,
+//! or at the end. After a stop, it resumes at the next usable checkpoint. The module reads no clock, and its random
+//! numbers come from its state, so under the recorded settings the actions have to be identical to the bit.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -38,7 +39,8 @@
     pub events: u64,
     /// The number of actions compared.
     pub actions: u64,
-    /// The number of steps that could not be replayed, as no readable checkpoint precedes them.
+    /// The number of steps that could not be replayed, because no usable checkpoint lies between them and the start,
+    /// the last gap, or the last unusable checkpoint.
     pub skipped: u64,
     /// The reasons for which checkpoints could not be used, each once.
     pub unusable: Vec<String>,
@@ -114,8 +116,8 @@
         if let Some(other) = &self.other {
             settings = in_recorded_order(block, told, &settings, other);
         }
-        // Recorded settings were checked before they came into force. If the module rejects them all the same, the
-        // replayed actions differ, and that is reported.
+        // Other settings were checked when they were read, and recorded ones before they came into force. If the module
+        // rejects recorded settings all the same, the replayed actions differ, and that is reported.
         let _ = router.apply_settings(settings);
     }
 
@@ -206,7 +208,7 @@
     action
 }
 
-/// Formats an action with the names that the trace format has for its fields and values.
+/// Formats an action with the trace format's names for reasons and choices, and the module's names for all else.
 struct InTraceTerms<'a>(&'a Action);
 
 impl fmt::Debug for InTraceTerms<'_> {
--- a/tests/common/histories.rs
+++ b/tests/common/histories.rs
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Returns an update of the list: full, cached, partial or failed.
+    /// Changes the states, start times and cells of some replicas at random and returns an update of the list: full,
+    /// cached, partial or failed.
     fn list(&mut self) -> Event {
         let (random, now) = (&mut self.random, self.now);
         // Sometimes all replicas of one cell leave.
@@ -388,7 +389,7 @@
     }
 }
 
-/// Plays the history of a seed for so many steps, with a look at the router after each; a digest of all its actions.
+/// Plays `steps` steps of the history of a seed, calls `look` after each, and returns the digest.
 pub fn play(seed: u64, steps: usize, mut look: impl FnMut(&Router)) -> u64 {
     let mut history = History::new(seed);
     let lines = history.lines.clone();
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -102,8 +102,8 @@
     // Whether a frame is being written.
     let mut writing = false;
     let (mut in_frame, mut in_proof) = (0, false);
-    // Calls abandoned with proof while being written; calls cancelled by a `2` frame; and per probe in flight, the
-    // calls that it proves ended.
+    // Calls abandoned while being written whose end is to be proved; calls cancelled by a `2` frame; and per probe in
+    // flight, the calls that it proves ended.
     let (mut cancel_after_write, mut cancelled): (BTreeSet<u64>, BTreeSet<u64>) = Default::default();
     let mut proofs: VecDeque<Vec<u64>> = VecDeque::new();
     for (at, step) in steps.iter().enumerate() {
@@ -139,7 +139,8 @@
                         proofs.push_back(new);
                     }
                     if frame[4] == b'1' {
-                        // A frame carries calls up to the limit, or up to an abandoned call between them.
+                        // A frame carries queued calls in order, at most `bundle` of them, and fewer if a cancellation
+                        // or a probe is queued between them.
                         let carried = frame.windows(4).filter(|words| words == b"text").count();
                         prop_assert!((1..=bundle).contains(&carried));
                         let queued = model.values_mut().filter(|state| **state == CallState::Queued);
--- a/tests/sockets/aggregator.rs
+++ b/tests/sockets/aggregator.rs
@@ -219,7 +219,7 @@
         self.folder.path.join("ironpaddle-n0.sock")
     }
 
-    /// Waits until a further process can connect to this one for a handover.
+    /// Waits until the handover socket exists.
     pub fn wait_for_handover_socket(&self) {
         let begun = Instant::now();
         while !self.handover_socket().exists() {
--- a/tests/sockets/stand_in.rs
+++ b/tests/sockets/stand_in.rs
@@ -84,7 +84,8 @@
     pub cancelled: Vec<usize>,
     /// How each run store that holds a part continues.
     pub releases: BTreeMap<usize, Release>,
-    /// Held parts by run store and shard: those that the run store has neither ended nor seen cancelled.
+    /// Parts for which a run store stopped reading (`StopReading`, `GarbageThenStopReading`), by run store and shard,
+    /// until it answers them, reads a cancellation, or the connection ends.
     held: BTreeSet<(usize, u32)>,
     /// Parts that arrived while a run store still held a part of the same shard.
     pub second_copies: usize,
@@ -110,7 +111,7 @@
     acknowledged_version: usize,
 }
 
-/// Upper limit of every wait for an event. No test measures against it.
+/// Upper limit of every wait for an event. It only ends a test that hangs; no test depends on its length.
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
 impl Backends {
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -1,4 +1,4 @@
-//! One small test per kind of fault that the router handles.
+//! Tests how the router handles faults, and a few other rules that it keeps.
 
 mod common;
 use common::*;
@@ -349,7 +349,7 @@
 fn a_stall_of_the_router_parks_no_replica_and_cancels_nothing() {
     let (mut router, now) = warmed_up(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     assert_eq!(sends(&router.step(now, query(1, 1, now + 3000.0))).len(), 1);
-    // The wake requested within a few ticks arrives after 900 ms: the router itself stalled.
+    // A wake was due within a few ticks but arrives after 900 ms: the router itself stalled.
     let after = router.step(now + 900.0, vec![Event::Wake]);
     assert!(parked(&after).is_empty());
     assert!(!after.iter().any(|action| matches!(action, Action::Cancel { .. })));
@@ -380,8 +380,8 @@
         final_answers(&actions).contains(&format!("refuse q{n}"))
     });
     assert!(refused);
-    // While all queries are refused, nothing is measured, so the estimate has to expire with time. By then nothing is
-    // in flight any more.
+    // While all queries of the class are refused, its query time is not measured, so the learned one has to decay with
+    // time. At `end`, nothing is in flight any more.
     let end = now + 12_000.0;
     run(&mut router, now + 250.0, end);
     let actions = router.step(end + 5.0, query(999, 1, end + 3000.0));
@@ -455,7 +455,7 @@
     let events =
         others.chain(again).map(|(part, n, to)| ended(part, n, to, Outcome::Completed, 50.0)).collect();
     assert_eq!(final_answers(&router.step(now + 80.0, events)), ["whole q1"]);
-    // Nor does each lost part count as a failure of the replica, which still gets parts.
+    // Lost parts on one broken connection do not each count as a failure of the replica either: it still gets parts.
     let now = now + 500.0;
     run(&mut router, now - 415.0, now - 5.0);
     let sent = sends(&router.step(now, query(2, 16, now + 3500.0)));
@@ -498,7 +498,7 @@
     let mut s = settings(RepeatPolicy::Unsafe);
     s.classes.push(class(RepeatPolicy::Safe));
     let (mut router, mut now) = warmed_up(s, &["a", "b"]);
-    // Safe parts continue, and every tenth at `a` is lost; the last eight parts there were all answered.
+    // Safe parts are still sent to `a`, and every tenth there is lost; the last eight parts there were all answered.
     let mut at_a = 0;
     for n in 1..200u64 {
         let mut events = query(n, 1, now + 3000.0);
