--- a/crates/lab/src/check.rs
+++ b/crates/lab/src/check.rs
@@ -198,12 +198,12 @@
     }
 
     /// Records that the last byte of a query is about to be written, and that its client waits for `wait` milliseconds.
-    pub fn request_written(&self, query: &str, at: f64, wait: f64) {
+    pub fn record_client_deadline(&self, query: &str, at: f64, wait: f64) {
         self.with_state(|state| state.client_deadlines.insert(query.to_string(), at + wait));
     }
 
     /// Records that the client of a query has closed its connection.
-    pub fn client_left(&self, query: &str, at: f64) {
+    pub fn record_client_left(&self, query: &str, at: f64) {
         self.with_state(|state| state.client_left.insert(query.to_string(), at));
     }
 
--- a/crates/lab/src/check/tests.rs
+++ b/crates/lab/src/check/tests.rs
@@ -80,12 +80,12 @@
 #[test]
 fn attempts_after_the_client_left_or_with_too_long_timeouts_and_cold_overload_are_reported() {
     let checker = Checker::default();
-    checker.request_written("a", 1000.0, 500.0);
+    checker.record_client_deadline("a", 1000.0, 500.0);
     let arrival = |query: &str, at, timeout_ms| Arrival { timeout_ms, ..part(query, at, false) };
     checker.check_arrival(arrival("a", 1200.0, 450.0));
     assert!(checker.violations().is_empty(), "300 ms left, and 150 ms are tolerated");
     checker.check_arrival(arrival("a", 1200.0, 451.0));
-    checker.client_left("b", 2000.0);
+    checker.record_client_left("b", 2000.0);
     checker.check_arrival(arrival("b", 2100.0, 0.0));
     checker.check_arrival(arrival("b", 2101.0, 0.0));
     // At its start the tolerated rate is 2 x 0.5 x 10, and the limit is 10 + 3 x sqrt(10) + 3.
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -584,9 +584,9 @@
         println!("trace compared with the results of clients: {compared}");
     }
     let flow = flow(world, begin, options.seconds as u64);
-    let over =
+    let last_fault_end_s =
         lines.iter().map(|line| line.at + line.fault.targets_and_duration().1).fold(0.0, f64::max) / 1000.0;
-    let recovered = recovery_seconds(&flow, over);
+    let recovered = recovery_seconds(&flow, last_fault_end_s);
     let (asked_for, earned) = flow.iter().fold((0.0, 0.0), |sum, at| (sum.0 + at.worth, sum.1 + at.earned));
     let in_time = earned / f64::max(asked_for, 1.0);
     println!("worth earned in time: {in_time:.3} of the worth asked for");
@@ -644,11 +644,11 @@
 
 /// Returns the seconds from the end of the last fault until full service, or `None` if it was not reached. Full service
 /// begins after the last second, not counting the final one, that earned less than nine tenths of its worth in time.
-fn recovery_seconds(flow: &[Flow], over: f64) -> Option<f64> {
+fn recovery_seconds(flow: &[Flow], last_fault_end_s: f64) -> Option<f64> {
     let poor = |second: &Flow| second.earned < FULL_SERVICE_SHARE * second.worth;
     let last = flow.len().saturating_sub(1);
     let full = flow[..last].iter().rposition(poor).map_or(0, |at| at + 1);
-    (full < last).then(|| (full as f64 - over).max(0.0))
+    (full < last).then(|| (full as f64 - last_fault_end_s).max(0.0))
 }
 
 /// Share of worth earned in time that counts as full service.
--- a/crates/lab/src/soak/guests.rs
+++ b/crates/lab/src/soak/guests.rs
@@ -84,7 +84,7 @@
         let now = self.world.clock.now();
         let shards = query.parts.iter().map(|(shard, _)| *shard);
         self.world.checker.register_query(query.id.clone(), shards, CLASSES[query.class].safe);
-        self.world.checker.request_written(&query.id, now, wait);
+        self.world.checker.record_client_deadline(&query.id, now, wait);
         now
     }
 
@@ -206,7 +206,7 @@
         let stays = if random.bool() { 0 } else { random.u64(..300) };
         thread::sleep(Duration::from_millis(stays));
         drop(stream);
-        self.world.checker.client_left(&query.id, self.world.clock.now());
+        self.world.checker.record_client_left(&query.id, self.world.clock.now());
         Ok(())
     }
 
--- a/src/bin/ironpaddle-simhost/wire.rs
+++ b/src/bin/ironpaddle-simhost/wire.rs
@@ -274,8 +274,8 @@
 }
 
 /// Translates a list; returns `None` if the kind needs a sheet and `members` is `None`.
-pub fn list_update(kind: ListKind, sheet: Option<&Vec<Member>>) -> Option<api::ListUpdate> {
-    let lines = || Some(sheet?.iter().map(Member::to_replica).collect());
+pub fn list_update(kind: ListKind, members: Option<&Vec<Member>>) -> Option<api::ListUpdate> {
+    let lines = || Some(members?.iter().map(Member::to_replica).collect());
     Some(match kind {
         ListKind::Patch => api::ListUpdate::Changes(lines()?),
         ListKind::Whole => api::ListUpdate::Full(lines()?),
--- a/src/cli/trace.rs
+++ b/src/cli/trace.rs
@@ -222,11 +222,11 @@
 /// Returns a callback that prints the progress of reading on standard error, in percent.
 fn print_progress() -> ironpaddle_trace::set::Progress {
     let mut printed = 0;
-    Box::new(move |read, all| {
-        let part = read * 100 / all.max(1);
-        if part != printed {
-            printed = part;
-            eprint!("\r{part} %{}", if part == 100 { "\r     \r" } else { "" });
+    Box::new(move |read, total| {
+        let percent = read * 100 / total.max(1);
+        if percent != printed {
+            printed = percent;
+            eprint!("\r{percent} %{}", if percent == 100 { "\r     \r" } else { "" });
         }
     })
 }
@@ -449,8 +449,8 @@
             writeln!(out, "{} {} {value}", format_time(entry.at), names[source])
         }
     };
-    set.each(span, |met| {
-        if let (Item::Entry(source, block, entry), None) = (met, &failed) {
+    set.each(span, |item| {
+        if let (Item::Entry(source, block, entry), None) = (item, &failed) {
             if (span.0..=span.1).contains(&entry.at) {
                 failed = print(source, block, entry).err();
             }
@@ -524,7 +524,7 @@
     let mut replays: Vec<Replay> = set.sources.iter().map(|_| Replay::new(other.clone())).collect();
     let started = std::time::Instant::now();
     let span = set.span().unwrap_or_default();
-    set.blockwise((f64::NEG_INFINITY, f64::INFINITY), |met| match met {
+    set.blockwise((f64::NEG_INFINITY, f64::INFINITY), |item| match item {
         Item::Entry(source, block, entry) => {
             replays[source].take(block, entry);
         }
@@ -532,7 +532,7 @@
     });
     let elapsed_s = started.elapsed().as_secs_f64();
     let reports: Vec<Report> = replays.into_iter().map(Replay::report).collect();
-    let differs = reports.iter().any(|report| report.difference.is_some() || report.checkpoints == 0);
+    let problem_found = reports.iter().any(|report| report.difference.is_some() || report.checkpoints == 0);
     let names = set.sources.iter().map(|source| source.aggregator.clone());
     if json {
         let rows: Vec<_> =
@@ -570,7 +570,7 @@
         }
     }
     report_troubles(&set);
-    Ok(if differs { Outcome::ProblemFound } else { Outcome::Success })
+    Ok(if problem_found { Outcome::ProblemFound } else { Outcome::Success })
 }
 
 /// Reads a settings object from a file that holds only this object, or from a configuration file.
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -97,7 +97,7 @@
                     }
                 }
             }
-            Record::Settings(told) => self.apply_settings(block, told),
+            Record::Settings(applied) => self.apply_settings(block, applied),
             Record::Step(step) => self.step(block, entry.at, step),
             _ => {}
         }
@@ -110,11 +110,11 @@
         }
     }
 
-    fn apply_settings(&mut self, block: &Block, told: &AppliedSettings) {
+    fn apply_settings(&mut self, block: &Block, applied: &AppliedSettings) {
         let Some(router) = &mut self.router else { return };
-        let Ok(mut settings) = postcard::from_bytes::<Settings>(&told.module) else { return };
+        let Ok(mut settings) = postcard::from_bytes::<Settings>(&applied.module) else { return };
         if let Some(other) = &self.other {
-            settings = in_recorded_order(block, told, &settings, other);
+            settings = in_recorded_order(block, applied, &settings, other);
         }
         // Other settings were checked when they were read, and recorded ones before they came into force. If the module
         // rejects recorded settings all the same, the replayed actions differ, and that is reported.
@@ -248,22 +248,22 @@
 /// not name keep their recorded settings.
 fn in_recorded_order(
     block: &Block,
-    told: &AppliedSettings,
+    applied: &AppliedSettings,
     recorded: &Settings,
     other: &SiteSettings,
 ) -> Settings {
     let (mut settings, names) = (other.router_settings(), other.names());
-    let place = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
-    let class = |(at, name): (usize, &record::Name)| {
-        let own = place(&names.classes, *name).and_then(|place| settings.classes.get(place));
-        own.or(recorded.classes.get(at)).cloned()
+    let index_in = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
+    let class = |(recorded_index, name): (usize, &record::Name)| {
+        let own = index_in(&names.classes, *name).and_then(|index| settings.classes.get(index));
+        own.or(recorded.classes.get(recorded_index)).cloned()
     };
-    let group = |(at, name): (usize, &record::Name)| {
-        let own = place(&names.tenants, *name).and_then(|place| settings.tenants.get(place));
-        own.or(recorded.tenants.get(at)).cloned()
+    let group = |(recorded_index, name): (usize, &record::Name)| {
+        let own = index_in(&names.tenants, *name).and_then(|index| settings.tenants.get(index));
+        own.or(recorded.tenants.get(recorded_index)).cloned()
     };
-    let classes: Vec<_> = told.classes.iter().enumerate().filter_map(class).collect();
-    let tenants: Vec<_> = told.groups.iter().enumerate().filter_map(group).collect();
+    let classes: Vec<_> = applied.classes.iter().enumerate().filter_map(class).collect();
+    let tenants: Vec<_> = applied.groups.iter().enumerate().filter_map(group).collect();
     (settings.classes, settings.tenants) = (classes, tenants);
     settings
 }
--- a/tests/common/histories.rs
+++ b/tests/common/histories.rs
@@ -61,7 +61,7 @@
     in_flight: BTreeMap<(PartId, Attempt), (Millis, Outcome, ReplicaId, Millis)>,
     attempts: BTreeMap<PartId, u32>,
     open: BTreeMap<u64, Query>,
-    next: u64,
+    last_query: u64,
     probed: Vec<ReplicaId>,
     /// Folded from the seed and the encoded actions of every step.
     digest: u64,
@@ -149,7 +149,7 @@
             in_flight: BTreeMap::new(),
             attempts: BTreeMap::new(),
             open: BTreeMap::new(),
-            next: 0,
+            last_query: 0,
             probed: Vec::new(),
             digest: seed,
         }
@@ -200,8 +200,8 @@
     }
 
     fn query(&mut self) -> Vec<Event> {
-        self.next += 1;
-        let (number, random) = (self.next, &mut self.random);
+        self.last_query += 1;
+        let (number, random) = (self.last_query, &mut self.random);
         let id = QueryId::from(format!("q{number}").as_str());
         let class = random.below(self.settings.classes.len());
         let parts = 1 + random.below(6) as u32;
@@ -283,7 +283,7 @@
         events
     }
 
-    fn carry(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { part, replica, timeout, .. } => {
                 let count = self.attempts.entry(part.clone()).or_default();
@@ -336,7 +336,7 @@
             self.router.apply_settings(self.settings.clone()).expect("valid settings");
         }
         if self.random.chance(0.005) {
-            let seed = self.next ^ self.digest;
+            let seed = self.last_query ^ self.digest;
             let mut after = Router::new(self.settings.clone(), seed).expect("valid settings");
             // An infinite value cannot be written as JSON: the new process then starts without learned state.
             let understood = after.import_learned(&self.router.export_learned());
@@ -385,7 +385,7 @@
         let events = self.events();
         let actions = self.router.step(self.now, events);
         self.digest = hash(&format!("{} {}", self.digest, encoding::encode(&actions)));
-        actions.into_iter().for_each(|action| self.carry(action));
+        actions.into_iter().for_each(|action| self.carry_out(action));
     }
 }
 
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -101,7 +101,7 @@
     let mut model: BTreeMap<u64, CallState> = BTreeMap::new();
     // Whether a frame is being written.
     let mut writing = false;
-    let (mut in_frame, mut in_proof) = (0, false);
+    let (mut calls_in_frame, mut writing_probe) = (0, false);
     // Calls abandoned while being written whose end is to be proved; calls cancelled by a `2` frame; and per probe in
     // flight, the calls that it proves ended.
     let (mut cancel_after_write, mut cancelled): (BTreeSet<u64>, BTreeSet<u64>) = Default::default();
@@ -118,7 +118,7 @@
             }
             Step::Frame if !writing => {
                 if let Some(frame) = link.next_frame(|_| 5) {
-                    (writing, in_frame, in_proof) = (true, 0, frame[4] == b'3');
+                    (writing, calls_in_frame, writing_probe) = (true, 0, frame[4] == b'3');
                     prop_assert_eq!(
                         u32::from_le_bytes(frame[..4].try_into().unwrap()) as usize,
                         frame.len() - 4
@@ -146,14 +146,14 @@
                         let queued = model.values_mut().filter(|state| **state == CallState::Queued);
                         let taken = queued.take(carried).map(|state| *state = CallState::Writing).count();
                         prop_assert_eq!(carried, taken);
-                        in_frame = carried;
+                        calls_in_frame = carried;
                     }
                 }
             }
             Step::Written if writing => {
                 writing = false;
                 // A call abandoned while it was being written is still written to its end.
-                prop_assert_eq!(link.mark_written(now), in_frame);
+                prop_assert_eq!(link.mark_written(now), calls_in_frame);
                 let being_written = model.values_mut().filter(|state| **state == CallState::Writing);
                 being_written.for_each(|state| *state = CallState::Written);
                 for no in std::mem::take(&mut cancel_after_write) {
@@ -205,7 +205,7 @@
                     }
                 }
             }
-            Step::ProbeAnswered if !(writing && in_proof) => {
+            Step::ProbeAnswered if !(writing && writing_probe) => {
                 let proved = proofs.pop_front().unwrap_or_default();
                 let expected: Vec<u64> =
                     proved.into_iter().filter(|no| model[no] == CallState::AwaitingProof).collect();
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn a_connection_that_stays_silent_long_after_a_call_is_presumed_dead() {
+fn a_connection_with_no_answer_for_long_after_a_call_is_presumed_dead() {
     let start = Instant::now();
     let mut link = ConnectionState::new(1, start, USUAL);
     link.push(call(0));
@@ -460,7 +460,7 @@
 }
 
 #[test]
-fn a_call_abandoned_before_its_last_byte_is_cancelled_after_it_or_never_ran() {
+fn a_call_abandoned_while_being_written_is_cancelled_afterwards_or_never_ran() {
     let now = Instant::now();
     for whole in [true, false] {
         let mut link = ConnectionState::new(1, now, USUAL);
--- a/tests/sockets/aggregator.rs
+++ b/tests/sockets/aggregator.rs
@@ -143,7 +143,7 @@
         let stores: Vec<_> =
             (0..stores).map(|store| stand_in::start_run_store(&backends, wire, store)).collect();
         let config = config(wire, &stores, max_open, &backends);
-        Aggregator::spawn(wire, backends, stores, &config, None)
+        Aggregator::write_config_and_start(wire, backends, stores, &config, None)
     }
 
     /// Starts an aggregator with a configuration that the test has changed.
@@ -167,10 +167,10 @@
             (0..stores).map(|store| stand_in::start_run_store(&backends, wire, store)).collect();
         let mut config = config(wire, &stores, 1000, &backends);
         change(&mut config, &stores);
-        Aggregator::spawn(wire, backends, stores, &config, faults)
+        Aggregator::write_config_and_start(wire, backends, stores, &config, faults)
     }
 
-    fn spawn(
+    fn write_config_and_start(
         wire: Wire,
         backends: Arc<Backends>,
         stores: Vec<SocketAddr>,
@@ -179,7 +179,7 @@
     ) -> Self {
         let folder = Folder::new(faults.map(str::to_string));
         std::fs::write(folder.config_path(), config.to_string()).unwrap();
-        Aggregator::run(wire, backends, stores, folder)
+        Aggregator::start_process(wire, backends, stores, folder)
     }
 
     /// Sets the faults of the processes that are started from now on.
@@ -199,7 +199,7 @@
     /// Starts a further process of this aggregator, which takes over from the running one.
     pub fn start_successor(&self) -> Self {
         self.wait_for_handover_socket();
-        Aggregator::run(self.wire, self.backends.clone(), self.stores.clone(), self.folder.clone())
+        Aggregator::start_process(self.wire, self.backends.clone(), self.stores.clone(), self.folder.clone())
     }
 
     /// Starts a further process, asserts that it fails, and returns what it wrote to standard error.
@@ -232,7 +232,12 @@
         }
     }
 
-    fn run(wire: Wire, backends: Arc<Backends>, stores: Vec<SocketAddr>, folder: Arc<Folder>) -> Self {
+    fn start_process(
+        wire: Wire,
+        backends: Arc<Backends>,
+        stores: Vec<SocketAddr>,
+        folder: Arc<Folder>,
+    ) -> Self {
         let mut child = folder.command().stderr(Stdio::piped()).spawn().unwrap();
         let (sender, log) = mpsc::channel();
         let stderr = BufReader::new(child.stderr.take().unwrap());
--- a/tests/troubles.rs
+++ b/tests/troubles.rs
@@ -334,11 +334,12 @@
 }
 
 #[test]
-fn failed_connections_park_more_than_the_quarter_that_limits_parking_for_silence() {
+fn failed_connections_may_park_all_replicas() {
     let (mut router, now) = warmed_up(settings(RepeatPolicy::Safe), &["a", "b", "c", "d"]);
     let sent = sends(&router.step(now, query(1, 4, now + 3000.0)));
     let events = sent.iter().map(|(part, to)| ended(part, 0, to, Outcome::ConnectFailed, 1.0)).collect();
     let after = router.step(now + 5.0, events);
+    // Suspicion for silence parks at most a quarter of the replicas; a failed connection has no such limit.
     assert_eq!(parked(&after).len(), 4);
     // All are parked: the parts wait for the silence timeout before the next attempt, and the query stays open.
     assert!(sends(&after).is_empty() && final_answers(&after).is_empty());
