--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -1,7 +1,8 @@
 //! Replays a recording: feeds the recorded events to the decision module again and compares each action.
 //!
-//! Replay begins at a checkpoint and stops at a loss, a gap, or the end; it resumes at the next checkpoint. The module
-//! reads no clock, and its random numbers come from its state, so the actions have to be identical to the bit.
+//! Replay begins at a checkpoint and stops at a gap (unless it runs under other settings), at an unusable checkpoint,
+//! or at the end. After a stop, it resumes at the next usable checkpoint. The module reads no clock, and its random
+//! numbers come from its state, so under the recorded settings the actions have to be identical to the bit.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -38,7 +39,8 @@
     pub events: u64,
     /// The number of actions compared.
     pub actions: u64,
-    /// The number of steps that could not be replayed, as no readable checkpoint precedes them.
+    /// The number of steps that could not be replayed, because no usable checkpoint lies between them and the start,
+    /// the last gap, or the last unusable checkpoint.
     pub skipped: u64,
     /// The reasons for which checkpoints could not be used, each once.
     pub unusable: Vec<String>,
@@ -95,7 +97,7 @@
                     }
                 }
             }
-            Record::Settings(told) => self.apply_settings(block, told),
+            Record::Settings(applied) => self.apply_settings(block, applied),
             Record::Step(step) => self.step(block, entry.at, step),
             _ => {}
         }
@@ -108,14 +110,14 @@
         }
     }
 
-    fn apply_settings(&mut self, block: &Block, told: &AppliedSettings) {
+    fn apply_settings(&mut self, block: &Block, applied: &AppliedSettings) {
         let Some(router) = &mut self.router else { return };
-        let Ok(mut settings) = postcard::from_bytes::<Settings>(&told.module) else { return };
+        let Ok(mut settings) = postcard::from_bytes::<Settings>(&applied.module) else { return };
         if let Some(other) = &self.other {
-            settings = in_recorded_order(block, told, &settings, other);
+            settings = in_recorded_order(block, applied, &settings, other);
         }
-        // Recorded settings were checked before they came into force. If the module rejects them all the same, the
-        // replayed actions differ, and that is reported.
+        // Other settings were checked when they were read, and recorded ones before they came into force. If the module
+        // rejects recorded settings all the same, the replayed actions differ, and that is reported.
         let _ = router.apply_settings(settings);
     }
 
@@ -206,7 +208,7 @@
     action
 }
 
-/// Formats an action with the names that the trace format has for its fields and values.
+/// Formats an action with the trace format's names for reasons and choices, and the module's names for all else.
 struct InTraceTerms<'a>(&'a Action);
 
 impl fmt::Debug for InTraceTerms<'_> {
@@ -246,22 +248,22 @@
 /// not name keep their recorded settings.
 fn in_recorded_order(
     block: &Block,
-    told: &AppliedSettings,
+    applied: &AppliedSettings,
     recorded: &Settings,
     other: &SiteSettings,
 ) -> Settings {
     let (mut settings, names) = (other.router_settings(), other.names());
-    let place = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
-    let class = |(at, name): (usize, &record::Name)| {
-        let own = place(&names.classes, *name).and_then(|place| settings.classes.get(place));
-        own.or(recorded.classes.get(at)).cloned()
+    let index_in = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
+    let class = |(recorded_index, name): (usize, &record::Name)| {
+        let own = index_in(&names.classes, *name).and_then(|index| settings.classes.get(index));
+        own.or(recorded.classes.get(recorded_index)).cloned()
     };
-    let group = |(at, name): (usize, &record::Name)| {
-        let own = place(&names.tenants, *name).and_then(|place| settings.tenants.get(place));
-        own.or(recorded.tenants.get(at)).cloned()
+    let group = |(recorded_index, name): (usize, &record::Name)| {
+        let own = index_in(&names.tenants, *name).and_then(|index| settings.tenants.get(index));
+        own.or(recorded.tenants.get(recorded_index)).cloned()
     };
-    let classes: Vec<_> = told.classes.iter().enumerate().filter_map(class).collect();
-    let tenants: Vec<_> = told.groups.iter().enumerate().filter_map(group).collect();
+    let classes: Vec<_> = applied.classes.iter().enumerate().filter_map(class).collect();
+    let tenants: Vec<_> = applied.groups.iter().enumerate().filter_map(group).collect();
     (settings.classes, settings.tenants) = (classes, tenants);
     settings
 }
--- a/tests/common/histories.rs
+++ b/tests/common/histories.rs
@@ -61,7 +61,7 @@
     in_flight: BTreeMap<(PartId, Attempt), (Millis, Outcome, ReplicaId, Millis)>,
     attempts: BTreeMap<PartId, u32>,
     open: BTreeMap<u64, Query>,
-    next: u64,
+    last_query: u64,
     probed: Vec<ReplicaId>,
     /// Folded from the seed and the encoded actions of every step.
     digest: u64,
@@ -149,13 +149,14 @@
             in_flight: BTreeMap::new(),
             attempts: BTreeMap::new(),
             open: BTreeMap::new(),
-            next: 0,
+            last_query: 0,
             probed: Vec::new(),
             digest: seed,
         }
     }
 
-    /// Returns an update of the list: full, cached, partial or failed.
+    /// Changes the states, start times and cells of some replicas at random and returns an update of the list: full,
+    /// cached, partial or failed.
     fn list(&mut self) -> Event {
         let (random, now) = (&mut self.random, self.now);
         // Sometimes all replicas of one cell leave.
@@ -199,8 +200,8 @@
     }
 
     fn query(&mut self) -> Vec<Event> {
-        self.next += 1;
-        let (number, random) = (self.next, &mut self.random);
+        self.last_query += 1;
+        let (number, random) = (self.last_query, &mut self.random);
         let id = QueryId::from(format!("q{number}").as_str());
         let class = random.below(self.settings.classes.len());
         let parts = 1 + random.below(6) as u32;
@@ -282,7 +283,7 @@
         events
     }
 
-    fn carry(&mut self, action: Action) {
+    fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { part, replica, timeout, .. } => {
                 let count = self.attempts.entry(part.clone()).or_default();
@@ -335,7 +336,7 @@
             self.router.apply_settings(self.settings.clone()).expect("valid settings");
         }
         if self.random.chance(0.005) {
-            let seed = self.next ^ self.digest;
+            let seed = self.last_query ^ self.digest;
             let mut after = Router::new(self.settings.clone(), seed).expect("valid settings");
             // An infinite value cannot be written as JSON: the new process then starts without learned state.
             let understood = after.import_learned(&self.router.export_learned());
@@ -384,11 +385,11 @@
         let events = self.events();
         let actions = self.router.step(self.now, events);
         self.digest = hash(&format!("{} {}", self.digest, encoding::encode(&actions)));
-        actions.into_iter().for_each(|action| self.carry(action));
+        actions.into_iter().for_each(|action| self.carry_out(action));
     }
 }
 
-/// Plays the history of a seed for so many steps, with a look at the router after each; a digest of all its actions.
+/// Plays `steps` steps of the history of a seed, calls `look` after each, and returns the digest.
 pub fn play(seed: u64, steps: usize, mut look: impl FnMut(&Router)) -> u64 {
     let mut history = History::new(seed);
     let lines = history.lines.clone();
