--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -30,7 +30,7 @@
 }
 
 /// The rewording across which recordings can be replayed.
-pub const REWORDING: Rewording = Rewording { text: 0x27a6fa8014d1ebb7, before: 0x27a6fa8014d1ebb7 };
+pub const REWORDING: Rewording = Rewording { text: 0x47210a1719c17c8d, before: 0x27a6fa8014d1ebb7 };
 
 /// Returns whether the decision module whose text has the hash `present` can read a checkpoint written by the module
 /// whose text has the hash `recorded`: if both texts are the same, or if the present one was reworded from the recorded
