--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -47,7 +47,7 @@
     Fleet(demo::Fleet),
     /// Run small fleets drawn from seeds, with several faults in the same window, and check the rules.
     Soak(soak::Options),
-    /// Run hollow aggregators with real ones, and measure what each role uses and how soon changes take effect.
+    /// Run simulated aggregators with real ones, and measure what each role uses and how soon changes take effect.
     Scale(scale::Options),
     /// Play one role of a scale run; the scale run starts these processes itself.
     #[command(hide = true)]
--- a/src/api.rs
+++ b/src/api.rs
@@ -430,7 +430,7 @@
 }
 
 impl Cause {
-    /// Returns the code that stands for the cause in logs, metrics and traces.
+    /// Returns the code of the cause in logs, metrics and traces.
     pub fn code(self) -> &'static str {
         match self {
             Cause::NoList => "no_list",
--- a/src/asking.rs
+++ b/src/asking.rs
@@ -19,7 +19,7 @@
 
 /// Longest time until a change of the list reaches a router, from when the discovery service has the change
 /// and can be reached. After that the change counts as received even if it has not come, so calls, watches
-/// and backoff are bounded such that the next list arrives within this time.
+/// and backoff are bounded so that the next list arrives within this time.
 pub const MAX_LIST_DELAY: Millis = 6000.0;
 /// Time from the start of the connect after which a call for the whole list is repeated on a second
 /// connection, as the service may only be slow; both end after twice this time. The service handles calls
--- a/src/core/ledger.rs
+++ b/src/core/ledger.rs
@@ -70,7 +70,7 @@
     pub abandoned: Option<Outcome>,
 }
 
-/// What the core knows of a listed run store.
+/// Holds what the core knows of a listed run store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunStoreEntry {
     /// Its line in the latest list.
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -47,7 +47,7 @@
     /// The time on the old process's clock, to which all times in this state refer. `None` from an older version.
     #[serde(default)]
     pub now: Option<Millis>,
-    /// Whether operators have shut clients out.
+    /// Whether an operator has closed the gate to clients.
     #[serde(rename = "shut")]
     pub shut_by_operator: bool,
     /// Whether the trace recording was on. `None` from an older version.
--- a/src/lag.rs
+++ b/src/lag.rs
@@ -36,7 +36,7 @@
         self.max_lag = DecayingMean(lateness.max(self.max_lag.at(now, half_life)), now);
     }
 
-    /// Returns how much earlier than its aim an answer is to be sent.
+    /// Returns how much earlier than its aim an answer has to be sent.
     pub fn answer_margin(&self, now: Millis, aim: Millis, half_life: Millis) -> Millis {
         (self.max_lag.at(now, half_life) * LAGS_PER_ANSWER).min(aim * STALL_OF_AIM)
     }
--- a/src/replica_index.rs
+++ b/src/replica_index.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Replicas, by number, in the order of some time.
+/// The numbers of replicas, each with a time, in the order of these times.
 type ByTime = BTreeSet<(OrderedTime, u64)>;
 
 /// The index of all replicas.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -18,7 +18,7 @@
     /// The number of aggregators in front of the same run stores; 1 by default.
     #[serde(default)]
     pub balancers: Option<u32>,
-    /// What the site permits.
+    /// The limits and permissions of the site.
     #[serde(default)]
     pub caps: Caps,
     /// The layout of shards and the requirements on answers.
@@ -88,7 +88,8 @@
     NonIdempotent,
 }
 
-/// What the site permits. A limit that is absent or null takes the default of its accessor method.
+/// Holds the limits and permissions of the site. A limit that is absent or null takes the default of its accessor
+/// method.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Caps {
--- a/src/starts.rs
+++ b/src/starts.rs
@@ -2,7 +2,7 @@
 //!
 //! Lists give start times as Unix times of the machines' wall clock. The process's clock is set to the wall
 //! clock once and then only runs forward, so the two diverge when the wall clock is stepped. A start in an
-//! update of the list is recent and not in the future, whatever the wall clock says. A start that cannot be
+//! update of the list is recent and not in the future, regardless of the wall clock. A start that cannot be
 //! placed is taken to be now; until the run store is warm in any case, its load reports are not used to
 //! estimate how fast others get warm.
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! It holds the settings and the last directory, never live load. Of two entries with one key, the one with the higher
 //! version wins, then the one with the greater origin, then the one with the greater value, so that all peers agree
-//! whatever the order in which entries reach them.
+//! regardless of the order in which entries reach them.
 
 pub mod peers;
 
@@ -73,7 +73,7 @@
         }
         entries.insert(entry.key.clone(), entry);
         drop(entries);
-        // The channels have room for one signal, which stands for any number of changes. Closed ones are removed.
+        // The channels have room for one signal, which covers any number of changes. Closed ones are removed.
         self.subscribers.borrow_mut().retain(|subscriber| {
             let _ = subscriber.try_send(());
             !subscriber.is_closed()
--- a/src/transport/opensearch/answer.rs
+++ b/src/transport/opensearch/answer.rs
@@ -56,7 +56,7 @@
 }
 
 impl SearchResponse {
-    /// Parses a response body. A response whose shard failed or timed out is an error, whatever its HTTP status.
+    /// Parses a response body. A response whose shard failed or timed out is an error, regardless of its HTTP status.
     ///
     /// # Errors
     /// Returns why the response is invalid.
