--- a/src/front/opensearch/mod.rs
+++ b/src/front/opensearch/mod.rs
@@ -50,9 +50,9 @@
     }
 
     /// Counts a request that cannot be used and returns the error for it.
-    fn reject(&self, index: &str, RequestError(status, error_type, why): RequestError) -> Response {
+    fn reject(&self, index: &str, RequestError(status, error_type, reason): RequestError) -> Response {
         self.driver.note_invalid_request(index);
-        error(status, error_type, &why)
+        error(status, error_type, &reason)
     }
 
     /// Builds the query for the core from a search and its request.
@@ -66,13 +66,14 @@
             let is_valid =
                 |text: &str| text.len() <= MAX_NAME_BYTES && text.bytes().all(|b| b.is_ascii_graphic());
             if !text.is_none_or(is_valid) {
-                let why = format!("{name} must be at most {MAX_NAME_BYTES} visible characters");
-                return Err(RequestError(400, "illegal_argument_exception", why));
+                let reason = format!("{name} must be at most {MAX_NAME_BYTES} visible characters");
+                return Err(RequestError(400, "illegal_argument_exception", reason));
             }
         }
         let keyed = self.driver.is_keyed(&search.index);
         let key = keyed.then(|| super::idempotency_key(&request.headers)).transpose();
-        let key = key.map_err(|why| RequestError(400, "illegal_argument_exception", why))?.map(Into::into);
+        let key =
+            key.map_err(|reason| RequestError(400, "illegal_argument_exception", reason))?.map(Into::into);
         Ok(QueryRequest {
             id: request
                 .headers
@@ -122,18 +123,18 @@
                         });
                     }
                     Ok((search, Err(InvalidQuery::UnknownClass))) => {
-                        let why = format!("no such index [{}]", search.index);
-                        self.reject(index, RequestError(404, "index_not_found_exception", why))
+                        let reason = format!("no such index [{}]", search.index);
+                        self.reject(index, RequestError(404, "index_not_found_exception", reason))
                     }
-                    Ok((_, Err(InvalidQuery::Malformed(why)))) => {
-                        self.reject(index, RequestError(400, "illegal_argument_exception", why))
+                    Ok((_, Err(InvalidQuery::Malformed(reason)))) => {
+                        self.reject(index, RequestError(400, "illegal_argument_exception", reason))
                     }
                     Err(refusal) => self.reject(index, refusal),
                 }
             }
             (method, _) => {
-                let why = format!("method [{method}] is not allowed; supported are GET and POST");
-                self.reject("", RequestError(405, "illegal_argument_exception", why))
+                let reason = format!("method [{method}] is not allowed; supported are GET and POST");
+                self.reject("", RequestError(405, "illegal_argument_exception", reason))
                     .with("Allow", "GET, POST")
             }
         };
@@ -149,8 +150,8 @@
         self.driver.client_wait(&search.index, search.timeout)
     }
 
-    fn refuse(&self, why: RefusalReason) -> Response {
-        with_retry_after(error(503, "rejected_execution_exception", why.text()), REFUSED_RETRY_AFTER_MS)
+    fn refuse(&self, reason: RefusalReason) -> Response {
+        with_retry_after(error(503, "rejected_execution_exception", reason.text()), REFUSED_RETRY_AFTER_MS)
     }
 }
 
@@ -168,9 +169,10 @@
 }
 
 /// Builds an error response in the format of OpenSearch.
-fn error(status: u16, error_type: &str, why: &str) -> Response {
-    let cause = json!({"type": error_type, "reason": why});
-    let body = json!({"error": {"root_cause": [cause], "type": error_type, "reason": why}, "status": status});
+fn error(status: u16, error_type: &str, reason: &str) -> Response {
+    let cause = json!({"type": error_type, "reason": reason});
+    let body =
+        json!({"error": {"root_cause": [cause], "type": error_type, "reason": reason}, "status": status});
     Response::new(status, "application/json; charset=UTF-8", body.to_string())
 }
 
@@ -179,18 +181,18 @@
     let (whole, answers) = match final_answer {
         FinalAnswer::Served { whole, answers, .. } => (*whole, answers),
         FinalAnswer::Refused { retry_after, cause } => {
-            let why = format!("{cause}; safe to retry");
-            return with_retry_after(error(429, "rejected_execution_exception", &why), *retry_after);
+            let reason = format!("{cause}; safe to retry");
+            return with_retry_after(error(429, "rejected_execution_exception", &reason), *retry_after);
         }
         FinalAnswer::Failed { retry_after, cause } => {
-            let why = cause.to_string();
-            return with_retry_after(error(500, "search_phase_execution_exception", &why), *retry_after);
+            let reason = cause.to_string();
+            return with_retry_after(error(500, "search_phase_execution_exception", &reason), *retry_after);
         }
     };
     let values = answers.iter().map(|answer| &answer.value[..]);
     let merged = match merge::merge(values, &search.order, search.from, search.size) {
         Ok(merged) => merged,
-        Err(why) => return error(500, "search_phase_execution_exception", &why),
+        Err(reason) => return error(500, "search_phase_execution_exception", &reason),
     };
     let missing = shards.iter().filter(|shard| answers.iter().all(|answer| answer.shard != **shard));
     let failures: Vec<_> = missing
@@ -218,6 +220,6 @@
     }
     match serde_json::to_vec(&Answer { took, timed_out: !whole, _shards: counts, hits: merged }) {
         Ok(body) => Response::new(200, "application/json; charset=UTF-8", body),
-        Err(why) => error(500, "search_phase_execution_exception", &why.to_string()),
+        Err(reason) => error(500, "search_phase_execution_exception", &reason.to_string()),
     }
 }
--- a/src/front/opensearch/search.rs
+++ b/src/front/opensearch/search.rs
@@ -70,8 +70,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestError(pub u16, pub &'static str, pub String);
 
-fn illegal_argument(why: impl Into<String>) -> RequestError {
-    RequestError(400, "illegal_argument_exception", why.into())
+fn illegal_argument(reason: impl Into<String>) -> RequestError {
+    RequestError(400, "illegal_argument_exception", reason.into())
 }
 
 #[derive(Deserialize)]
@@ -97,11 +97,11 @@
             [index, operation] if operation == "_search" => (index.clone(), Operation::Search),
             [index, operation] if operation == "_count" => (index.clone(), Operation::Count),
             _ => {
-                let why = format!(
+                let reason = format!(
                     "no handler found for uri [{}]; supported are /{{index}}/_search and /{{index}}/_count",
                     request.start.1
                 );
-                return Err(RequestError(404, "illegal_argument_exception", why));
+                return Err(RequestError(404, "illegal_argument_exception", reason));
             }
         };
         if index.contains([',', '*']) || index.starts_with('_') {
@@ -133,7 +133,7 @@
         if bytes.iter().all(u8::is_ascii_whitespace) {
             return Ok(());
         }
-        let parsing_error = |why: String| RequestError(400, "parsing_exception", why);
+        let parsing_error = |reason: String| RequestError(400, "parsing_exception", reason);
         let body: Body = serde_json::from_slice(bytes).map_err(|error| parsing_error(error.to_string()))?;
         if let Some(key) = body.others.keys().find(|key| !FORWARDED_KEYS.contains(&key.as_str())) {
             return Err(parsing_error(format!(
--- a/src/handover/old.rs
+++ b/src/handover/old.rs
@@ -110,7 +110,7 @@
         process.stop_accepting();
         log::line("handover: the new process serves");
     });
-    let reported = async {
+    let report_resources = async {
         loop {
             Timer::after(REPORT_INTERVAL).await;
             if serving.get() {
@@ -125,9 +125,11 @@
         }
         io::ErrorKind::TimedOut.into()
     };
-    let why =
-        future::or(received, future::or(send_messages(link, &messages), future::or(reported, timed_out)))
-            .await;
+    let why = future::or(
+        received,
+        future::or(send_messages(link, &messages), future::or(report_resources, timed_out)),
+    )
+    .await;
     if serving.get() {
         Ok(why)
     } else {
--- a/src/service/mod.rs
+++ b/src/service/mod.rs
@@ -46,20 +46,20 @@
     let mut signals = SignalReceiver::new().map_err(|error| error.to_string())?;
     let config = Config::load(path)?;
     let name = config.name.clone();
-    let operators = program::operators(&config).await?;
+    let operator_listener = program::listen_for_operators(&config).await?;
     let handover_socket = handover::socket_path(&name);
     let taken = new::take_over(&handover_socket, &name).await?.map(new::Takeover::into_parts);
     let (inherited, link) = taken.map(|(state, sockets, link)| ((state, sockets), link)).unzip();
     let program = Program::new(path, config, executor.clone(), inherited).await?;
     program.accept();
-    let wire = Rc::new(PeerSender::default());
-    let handover_task = run_handover(handover_socket, link, program.clone(), wire.clone());
+    let peer_sender = Rc::new(PeerSender::default());
+    let handover_task = run_handover(handover_socket, link, program.clone(), peer_sender.clone());
     executor.spawn(handover_task).detach();
-    if let Some(listener) = operators {
+    if let Some(listener) = operator_listener {
         if let Ok(at) = listener.local_addr() {
             log::line(&format!("operators call {at}"));
         }
-        let operator = OperatorApi::new(program.driver.clone(), program.client_gate.clone(), wire);
+        let operator = OperatorApi::new(program.driver.clone(), program.client_gate.clone(), peer_sender);
         executor.spawn(operator.serve(executor.clone(), listener)).detach();
     }
     if let Some(at) = program.address() {
@@ -112,12 +112,12 @@
     handover_socket: std::path::PathBuf,
     link: Option<(handover::link::Link, handover::link::LineReader)>,
     program: Rc<Program>,
-    wire: Rc<PeerSender>,
+    peer_sender: Rc<PeerSender>,
 ) {
     if let Some(link) = link {
-        new::follow(link, &*program, &wire).await;
+        new::follow(link, &*program, &peer_sender).await;
     }
-    old::serve_handovers(&handover_socket, program, &wire).await;
+    old::serve_handovers(&handover_socket, program, &peer_sender).await;
 }
 
 /// Handles signals until one asks the program to exit.
--- a/src/service/program.rs
+++ b/src/service/program.rs
@@ -272,7 +272,7 @@
 }
 
 /// Returns the listener for operators' calls, if one is configured.
-pub async fn operators(config: &Config) -> Result<Option<TcpListener>, String> {
+pub async fn listen_for_operators(config: &Config) -> Result<Option<TcpListener>, String> {
     match config.operator {
         Some(address) => listen("operator", address, None).await.map(Some),
         None => Ok(None),
@@ -337,7 +337,7 @@
         return Ok(Some((store, listener)));
     }
     let synced = async {
-        while peers.settled() < store_config.peers.len() {
+        while peers.initial_syncs_done() < store_config.peers.len() {
             Timer::after(POLL_INTERVAL).await;
         }
     };
--- a/src/store/peers.rs
+++ b/src/store/peers.rs
@@ -50,7 +50,7 @@
     store: Rc<Store>,
     executor: Rc<LocalExecutor<'static>>,
     /// The number of listed peers whose first round has arrived, or with whom the first attempt failed.
-    settled: Cell<usize>,
+    initial_syncs_done: Cell<usize>,
     /// The number of open connections that peers have made.
     accepted: Cell<usize>,
 }
@@ -66,7 +66,7 @@
         let replication = Rc::new(Replication {
             store,
             executor: executor.clone(),
-            settled: Cell::new(0),
+            initial_syncs_done: Cell::new(0),
             accepted: Cell::new(0),
         });
         executor.spawn(replication.clone().accept(listener)).detach();
@@ -77,8 +77,8 @@
     }
 
     /// Returns how many of the listed peers have sent all their entries or could not be reached.
-    pub fn settled(&self) -> usize {
-        self.settled.get()
+    pub fn initial_syncs_done(&self) -> usize {
+        self.initial_syncs_done.get()
     }
 
     /// Accepts connections from peers.
@@ -107,26 +107,26 @@
 
     /// Keeps a connection to a listed peer.
     async fn dial(self: Rc<Self>, peer: SocketAddr) {
-        let settled = Cell::new(false);
+        let initial_sync_done = Cell::new(false);
         loop {
             if let Ok(stream) = within(CONNECT_TIMEOUT, Stream::connect(peer)).await {
-                self.replicate(stream, peer, &settled).await;
+                self.replicate(stream, peer, &initial_sync_done).await;
             }
-            self.mark_settled(&settled);
+            self.mark_initial_sync_done(&initial_sync_done);
             Timer::after(RETRY_PAUSE).await;
         }
     }
 
-    /// Counts a peer as settled, at most once.
-    fn mark_settled(&self, settled: &Cell<bool>) {
-        if !settled.replace(true) {
-            self.settled.set(self.settled.get() + 1);
+    /// Counts the initial sync with a peer as done, at most once.
+    fn mark_initial_sync_done(&self, initial_sync_done: &Cell<bool>) {
+        if !initial_sync_done.replace(true) {
+            self.initial_syncs_done.set(self.initial_syncs_done.get() + 1);
         }
     }
 
     /// Replicates over a connection until it ends, and logs why it ended.
-    async fn replicate(&self, stream: Stream, peer: SocketAddr, settled: &Cell<bool>) {
-        let read = async { self.read(stream.clone(), settled).await };
+    async fn replicate(&self, stream: Stream, peer: SocketAddr, initial_sync_done: &Cell<bool>) {
+        let read = async { self.read(stream.clone(), initial_sync_done).await };
         let write = async { self.write(stream.clone()).await };
         let reason = match future::or(read, write).await {
             Ok(reason) => reason,
@@ -138,7 +138,7 @@
     }
 
     /// Merges the entries that a peer sends.
-    async fn read(&self, mut stream: Stream, settled: &Cell<bool>) -> io::Result<Reason> {
+    async fn read(&self, mut stream: Stream, initial_sync_done: &Cell<bool>) -> io::Result<Reason> {
         let mut buffer = Vec::new();
         let mut bytes = vec![0; 16 * 1024];
         loop {
@@ -157,7 +157,7 @@
                     Line::Entry(entry) => {
                         self.store.merge(entry);
                     }
-                    Line::Synced => self.mark_settled(settled),
+                    Line::Synced => self.mark_initial_sync_done(initial_sync_done),
                     Line::Ping => {}
                 }
             }
--- a/src/trace/replay.rs
+++ b/src/trace/replay.rs
@@ -89,10 +89,10 @@
                             self.apply_settings(block, &checkpoint.settings);
                         }
                     }
-                    Err(why) => {
+                    Err(reason) => {
                         self.router = None;
-                        if !self.report.unusable.iter().any(|known| known == why) {
-                            self.report.unusable.push(why.to_string());
+                        if !self.report.unusable.iter().any(|known| known == reason) {
+                            self.report.unusable.push(reason.to_string());
                         }
                     }
                 }
@@ -155,19 +155,20 @@
             run_store_name(recorded) == run_store && without_name(recorded) == without_name(replayed)
         };
         let mut pairs = step.actions.iter().zip(replayed.iter().zip(&actions));
-        let differs = pairs.position(|(recorded, pair)| !same(recorded, pair));
-        let at_end = (step.actions.len() != actions.len()).then(|| step.actions.len().min(actions.len()));
-        if let Some(place) = differs.or(at_end) {
+        let first_differing = pairs.position(|(recorded, pair)| !same(recorded, pair));
+        let first_unpaired =
+            (step.actions.len() != actions.len()).then(|| step.actions.len().min(actions.len()));
+        if let Some(index) = first_differing.or(first_unpaired) {
             self.report.differing += 1;
-            let recorded = step.actions.get(place);
-            let query = recorded.or(replayed.get(place)).and_then(record::Action::query);
+            let recorded = step.actions.get(index);
+            let query = recorded.or(replayed.get(index)).and_then(record::Action::query);
             let show = |action: &record::Action| {
                 let text = format!("{:?}", without_name(action));
                 run_store_name(action).map_or(text.clone(), |name| format!("{text} at {name}"))
             };
-            let now = actions.get(place).map(|action| format!("{:?}", InTraceTerms(action)));
-            let found = Difference { at, query, recorded: recorded.map(show), now };
-            self.report.difference.get_or_insert(found);
+            let now = actions.get(index).map(|action| format!("{:?}", InTraceTerms(action)));
+            let difference = Difference { at, query, recorded: recorded.map(show), now };
+            self.report.difference.get_or_insert(difference);
         }
     }
 
@@ -255,12 +256,12 @@
     let (mut settings, names) = (other.router_settings(), other.names());
     let index_in = |table: &BTreeMap<String, usize>, name| table.get(block.text(name)).copied();
     let class = |(recorded_index, name): (usize, &record::Name)| {
-        let own = index_in(&names.classes, *name).and_then(|index| settings.classes.get(index));
-        own.or(recorded.classes.get(recorded_index)).cloned()
+        let other = index_in(&names.classes, *name).and_then(|index| settings.classes.get(index));
+        other.or(recorded.classes.get(recorded_index)).cloned()
     };
     let group = |(recorded_index, name): (usize, &record::Name)| {
-        let own = index_in(&names.tenants, *name).and_then(|index| settings.tenants.get(index));
-        own.or(recorded.tenants.get(recorded_index)).cloned()
+        let other = index_in(&names.tenants, *name).and_then(|index| settings.tenants.get(index));
+        other.or(recorded.tenants.get(recorded_index)).cloned()
     };
     let classes: Vec<_> = applied.classes.iter().enumerate().filter_map(class).collect();
     let tenants: Vec<_> = applied.groups.iter().enumerate().filter_map(group).collect();
--- a/src/trace/writer.rs
+++ b/src/trace/writer.rs
@@ -84,7 +84,7 @@
     next_header: Option<Header>,
     /// When the open segment was begun; `None` while no segment is open.
     segment_begun_at: Option<Millis>,
-    /// True if the next step is to begin another segment, whatever the age of the open one.
+    /// True if the next step begins another segment, regardless of the age of the open one.
     rotate_requested: bool,
     /// When the counts were recorded last in this segment; 0 if they have not been.
     counts_recorded_at: Millis,
@@ -141,8 +141,8 @@
         self.next_header = Some(Header { sources: vec![source], segment: self.segment });
         self.segment += 1;
         (self.segment_begun_at, self.rotate_requested, self.counts_recorded_at) = (Some(now), false, 0.0);
-        let told = self.told(in_force);
-        self.push(now, &Record::Checkpoint(Box::new(Checkpoint { module, state, settings: told })));
+        let settings = self.settings_record(in_force);
+        self.push(now, &Record::Checkpoint(Box::new(Checkpoint { module, state, settings })));
         if let Some(loss) = self.lost {
             self.push(now, &Record::Loss(loss));
             self.loss_unconfirmed = true;
@@ -156,7 +156,7 @@
         }
     }
 
-    fn told(&mut self, in_force: ActiveSettings) -> AppliedSettings {
+    fn settings_record(&mut self, in_force: ActiveSettings) -> AppliedSettings {
         let batch = &mut self.batch;
         AppliedSettings {
             module: convert::settings_to_record(in_force.settings),
@@ -218,11 +218,11 @@
 
     /// Notes the loss of entries from time `from` on. Recording resumes with the next segment, at its checkpoint.
     pub fn lost(&mut self, now: Millis, from: Millis, records: u64) {
-        let waiting = u64::from(self.batch.records());
+        let open = u64::from(self.batch.records());
         self.batch = Batch::default();
         let queued: u64 = self.jobs.drain(..).map(|job| records_of(&job)).sum();
         let loss = self.lost.unwrap_or(Loss { records: 0, from: Num::of(from) });
-        self.lost = Some(Loss { records: loss.records + records + waiting + queued, ..loss });
+        self.lost = Some(Loss { records: loss.records + records + open + queued, ..loss });
         (self.segment_begun_at, self.next_header, self.next_segment_from) = (None, None, now + RETRY_MS);
         self.loss_unconfirmed = false;
     }
@@ -285,16 +285,16 @@
     pub fn settings(&mut self, in_force: ActiveSettings) {
         self.record_keys = in_force.settings.warm_keys;
         if self.is_open() {
-            let (at, told) = (self.last_entry_at, self.told(in_force));
-            self.push(at, &Record::Settings(Box::new(told)));
+            let (at, settings) = (self.last_entry_at, self.settings_record(in_force));
+            self.push(at, &Record::Settings(Box::new(settings)));
         }
     }
 
-    /// Records that a query was accepted; `called` is the client's id of it.
+    /// Records that a query was accepted; `client_id` is the id that the client gave it.
     pub fn taken(
         &mut self,
         at: Millis,
-        (query, called): (u64, &str),
+        (query, client_id): (u64, &str),
         class: &Arc<str>,
         group: Option<&Arc<str>>,
         (parts, timeout, retry): (usize, Millis, bool),
@@ -302,7 +302,7 @@
         self.record(at, |batch| {
             Record::Taken(Taken {
                 query,
-                name: batch.name(Kind::Query, &Arc::from(called)),
+                name: batch.name(Kind::Query, &Arc::from(client_id)),
                 class: batch.name(Kind::Class, class),
                 group: group.map(|group| batch.name(Kind::Group, group)),
                 parts: parts as u32,
--- a/src/transport/frames/link.rs
+++ b/src/transport/frames/link.rs
@@ -77,7 +77,7 @@
     LoadProbe(CallNo, bool, Option<LoadReport>),
 }
 
-/// What was read from a connection: what ended, in order, and the error if a frame was malformed. Frames before the
+/// Holds the ends that were read from a connection, in order, and the error if a frame was malformed. Frames before the
 /// malformed one are valid.
 pub type ReceiveResult = (Vec<EndEvent>, Result<(), String>);
 
@@ -397,7 +397,7 @@
                         ended.push(EndEvent::LoadProbe(no, ok, load));
                     }
                 }
-                Frame::Rejected(why) => return Err(format!("the run store rejected a frame: {why}")),
+                Frame::Rejected(reason) => return Err(format!("the run store rejected a frame: {reason}")),
             }
         }
         // With nothing outstanding, these bytes belong to no answer, and the next answer would be read as their
--- a/src/transport/frames/mod.rs
+++ b/src/transport/frames/mod.rs
@@ -329,8 +329,8 @@
             }
             let (ended, result) = connection.state.borrow_mut().receive(&bytes[..count], Instant::now());
             self.report(ended);
-            if let Err(why) = result {
-                log::line(&format!("frames: {why}"));
+            if let Err(reason) = result {
+                log::line(&format!("frames: {reason}"));
                 return Ok(Reason::Protocol);
             }
             connection.wake();
--- a/src/transport/opensearch/mod.rs
+++ b/src/transport/opensearch/mod.rs
@@ -406,8 +406,8 @@
                     value: Some(response.body.as_slice().into()),
                     load: None,
                 },
-                Err(why) => {
-                    log::query(&call.query, &format!("search {} shard {}: {why}", call.query, call.shard));
+                Err(reason) => {
+                    log::query(&call.query, &format!("search {} shard {}: {reason}", call.query, call.shard));
                     CallEnd::bare(Outcome::Errored)
                 }
             },
