--- a/crates/lab/src/capacity/roles.rs
+++ b/crates/lab/src/capacity/roles.rs
@@ -5,7 +5,7 @@
 use super::sizes::Sizes;
 use super::{assumed_row, row, table, Block};
 
-/// The prefix of the `carried by` column where the mechanism is not implemented.
+/// Marks a mechanism that is not implemented, in the `carried by` column.
 const MISSING: &str = "**missing**: ";
 
 /// The series of CPU time by parts a second, with the load under which each was measured.
@@ -32,7 +32,8 @@
         self.rows.push(row);
     }
 
-    /// Adds a row with a figure from a series, which may be missing.
+    /// Adds a row with a figure from measured series. Where a series is missing, the figure may be an assumption, or
+    /// `None`, which is shown as "not measured".
     fn measured(&mut self, what: &str, figure: Option<Figure>, unit: &str, implemented_by: &str) {
         self.push(row(what, figure.as_ref(), unit), implemented_by);
     }
@@ -77,9 +78,14 @@
     role.assumed("messages, to and from run stores", s.parts * 2.0, "a second", "`src/transport`");
     let bytes = at("part-bytes", flights).map(|each| each.times(s.parts / 1e6));
     role.measured("bytes, to and from run stores", bytes, "MB a second", "`src/transport/frames/codec.rs`");
-    let one = format!("one thread (`src/service/program.rs`); {MISSING}more than one");
+    let thread_note = format!("one thread (`src/service/program.rs`); {MISSING}more than one");
     for (what, series) in PARTS {
-        role.measured(&format!("processor time of parts, {what}"), s.part_cores(series), "cores", &one);
+        role.measured(
+            &format!("processor time of parts, {what}"),
+            s.part_cores(series),
+            "cores",
+            &thread_note,
+        );
     }
     role.measured(
         "processor time of quiet ticks, build before",
@@ -103,8 +109,8 @@
         "`src/decide.rs`",
     );
     role.assumed("connections to run stores, all of them", stores, "connections", "`src/transport`");
-    let subset = format!("{MISSING}subsets by rendezvous hashing");
-    role.assumed("connections to run stores, chosen holders", s.connections, "connections", &subset);
+    let subset_note = format!("{MISSING}subsets by rendezvous hashing");
+    role.assumed("connections to run stores, chosen holders", s.connections, "connections", &subset_note);
     let descriptors = at("descriptors-by-connections", s.connections);
     role.measured(
         "descriptors, with those",
@@ -121,9 +127,9 @@
     let mut role = Role::new("aggregator-control");
     let (stores, own) = (s.assumptions.run_stores, s.relevant_entries);
     let at = |series: &str, x: f64| s.slopes.at(series, x);
-    let subset = format!("{MISSING}a list of what concerns the aggregator");
+    let own_list_note = format!("{MISSING}a list of what concerns the aggregator");
     role.assumed("lines held, whole list", stores, "lines", "`src/core/ledger.rs`, `src/decide.rs`");
-    role.assumed("lines held, own region", own, "lines", &subset);
+    role.assumed("lines held, own region", own, "lines", &own_list_note);
     role.measured(
         "memory, whole list, build before",
         at("memory-by-stores-before", stores),
@@ -131,7 +137,7 @@
         "the same",
     );
     role.measured("memory, whole list, now", at("memory-by-stores-now", stores), "MB", "the same");
-    role.measured("memory, own region, now", at("memory-by-stores-now", own), "MB", &subset);
+    role.measured("memory, own region, now", at("memory-by-stores-now", own), "MB", &own_list_note);
     for (build, series) in [("build before", "control-memory-before"), ("now", "control-memory-now")] {
         let what = format!("memory, whole list, as a hollow aggregator of many, {build}");
         role.measured(&what, at(series, stores), "MB", "the same");
@@ -144,7 +150,7 @@
         "bytes of the watch, own region",
         s.watch_bytes(s.relevant_changes) / 1e3,
         "KB a second",
-        &subset,
+        &own_list_note,
     );
     let cores = |figure: Option<Figure>| figure.map(|us| us.times(1e-6));
     let idle = |build: &str| cores(at(&format!("idle-cpu-by-stores-{build}"), stores));
@@ -181,8 +187,8 @@
         "connections",
         "`src/transport`",
     );
-    let subset = format!("{MISSING}subsets by rendezvous hashing");
-    role.assumed("connections and descriptors, chosen holders", s.senders, "connections", &subset);
+    let subset_note = format!("{MISSING}subsets by rendezvous hashing");
+    role.assumed("connections and descriptors, chosen holders", s.senders, "connections", &subset_note);
     let each = |senders: f64| s.store_parts / senders;
     role.assumed(
         "parts on each connection, all to all",
@@ -190,7 +196,7 @@
         "a second",
         "`src/transport`",
     );
-    role.assumed("parts on each connection, chosen holders", each(s.senders), "a second", &subset);
+    role.assumed("parts on each connection, chosen holders", each(s.senders), "a second", &subset_note);
     role.measured("processor time and memory of a connection there", None, "", "the run stores' own");
     role.block()
 }
@@ -198,26 +204,29 @@
 fn discovery(s: &Sizes) -> Block {
     let mut role = Role::new("discovery");
     let (all, few) = (s.assumptions.aggregators, s.assumptions.control_machines);
-    let tree = format!("{MISSING}a tier of control machines that watch for the aggregators");
+    let control_tier_note = format!("{MISSING}a tier of control machines that watch for the aggregators");
     role.assumed("lines held", s.assumptions.run_stores, "lines", "the platform's");
     let whole = s.list_bytes(s.assumptions.run_stores).times(1e-6);
     role.measured("a whole list", Some(whole), "MB", "the platform's");
     role.assumed("lines that change", s.changes, "a second", "the platform's");
-    // The series by number of watchers were measured at one change a second.
-    let at =
-        |series: &str, watchers: f64, by: f64| s.slopes.at(series, watchers).map(|figure| figure.times(by));
-    for (how, watchers, implemented_by) in
-        [("today", all, "`src/directory/watch.rs`"), ("through control machines", few, tree.as_str())]
-    {
+    // The series by number of watchers, which the loop below reads, were measured at one change a second. Their figures
+    // are not scaled to `s.changes`.
+    let at = |series: &str, watchers: f64, unit_factor: f64| {
+        s.slopes.at(series, watchers).map(|figure| figure.times(unit_factor))
+    };
+    for (how, watchers, implemented_by) in [
+        ("today", all, "`src/directory/watch.rs`"),
+        ("through control machines", few, control_tier_note.as_str()),
+    ] {
         role.assumed(&format!("watchers, {how}"), watchers, "connections", implemented_by);
-        for (what, series, by, unit) in [
+        for (what, series, unit_factor, unit) in [
             ("calls at a change a second", "discovery-calls", 1.0, "a second"),
             ("bytes out at a change a second", "discovery-bytes", 1e-3, "KB a second"),
             ("processor time at a change a second", "discovery-cpu", 1e-3, "cores"),
             ("memory, few lines", "discovery-memory", 1.0, "MB"),
             ("descriptors", "discovery-descriptors", 1.0, "descriptors"),
         ] {
-            role.measured(&format!("{what}, {how}"), at(series, watchers, by), unit, implemented_by);
+            role.measured(&format!("{what}, {how}"), at(series, watchers, unit_factor), unit, implemented_by);
         }
     }
     let lines = s.slopes.at("discovery-memory-by-lines", s.assumptions.run_stores);
@@ -234,29 +243,34 @@
 
 fn control_machine(s: &Sizes) -> Block {
     let mut role = Role::new("control-machine");
-    let tree = format!("{MISSING}in the lab alone (`crates/lab/src/scale`)");
+    let control_tier_note = format!("{MISSING}in the lab alone (`crates/lab/src/scale`)");
     let whole = s.list_bytes(s.assumptions.run_stores).times(1e-6);
-    role.measured("state: a whole list", Some(whole), "MB", &tree);
-    role.assumed("changes, all", s.changes, "a second", &tree);
+    role.measured("state: a whole list", Some(whole), "MB", &control_tier_note);
+    role.assumed("changes, all", s.changes, "a second", &control_tier_note);
     for (served_by, watchers) in
         [("each aggregator told by one", s.aggregators_each), ("by two", s.aggregators_each * 2.0)]
     {
-        role.assumed(&format!("connections, {served_by}"), watchers, "connections", &tree);
+        role.assumed(&format!("connections, {served_by}"), watchers, "connections", &control_tier_note);
         let messages = s.slopes.at("watch-messages", s.changes).map(|each| each.times(watchers));
-        role.measured(&format!("messages, {served_by}"), messages, "a second", &tree);
-        // These were measured at one change a second.
-        for (what, series, by, unit) in [
+        role.measured(&format!("messages, {served_by}"), messages, "a second", &control_tier_note);
+        // The series below were measured at one change a second; their figures are not scaled to `s.changes`.
+        for (what, series, unit_factor, unit) in [
             ("bytes at a change a second", "relay-bytes", 1e-3, "KB a second"),
             ("processor time at a change a second", "relay-cpu", 1e-3, "cores"),
             ("memory, few lines", "relay-memory", 1.0, "MB"),
             ("descriptors", "relay-descriptors", 1.0, "descriptors"),
         ] {
-            let figure = s.slopes.at(series, watchers).map(|figure| figure.times(by));
-            role.measured(&format!("{what}, {served_by}"), figure, unit, &tree);
+            let figure = s.slopes.at(series, watchers).map(|figure| figure.times(unit_factor));
+            role.measured(&format!("{what}, {served_by}"), figure, unit, &control_tier_note);
         }
     }
     let delay = s.slopes.at("relay-in-force", s.aggregators_each);
-    role.measured("a change in force at the last aggregator of all, p99, nothing fails", delay, "ms", &tree);
+    role.measured(
+        "a change in force at the last aggregator of all, p99, nothing fails",
+        delay,
+        "ms",
+        &control_tier_note,
+    );
     role.block()
 }
 
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -1,4 +1,4 @@
-//! Measures the resource usage of one real aggregator under growing load, as series for
+//! Measures the resource usage of one real aggregator at given sizes and loads, as series for
 //! `docs/measurements/slopes.toml`.
 
 use std::collections::BTreeMap;
@@ -52,17 +52,17 @@
     build: String,
 }
 
-/// The number of run stores where it is not the measured variable.
+/// The number of run stores in the series that do not vary it.
 const RUN_STORES: usize = 60;
-/// Parts of a query, where they are not the measured variable.
+/// The number of parts of a query in the `Parts` series.
 const PARTS_PER_QUERY: u32 = 8;
-/// Parts a second, where they are not the measured variable.
+/// The number of parts a second in the `Query` series.
 const PARTS_PER_SECOND: f64 = 2000.0;
-/// Parts of a query that is held open.
+/// The number of parts of a query that is held open, and the maximum in the `Connections` series.
 const HELD_PARTS_PER_QUERY: u32 = 140;
 /// The work time of a part at a run store, in milliseconds.
 const WORK_MS: f64 = 20.0;
-/// The work time of a part of a query that is held open, in milliseconds.
+/// The work time of a part of a query that is held open, and the timeout of every query, in milliseconds.
 const HELD_WORK_MS: f64 = 60_000.0;
 /// The aim as a multiple of the work time of a part.
 const AIM_MULTIPLE: f64 = 50.0;
@@ -80,8 +80,8 @@
     let (mut first, mut second) = (Vec::new(), Vec::new());
     let mut bed = None;
     for &x in &options.at {
-        // Where memory, the list or connections are measured, each point has its own process. Otherwise the points
-        // share one, which keeps its learned state and open connections.
+        // `Parts` and `Query` use one process for all points, so that its learned state and open connections are kept.
+        // The other series, which measure memory, start a new process for each point.
         let (existing, listed, work) = match options.what {
             Quantity::Parts | Quantity::Query => (RUN_STORES, RUN_STORES, WORK_MS),
             Quantity::Flights => (RUN_STORES, RUN_STORES, HELD_WORK_MS),
@@ -99,13 +99,13 @@
         let seconds = Duration::from_secs(options.seconds);
         match options.what {
             Quantity::Parts => {
-                let (parts, cpu, _) =
+                let (attempts, cpu, _) =
                     bed.cost(f64::from(x) / f64::from(PARTS_PER_QUERY), PARTS_PER_QUERY, seconds)?;
-                first.push([parts, cpu]);
+                first.push([attempts, cpu]);
             }
             Quantity::Query => {
-                let (parts, cpu, queries) = bed.cost(PARTS_PER_SECOND / f64::from(x), x, seconds)?;
-                first.push([parts / queries, cpu / queries]);
+                let (attempts, cpu, queries) = bed.cost(PARTS_PER_SECOND / f64::from(x), x, seconds)?;
+                first.push([attempts / queries, cpu / queries]);
             }
             Quantity::Stores => {
                 thread::sleep(WARM_UP);
@@ -135,14 +135,14 @@
         "cargo run --release -p ironpaddle-lab -- measure {what} --at {at} --seconds {} --build COMMIT",
         options.seconds
     );
-    let held = format!("one aggregator, {RUN_STORES} run stores on loopback, {WORK_MS} ms a part");
-    let kinds: &[(&str, &str, &str, String)] = &match options.what {
+    let conditions = format!("one aggregator, {RUN_STORES} run stores on loopback, {WORK_MS} ms a part");
+    let series: &[(&str, &str, &str, String)] = &match options.what {
         Quantity::Parts => {
             vec![(
                 "part-cpu",
                 "parts a second",
                 "us a second",
-                format!("{held}, {PARTS_PER_QUERY} parts a query"),
+                format!("{conditions}, {PARTS_PER_QUERY} parts a query"),
             )]
         }
         Quantity::Query => {
@@ -150,7 +150,7 @@
                 "query-cpu",
                 "parts of a query",
                 "us",
-                format!("{held}, {PARTS_PER_SECOND} parts a second"),
+                format!("{conditions}, {PARTS_PER_SECOND} parts a second"),
             )]
         }
         Quantity::Stores => vec![
@@ -185,7 +185,7 @@
             ),
         ],
     };
-    for ((name, x, unit, fixed), points) in kinds.iter().zip([first, second]) {
+    for ((name, x, unit, fixed), points) in series.iter().zip([first, second]) {
         println!(
             "[[series]]\nname = \"{name}\"\nx = \"{x}\"\nunit = \"{unit}\"\ncommand = \"{command}\"\nfixed = \"{fixed}\"\n\
              build = \"{}\"\npoints = {points:.2?}\n",
@@ -195,7 +195,8 @@
     Ok(())
 }
 
-/// Attempts sent, CPU time in microseconds, and queries answered, each per second.
+/// Attempts sent, CPU time in microseconds, and queries answered, in this order and each per second. The series take
+/// the attempts as the number of parts, so a retried part counts more than once.
 type Cost = (f64, f64, f64);
 
 /// A test bed: an aggregator with its run stores and discovery.
@@ -205,13 +206,14 @@
     listed: usize,
     /// Client connections whose queries are held open.
     held: Vec<TcpStream>,
-    /// The number of queries sent, which numbers their request ids.
+    /// The number of the next query of `load`; it is the request id and the seed of the shards.
     asked: Arc<AtomicU64>,
     _discovery: Arc<Discovery>,
 }
 
 impl TestBed {
-    /// Starts the run stores, discovery and the aggregator, whose list has `listed` run stores of which `up` exist.
+    /// Starts `existing` run stores, discovery, and an aggregator whose list has `listed` run stores. Those beyond
+    /// `existing` have an address where nothing listens.
     fn new(existing: usize, listed: usize, work_ms: f64) -> io::Result<Self> {
         let (clock, checker) = (Clock::new(), Arc::new(Checker::default()));
         let kind = Profile {
@@ -327,7 +329,8 @@
             .ok_or_else(|| "/stats has no aggregator.tries counter".into())
     }
 
-    /// Returns the number of parts in flight, if all queries are held open.
+    /// Returns the number of attempts sent so far. It equals the number of parts in flight while no part has ended or
+    /// been retried, as intended when all queries are held open.
     fn parts_in_flight(&self) -> Result<f64, String> {
         self.attempts()
     }
@@ -356,8 +359,9 @@
     fn memory(&self) -> Result<f64, String> {
         let status =
             std::fs::read_to_string(self.process()? + "/status").map_err(|error| error.to_string())?;
-        let pages = status.lines().find_map(|line| line.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
-        let kib: Option<f64> = pages.and_then(|pages| pages.trim().parse().ok());
+        let resident =
+            status.lines().find_map(|line| line.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
+        let kib: Option<f64> = resident.and_then(|resident| resident.trim().parse().ok());
         kib.map(|kib| kib * 1024.0 / 1e6).ok_or_else(|| "/proc has no VmRSS for the aggregator".into())
     }
 
--- a/crates/lab/src/scale/outcome.rs
+++ b/crates/lab/src/scale/outcome.rs
@@ -31,7 +31,7 @@
 pub struct FinalState {
     /// The time until all aggregators had a list, in seconds.
     pub start_s: f64,
-    /// Whether all changes were in force at all aggregators in time.
+    /// Whether all changes were in force at all aggregators within `LAST_CHANGE_TIMEOUT` after the measurement.
     pub everywhere: bool,
     /// The number of simulated aggregators that held the list that results from the events.
     pub equal_lists: usize,
@@ -112,25 +112,28 @@
 }
 
 /// The list changes of a run, and how soon they were in force.
+///
+/// A change is in force at a simulated aggregator once the step that follows its delivery is done, and at a real one
+/// once the aggregator requests later changes, which shows that it has applied this one.
 #[derive(Debug, Serialize)]
 pub struct Changes {
     /// The number of changes.
     pub count: usize,
     /// The digest of the events; it depends on the seed and the sizes alone.
     pub digest: String,
-    /// Whether every change was in force at every aggregator at the end.
+    /// Whether all changes were in force at all aggregators within `LAST_CHANGE_TIMEOUT` after the measurement.
     pub everywhere: bool,
     /// The number of simulated aggregators that held exactly the list that results from the events.
     #[serde(rename = "hollow_equal")]
     pub equal_lists: usize,
-    /// Times from publication until the last simulated aggregator had completed its step with the change.
+    /// Times from publication until the change was in force at the last simulated aggregator.
     #[serde(rename = "hollow")]
     pub simulated: Option<Times>,
-    /// Times from publication until the last real aggregator had applied the change and requested later ones.
+    /// Times from publication until the change was in force at the last real aggregator.
     pub real: Option<Times>,
-    /// Times from publication until the last aggregator of either kind.
+    /// Times from publication until the change was in force at the last aggregator of either kind.
     pub all: Option<Times>,
-    /// For each change, the time until the last aggregator, in milliseconds.
+    /// For each change, the time until it was in force at the last aggregator of either kind, in milliseconds.
     pub each: Vec<f64>,
 }
 
@@ -184,44 +187,45 @@
         let traffic = |[before, after]: [&Value; 2]| -> Result<Traffic, String> {
             Ok(read::<Traffic>(after.clone())?.since(&read(before.clone())?))
         };
-        // Aggregators receive the list from discovery, or from relays, which call discovery at the address of the
-        // simulated aggregators.
-        let discovery_traffic = [&before.discovery.1, &after.discovery.1];
+        // With relays, the aggregators' traffic is counted at the relays. Discovery then counts the relays' calls under
+        // `hollow`, as they use the address of the simulated aggregators.
+        let discovery_reports = [&before.discovery.1, &after.discovery.1];
         let relays: Vec<_> =
             before.relays.iter().zip(&after.relays).map(|(before, after)| [&before.1, &after.1]).collect();
-        let list_sources = if relays.is_empty() { vec![discovery_traffic] } else { relays.clone() };
+        let list_sources = if relays.is_empty() { vec![discovery_reports] } else { relays.clone() };
+        // Sums the traffic between the two reports of each pair; `of` selects the counters in a report.
         let sum = |from: &[[&Value; 2]], of: &dyn Fn(&Value) -> Value| {
-            let marks = from.iter().map(|marks| marks.map(of));
-            marks.into_iter().try_fold(Traffic::default(), |sum, [before, after]| {
+            let pairs = from.iter().map(|reports| reports.map(of));
+            pairs.into_iter().try_fold(Traffic::default(), |sum, [before, after]| {
                 traffic([&before, &after]).map(|more| sum.plus(&more))
             })
         };
         let all_real = |from: &[[&Value; 2]]| {
             (0..options.real).try_fold(Traffic::default(), |all, no| {
-                sum(from, &|mark| mark["real"][no].clone()).map(|more| all.plus(&more))
+                sum(from, &|report| report["real"][no].clone()).map(|more| all.plus(&more))
             })
         };
-        let simulated = sum(&list_sources, &|mark| mark["hollow"].clone())?;
+        let simulated = sum(&list_sources, &|report| report["hollow"].clone())?;
         let real = all_real(&list_sources)?;
-        let discovery_traffic =
-            sum(&[discovery_traffic], &|mark| mark["hollow"].clone())?.plus(&all_real(&[discovery_traffic])?);
-        let upstream = sum(&relays, &|mark| mark["up"].clone())?;
-        let stores = traffic([&before.stores.1, &after.stores.1].map(|mark| &mark["traffic"]))?;
-        let clients = traffic([&before.clients.1, &after.clients.1].map(|mark| &mark["traffic"]))?;
-        let one = |of: fn(&Sample) -> Usage| [[of(before)], [of(after)]];
-        let used = |members, usage: [[Usage; 1]; 2], traffic| {
+        let discovery_traffic = sum(&[discovery_reports], &|report| report["hollow"].clone())?
+            .plus(&all_real(&[discovery_reports])?);
+        let upstream = sum(&relays, &|report| report["up"].clone())?;
+        let stores = traffic([&before.stores.1, &after.stores.1].map(|report| &report["traffic"]))?;
+        let clients = traffic([&before.clients.1, &after.clients.1].map(|report| &report["traffic"]))?;
+        let single_usage = |of: fn(&Sample) -> Usage| [[of(before)], [of(after)]];
+        let role_usage = |members, usage: [[Usage; 1]; 2], traffic| {
             RoleUsage::of(members, [&usage[0], &usage[1]], traffic, seconds)
         };
         let real_total = real.plus(&stores).plus(&clients).reversed();
         let mut roles = BTreeMap::from([
-            ("discovery", used(1, one(|sample| sample.discovery.0), discovery_traffic)),
-            ("run stores", used(1, one(|sample| sample.stores.0), stores)),
-            ("clients", used(1, one(|sample| sample.clients.0), clients)),
+            ("discovery", role_usage(1, single_usage(|sample| sample.discovery.0), discovery_traffic)),
+            ("run stores", role_usage(1, single_usage(|sample| sample.stores.0), stores)),
+            ("clients", role_usage(1, single_usage(|sample| sample.clients.0), clients)),
         ]);
         if options.simulated > 0 {
             roles.insert(
                 "hollow",
-                used(options.simulated, one(|sample| sample.simulated), simulated.reversed()),
+                role_usage(options.simulated, single_usage(|sample| sample.simulated), simulated.reversed()),
             );
         }
         if options.relays > 0 {
@@ -260,8 +264,9 @@
         })
     }
 
-    /// Returns whether every change was in force everywhere, queries were answered without wrong values, and all real
-    /// aggregators shut down cleanly.
+    /// Returns whether all changes were in force everywhere, all simulated aggregators hold the expected list, at least
+    /// one query was answered whole and no answer was wrong (if there are real aggregators), and all real aggregators
+    /// shut down cleanly.
     pub fn passed(&self) -> bool {
         let simulated = self.roles.get("hollow").map_or(0, |used| used.members);
         let answered =
@@ -352,6 +357,7 @@
 impl Changes {
     fn new(generated: &[Event], end: &FinalState) -> Self {
         let published = &end.change_times.published;
+        // The first entry is the list at the start, not a change.
         let simulated: Vec<f64> = end
             .status
             .in_force
